--- a/sumachook/placement/__init__.py
+++ b/sumachook/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: pairs, and the loads that bring them about."""
+"""Replica placement: decides which servers hold which models, and orders the loads and unloads for it."""
--- a/sumachook/placement/call_ids.py
+++ b/sumachook/placement/call_ids.py
@@ -1,6 +1,7 @@
-"""The names of the calls that placement makes over HTTP.
+"""Identifiers of the HTTP calls that placement makes.
 
-A core finds the part that made a call, and the HTTP client its pool of connections, by the first field.
+The first field names the component that made the call: a core routes the response by it, and the HTTP client chooses
+its connection pool by it.
 """
 
 from typing import NamedTuple
@@ -11,7 +12,7 @@
 
 
 class ServerCallId(NamedTuple):
-    """A call of the provisioner to an engine server, numbered under the fence of its lease."""
+    """Identifies a call of the provisioner to an engine server; `fence` is the fencing token of its lease."""
 
     part: str
     fence: int
@@ -19,7 +20,7 @@
 
 
 class PollId(NamedTuple):
-    """A question of the placer to a model server: which models ("models") or adapters ("adapters") it holds."""
+    """Identifies a poll of a model server by the placer, for its models (`kind` "models") or adapters ("adapters")."""
 
     part: str
     fence: int
@@ -29,7 +30,7 @@
 
 
 class OrderId(NamedTuple):
-    """An order of the placer to a model server."""
+    """Identifies a load or unload order of the placer to a model server."""
 
     part: str
     fence: int
@@ -41,9 +42,9 @@
 
 
 class InventoryCallId(NamedTuple):
-    """A question of the inventory reader for one page of the platform's list.
+    """Identifies a request of the inventory reader for one page of the platform's server list.
 
-    `based_on` is the number of the ordered state that the list will be compared with; `number` is that of the reading.
+    `based_on` is the number of the control state that the list will be compared with; `number` counts the polls.
     """
 
     part: str
--- a/sumachook/placement/candidates.py
+++ b/sumachook/placement/candidates.py
@@ -1,4 +1,4 @@
-"""Where a model or adapter is best loaded, and what it costs others: read from servers and demand, changes nothing."""
+"""Chooses the server for a load and the evictions that it needs, from server contents and demand; changes no state."""
 
 from collections.abc import Collection, Sequence
 from datetime import timedelta
@@ -11,41 +11,41 @@
 from sumachook.placement.model_names import full_name, model_of
 from sumachook.placement.policy import SCORING
 
-UNUSED_GRACE = timedelta(seconds=2)  # what was just loaded stays for those who asked for it
+UNUSED_GRACE = timedelta(seconds=2)  # keeps a fresh load until the requests it is for arrive
 JUST_USED = timedelta(seconds=1)
-MAX_BLOCKED_RATE = 20.0  # requests a second; a busier server is not worse still
+MAX_BLOCKED_RATE = 20.0  # requests per second; caps the cost of blocking a busy server
 
 
 class Eviction(NamedTuple):
-    """What is to be unloaded ("model" or "model/adapter") and what that costs, in seconds that somebody waits."""
+    """The models and adapters to unload ("model" or "model/adapter"), and the cost in seconds of waiting time."""
 
     cost: float
     names: tuple[str, ...]
 
 
 class Candidate(NamedTuple):
-    """A server for a load, and what is to be unloaded there first."""
+    """A server to load a model on, and the models and adapters to unload there first."""
 
     server: EngineServer
     names: tuple[str, ...]
 
 
 class AdapterCandidate(NamedTuple):
-    """A server for an adapter, and the adapter ("model/adapter" or "") to be unloaded there first."""
+    """A server to load an adapter on, and the adapter ("model/adapter" or "") to unload there first."""
 
     server: EngineServer
     evicted: str
 
 
 class CandidateScoring:
-    """Weighs the servers of one service at one moment; costs are seconds that somebody waits.
+    """Scores the servers of one service at one moment; costs are seconds of request waiting time.
 
     Parameters
     ----------
-    wanted : names that requests wait for
-    desired : {model: replicas that it should have}
-    predicted : models that are likely to be asked for next
-    demand_age : how long anything has been asked for
+    wanted : models and adapters that pending requests wait for
+    desired : {model: target number of replicas}
+    predicted : models that are likely to be requested next
+    demand_age : time since the first request for any model
     """
 
     __slots__ = (
@@ -97,29 +97,29 @@
     # demand --------------------------------------------------------------------------
 
     def rate(self, name: str) -> float:
-        """Requests a second for a model or adapter."""
+        """Returns the request rate of a model or adapter, in requests per second."""
         if name not in self._rates:
             self._rates[name] = self.demand.rate(self.service, name, self.now)
         return self._rates[name]
 
     def predicted_rate(self, name: str) -> float:
-        """The same by the time that a load is complete."""
+        """Returns the request rate that is expected when a load started now completes, in requests per second."""
         return self.demand.predicted_rate(self.service, name, self.now)
 
     def running(self, name: str) -> int:
-        """How many requests of a model or adapter run."""
+        """Returns the number of running requests of a model or adapter."""
         return self.demand.running.get((self.service, name), 0)
 
     def planned_replicas(self, model: str) -> int:
-        """Servers that hold it, load it or make room for it."""
+        """Counts the open servers that hold the model, load it, or evict others for it."""
         return sum(1 for server in self.servers if server.is_open and server.will_hold(model))
 
     def load_on(self, server: EngineServer) -> float:
-        """Requests a second that this server gets, if each model's are spread evenly over its replicas."""
+        """Returns the request rate of a server, assuming that requests are spread evenly over a model's replicas."""
         return sum(self._rate_per_replica(model) for model in server.ready)
 
     def adapter_load_on(self, server: EngineServer) -> float:
-        """The same of models that have adapters."""
+        """Returns the part of `load_on` that belongs to models with adapters."""
         models = self.capacity.models
         return sum(
             self._rate_per_replica(model) for model in server.ready if model in models and models[model].adapters
@@ -131,7 +131,7 @@
     # costs ---------------------------------------------------------------------------
 
     def load_seconds(self, model: str, is_on_disk: bool = False) -> float:
-        """How long a load takes: as configured, or from a server's own disk as such loads took."""
+        """Returns the expected load time: as configured, or as observed for loads from the server's own disk."""
         load_ms = self.capacity.models[model].load_ms
         duration = timedelta(milliseconds=load_ms)
         if is_on_disk:
@@ -140,13 +140,13 @@
         return duration.total_seconds()
 
     def acceptable_cost(self, model: str, waiting: int, age: timedelta) -> float:
-        """How much a load of this model may cost others.
+        """Returns the highest eviction cost that is acceptable for loading this model.
 
-        A replica of what is much asked for is given up for a rarely asked model only after a long wait.
+        A replica of a busy model is evicted for a rarely requested one only after a long wait.
 
         Parameters
         ----------
-        waiting : requests that wait for it
+        waiting : number of requests that wait for the model
         age : how long the first of them has waited
         """
         load = self.load_seconds(model)
@@ -159,7 +159,7 @@
         )
 
     def eviction_cost(self, server: EngineServer, model: str) -> float | None:
-        """What it costs others if `model` leaves this server; None if it must stay."""
+        """Returns the cost of evicting `model` from a server, in seconds of waiting; None if it must not be evicted."""
         if model not in self.capacity.models:
             return 0.0
         if model in self.wanted or self._was_loaded_for_somebody(server, model):
@@ -172,7 +172,7 @@
         if 1 < replicas <= self.desired.get(model, 1):
             cost += load * rate * SCORING.shared_replica_loads
         running_here = self._running_at(server, model, replicas)
-        if running_here:  # an unload waits for them
+        if running_here:  # the server finishes running requests before it unloads
             cost += SCORING.eviction_of_running + running_here
         if replicas == 1:
             cost += self._catalogue_worth(model)
@@ -184,7 +184,7 @@
         return cost
 
     def _was_loaded_for_somebody(self, server: EngineServer, model: str) -> bool:
-        """Whether the model, or an adapter of it, was loaded a moment ago and not used since."""
+        """Returns whether the model or an adapter of it was loaded within `UNUSED_GRACE` and not used since."""
         return any(model_of(name) == model and self.now - at < UNUSED_GRACE for name, at in server.unused_since.items())
 
     def _running_at(self, server: EngineServer, model: str, replicas: int) -> float:
@@ -192,7 +192,7 @@
         return self.running(model) / replicas if running_here is None else running_here
 
     def _catalogue_worth(self, model: str) -> float:
-        """What the order of the catalogue says of a model while little has been asked for."""
+        """Returns a cost that favours models early in the catalogue, and fades as demand data accumulate."""
         if self.demand_age >= SCORING.catalogue_order_for:
             return 0.0
         if not self._positions:
@@ -207,7 +207,7 @@
     # evictions -----------------------------------------------------------------------
 
     def cheapest_eviction(self, server: EngineServer, model: str) -> Eviction | None:
-        """What to unload from a server so that `model` fits: adapters if enough, else one model, else several."""
+        """Returns the evictions that make `model` fit: adapters if they free enough, else one model, else several."""
         free_mb = self.capacity.free_mb(server.models)
         size_mb = self.capacity.models[model].size_mb
         if free_mb >= size_mb:
@@ -242,9 +242,9 @@
         return self.capacity.free_mb({held: adapters for held, adapters in server.models.items() if held not in names})
 
     def evictable_adapters(self, server: EngineServer) -> list[str]:
-        """Adapters ("model/adapter") that may be unloaded, least recently used first, those that run last.
+        """Returns the adapters ("model/adapter") that may be evicted, least recently used first.
 
-        What requests wait for or what was just loaded is not among them.
+        Adapters with running requests come last; those just loaded or with waiting requests are left out.
         """
         found = []
         for model, adapters in server.ready.items():
@@ -265,13 +265,13 @@
     def best_server(
         self, model: str, may_use_store: bool, is_spare: bool = False, max_cost: float = float("inf")
     ) -> Candidate | None:
-        """The best server for one more replica of `model`, or None for now.
+        """Returns the server with the lowest cost for another replica of `model`, or None if no server is suitable now.
 
         Parameters
         ----------
-        may_use_store : whether a load from the store may begin now
-        is_spare : nothing that is asked for gives way
-        max_cost : only what costs others at most this is unloaded
+        may_use_store : whether the weight store's rate limit admits a load now
+        is_spare : whether the replica is optional, so that no replica in use may be evicted for it
+        max_cost : highest acceptable eviction cost
         """
         per_zone: dict[str, int] = {}
         for server in self.servers:
@@ -318,7 +318,7 @@
         return cost
 
     def _is_needed(self, name: str, rate: float) -> bool:
-        """Whether something that is asked for would miss this replica, beside a model of this rate."""
+        """Returns whether a model needs its replica more than an optional one of a model with this request rate."""
         replicas = self.replicas.get(name, 0)
         if self.running(name):
             return replicas <= self.desired.get(name, 1)
@@ -327,7 +327,7 @@
         return self.rate(name) > 0.02 * rate
 
     def best_server_for_adapter(self, model: str, adapter: str) -> AdapterCandidate | None:
-        """The best server for one more replica of `adapter`, or None for now."""
+        """Returns the least loaded server for another replica of `adapter`, or None; prefers servers with room."""
         best: tuple[bool, float, str] | None = None
         chosen: AdapterCandidate | None = None
         for server in self.servers:
--- a/sumachook/placement/demand.py
+++ b/sumachook/placement/demand.py
@@ -1,4 +1,4 @@
-"""How often each model and adapter is asked for, and how many of its requests run."""
+"""Tracks the request rate and the number of running requests of each model and adapter."""
 
 from datetime import timedelta
 from math import log
@@ -7,15 +7,15 @@
 from sumachook.placement.messages import UsageByService
 from sumachook.placement.model_names import model_of
 
-FAST_HALF_LIFE = timedelta(seconds=2)  # follows a change within a few loads
-SLOW_HALF_LIFE = timedelta(seconds=7)  # smooths what is asked for rarely
-FORGET_AFTER = SLOW_HALF_LIFE * 12  # by then a rate has decayed to nothing
+FAST_HALF_LIFE = timedelta(seconds=2)  # follows a change of demand within the time of a few loads
+SLOW_HALF_LIFE = timedelta(seconds=7)  # smooths the rate of rarely requested models
+FORGET_AFTER = SLOW_HALF_LIFE * 12  # after 12 half-lives a rate has decayed to about 0
 
-Key = tuple[str, ...]  # (service, name), or (service, model, server) for what runs at one server
+Key = tuple[str, ...]  # (service, name), or (service, model, server) for the running requests at one server
 
 
 class Rates(NamedTuple):
-    """Means of requests a second, over a short and a long time, as they were at a moment."""
+    """Exponentially decaying request rates (per second) with a short and a long half-life, as computed at time `at`."""
 
     fast: float
     slow: float
@@ -23,32 +23,32 @@
 
 
 class Demand:
-    """Rates and running requests as edges report them; an adapter's requests count for its model too.
+    """Aggregates the usage reports of the edges; an adapter's requests count for its base model too.
 
     >>> demand, second = Demand(), timedelta(seconds=1)
     >>> for turn in range(40):
     ...     demand.record("edge-1", {"llm": {"m/a1": (5, 2)}}, second * turn / 2)
     >>> round(demand.rate("llm", "m", second * 20)), demand.running[("llm", "m")], demand.rate("llm", "n", second)
     (9, 2, 0.0)
-    >>> round(demand.rate("llm", "m", second * 30))  # fell silent
+    >>> round(demand.rate("llm", "m", second * 30))  # no requests for ten seconds
     1
     """
 
     __slots__ = ("rates", "running", "edges", "last_begun", "is_by_server", "first_at")
 
-    TREND_WEIGHT = 1.5  # of the difference between the fast and the slow mean: about what a load's duration adds
-    EDGE_TIMEOUT = timedelta(seconds=2)  # edges report several times within this
+    TREND_WEIGHT = 1.5  # multiplies the difference of the fast and slow rates: about the change during one load
+    EDGE_TIMEOUT = timedelta(seconds=2)  # edges report several times within this period
 
     def __init__(self) -> None:
         self.rates: dict[Key, Rates] = {}
         self.running: dict[Key, int] = {}
         self.edges: dict[str, tuple[timedelta, dict[Key, int]]] = {}
         self.last_begun: dict[Key, timedelta] = {}
-        self.is_by_server = False  # whether any edge says at which server its requests run
+        self.is_by_server = False  # whether any edge reports running requests per server
         self.first_at: timedelta | None = None
 
     def record(self, edge: str, usage: UsageByService, now: timedelta) -> None:
-        """Take the report of an edge in the place of its last one."""
+        """Records the usage report of an edge, which replaces its previous one."""
         self._drop(edge)
         if self.first_at is None and usage:
             self.first_at = now
@@ -83,13 +83,13 @@
                 del self.running[key]
 
     def running_at(self, service: str, model: str, server: str) -> int | None:
-        """How many requests of a model run at one server, or None where the edges don't say it by server."""
+        """Returns how many requests of a model run at a server, or None if no edge reports counts per server."""
         if (service, model) not in self.running:
             return 0
         return self.running.get((service, model, server), 0) if self.is_by_server else None
 
     def expire(self, now: timedelta) -> None:
-        """Forget silent edges and what nobody asks for any more."""
+        """Drops edges that stopped reporting, and rates of models without recent requests."""
         for edge in [edge for edge, (at, _) in self.edges.items() if now - at > self.EDGE_TIMEOUT]:
             self._drop(edge)
         self.rates = {key: rates for key, rates in self.rates.items() if now - rates.at < FORGET_AFTER}
@@ -105,9 +105,9 @@
         )
 
     def rate(self, service: str, name: str, now: timedelta) -> float:
-        """Requests a second.
+        """Returns the request rate of a model or adapter, per second.
 
-        What is asked for far less than a while ago has fallen silent: what is left of its slow mean counts little.
+        A fast rate below a quarter of the slow one means that demand has stopped: then the slow rate counts little.
         """
         if (service, name) not in self.rates:
             return 0.0
@@ -115,11 +115,11 @@
         return max(fast, slow) if fast * 4 >= slow else fast + slow / 4
 
     def first_asked_at(self, now: timedelta) -> timedelta:
-        """When anything was first asked for, or now."""
+        """Returns when the first request for any model was reported, or `now` if none was."""
         return now if self.first_at is None else self.first_at
 
     def predicted_rate(self, service: str, name: str, now: timedelta) -> float:
-        """The rate as it will be by the time that a load is complete, where it rises."""
+        """Extrapolates a rising rate to the end of a load that starts now; else returns the present rate."""
         if (service, name) not in self.rates:
             return 0.0
         fast, slow, _ = self._decayed((service, name), now)
--- a/sumachook/placement/demand_prediction.py
+++ b/sumachook/placement/demand_prediction.py
@@ -1,4 +1,4 @@
-"""Which models are likely to be asked for next."""
+"""Predicts which models are likely to be requested next."""
 
 from collections.abc import Collection, Sequence
 from datetime import timedelta
@@ -6,10 +6,10 @@
 
 
 class DemandPrediction:
-    """Predicts the models that follow the popular ones, as long as demand was seen to move along the catalogue's list.
+    """Predicts that the models listed after the popular ones are next, while demand moves along the catalogue's order.
 
-    It begins by trusting the list. Each model that becomes popular right after one that was popular confirms it, any
-    other contradicts it.
+    The prediction starts out enabled. A newly popular model that follows a recently popular one in the list counts as a
+    confirmation, any other as a contradiction; nothing is predicted while contradictions reach the confirmations.
 
     >>> prediction, second, listed = DemandPrediction(), timedelta(seconds=1), ("a", "b", "c", "d", "e", "f")
     >>> prediction.predict(listed, {"a", "b"}, second), prediction.predict(listed, {"b", "c"}, second * 9)
@@ -22,9 +22,9 @@
 
     __slots__ = ("last_popular", "confirmed", "contradicted")
 
-    RECENT = timedelta(seconds=20)  # popular so lately, a model may be the one that another follows
-    REACH = 2  # positions in the list that demand may move at once
-    PART = 4  # one model is predicted for so many popular ones
+    RECENT = timedelta(seconds=20)  # a model that was popular within this time may precede a newly popular one
+    REACH = 2  # list positions that demand may advance by in one step
+    PART = 4  # popular models per predicted model
 
     def __init__(self) -> None:
         self.last_popular: dict[str, timedelta] = {}
@@ -32,12 +32,12 @@
         self.contradicted = 0
 
     def predict(self, listed: Sequence[str], popular: Collection[str], now: timedelta) -> tuple[str, ...]:
-        """The models that will be asked for next, in the order of the list.
+        """Returns the models that are likely to be requested next, in catalogue order.
 
         Parameters
         ----------
         listed : all models in the catalogue's order
-        popular : those that are asked for most now
+        popular : the models with the highest request rates now
         """
         position_of = {model: position for position, model in enumerate(listed)}
         self._learn(listed, position_of, popular, now)
--- a/sumachook/placement/effects.py
+++ b/sumachook/placement/effects.py
@@ -1,14 +1,14 @@
-"""What the machines of placement ask of their node, beside the effects of the host."""
+"""Effects of the placement state machines that their node carries out, in addition to the host's effects."""
 
 from sumachook.host.effects import Effect
 from sumachook.transport.node_message import NodeMessage
 
 
 class BroadcastToEdges(Effect, frozen=True):
-    """Send this message to every live edge."""
+    """Asks the core to send a message to every live edge."""
 
     message: NodeMessage
 
 
 class PlacementsAdded(Effect, frozen=True):
-    """A model or adapter is available on a server where it was not known to be."""
+    """Reports that a placement update added a model or adapter to a server, so waiting requests may proceed."""
--- a/sumachook/placement/engine_server.py
+++ b/sumachook/placement/engine_server.py
@@ -1,4 +1,4 @@
-"""What the holder of the placement lease knows of one engine server."""
+"""The state of one engine server as the holder of the placement lease knows it."""
 
 from datetime import timedelta
 from enum import StrEnum
@@ -8,16 +8,17 @@
 
 
 class Verb(StrEnum):
-    """What a server is ordered to do."""
+    """The operation of an order: load or unload."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class Order:
-    """One order in flight; it is polled by sending it again until the server says that it is complete.
+    """An order in flight. It is polled by resending it until the server reports that it is complete.
 
-    `is_accepted` once the server said that it began; `is_from_store` for a load of weights from the store.
+    `is_accepted` is set once the server has acknowledged the order; `is_from_store` marks a load that reads the weights
+    from the store rather than from the server's disk.
     """
 
     __slots__ = ("verb", "model", "adapter", "is_accepted", "is_from_store", "accepted_at", "due_at", "attempts")
@@ -34,30 +35,30 @@
 
     @property
     def name(self) -> str:
-        """The name of what is loaded or unloaded."""
+        """The model ("model") or adapter ("model/adapter") that is loaded or unloaded."""
         return full_name(self.model, self.adapter)
 
     def is_load_of(self, model: str, adapter: str = "") -> bool:
-        """Whether this loads the model or adapter."""
+        """Returns whether this is a load of the given model or adapter."""
         return self.verb == Verb.LOAD and (self.model, self.adapter) == (model, adapter)
 
 
 class EngineServer:
-    """The believed contents of a server, its order in flight, and when it is to be called next.
+    """The assumed contents of an engine server, its order in flight, and when to call it next.
 
     Attributes
     ----------
-    models : {model: adapters} of all that may take memory, also what is being loaded or unloaded.
-    ready : {model: adapters} of what serves requests and is not being unloaded.
-    on_disk : models that it ever held; a load of one of them does not need the store.
-    sequence : the server's count of orders that goes with `models`, or None while unknown. Every order names it, so one
-        that was delayed, or was decided on outdated knowledge, is not accepted.
-    is_known : whether `models` is what the server reported, with the orders since then.
-    is_draining : it leaves, or its zone is evacuated.
-    is_replaced : another server answers at its address; nothing more is sent there.
+    models : {model: adapters} of everything that may occupy memory, including loads and unloads in progress.
+    ready : {model: adapters} that serve requests and are not being unloaded.
+    on_disk : models that the server has ever held; loading one of them again does not use the store.
+    sequence : the server's count of accepted orders that matches `models`, or None while unknown. Every order carries
+        it, so the server rejects an order that was delayed or based on outdated contents.
+    is_known : whether `models` is based on a report plus the orders since then.
+    is_draining : whether the server is leaving or its zone is evacuated.
+    is_replaced : whether another server has taken over the address; no more calls are sent there.
     pending_call : the number of the one unanswered call, or 0.
-    reserved_for : the model that room is being made for, or "".
-    unused_since : {name: when it was loaded} of what no request has used since.
+    reserved_for : the model that others are being evicted for, or "".
+    unused_since : {name: load time} of the models and adapters that no request has used since their load.
     """
 
     __slots__ = (
@@ -111,24 +112,24 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether its models count as replicas."""
+        """Whether its models count as replicas: the server is neither draining, unreachable nor replaced."""
         return not self.is_draining and not self.is_unreachable and not self.is_replaced
 
     @property
     def is_idle(self) -> bool:
-        """Whether an order may be sent now."""
+        """Whether an order may be sent now: the contents are known, and no order or call is in flight."""
         return self.is_open and self.is_known and self.order is None and not self.pending_call
 
     def is_loading(self, model: str, adapter: str = "") -> bool:
-        """Whether the order in flight loads this model or adapter."""
+        """Returns whether the order in flight loads this model or adapter."""
         return self.order is not None and self.order.is_load_of(model, adapter)
 
     def will_hold(self, model: str) -> bool:
-        """Whether it holds the model, loads it or makes room for it."""
+        """Returns whether the server holds the model, loads it, or is reserved for it."""
         return model in self.models or self.reserved_for == model
 
     def apply_report(self, report: ServerReport) -> None:
-        """Replace what was believed by what the server says."""
+        """Replaces the assumed contents with those of a report."""
         self.models = {model: set(adapters) for model, adapters in report.models.items()}
         self.ready = {model: set(adapters) for model, adapters in self.models.items()}
         self.on_disk |= set(self.models)
@@ -140,7 +141,7 @@
         self.unused_since = {name: at for name, at in self.unused_since.items() if name in self.ready}
 
     def start_order(self, order: Order) -> None:
-        """Note an order that goes out now: what it loads takes memory, what it unloads serves no more."""
+        """Records an order that is being sent: a load occupies memory at once, an unload stops serving at once."""
         self.order = order
         if order.verb == Verb.LOAD and order.adapter:
             self.models[order.model].add(order.adapter)
@@ -152,7 +153,7 @@
             self.ready.pop(order.model, None)
 
     def complete_order(self, order: Order, now: timedelta) -> None:
-        """The order in flight was carried out."""
+        """Applies the order in flight to the contents, after the server reported it complete."""
         self.order = None
         self.poll_at = None
         self.completed_at = now
@@ -175,7 +176,7 @@
         self.loaded_at[order.name] = now
 
     def invalidate(self, report_due_at: timedelta) -> None:
-        """What is believed may be wrong: the server must report before its next order."""
+        """Marks the contents as unknown: the server must report, at `report_due_at`, before it gets another order."""
         self.is_known = False
         self.order = None
         self.poll_at = None
--- a/sumachook/placement/events.py
+++ b/sumachook/placement/events.py
@@ -1,21 +1,21 @@
-"""What the machines of placement are told by their core, beside the events of the host."""
+"""Events that a core passes to the placement state machines, in addition to the host's events."""
 
 from sumachook.host.events import Event
 
 
 class LeaseTick(Event, frozen=True):
-    """Time has passed; `fence` is that of the placement lease, or 0 where this core does not hold it."""
+    """Periodic tick; `fence` is the fencing token of the placement lease, or 0 if this core does not hold it."""
 
     fence: int
-    edges: tuple[str, ...] = ()  # addresses of the live edges
+    edges: tuple[str, ...] = ()  # node addresses of the live edges
 
 
 class InventoryTick(Event, frozen=True):
-    """Time has passed; whether the ordered state is fresh, and whether this core leads its replicas."""
+    """Periodic tick; says whether the control state is up to date and whether this core is the consensus leader."""
 
     is_fresh: bool
     is_leading: bool
 
 
 class StateChanged(Event, frozen=True):
-    """A change was applied to the ordered state."""
+    """Signals that a committed change was applied to the control state."""
--- a/sumachook/placement/forecast.py
+++ b/sumachook/placement/forecast.py
@@ -1,4 +1,4 @@
-"""What a change of the catalogue would move: computed for the operator, changes nothing."""
+"""Computes for an operator which replicas a catalogue change would move, without applying it."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -7,9 +7,9 @@
 
 
 def forecast_moves(catalogue: Any, state: Any, demand: Mapping[str, float]) -> dict[str, Any]:
-    """The document of `plan`: the placer's own plan for a catalogue, against what servers hold now.
+    """Returns the answer to the `plan` command: the placer's plan for a catalogue, compared with the current contents.
 
-    `gigabytes` are those of all loads, `seconds` the time that the store of weights needs for them.
+    `gigabytes` is the total size of all loads, `seconds` the time that the weight store needs to serve them.
     """
     pairs = plan_pairs(catalogue, state.servers, state.evacuated, (), demand, state.pairs, state.held)
     loads = _loads(catalogue, state, pairs)
--- a/sumachook/placement/free_capacity.py
+++ b/sumachook/placement/free_capacity.py
@@ -1,4 +1,4 @@
-"""How much more a server can hold: exact sizes, and everything counted that may be there."""
+"""Computes a server's free memory and adapter slots from exact sizes, counting everything that may be loaded."""
 
 from collections.abc import Collection, Mapping
 from math import fsum
@@ -6,10 +6,10 @@
 
 
 class FreeCapacity:
-    """Memory and adapter slots of the servers of one engine.
+    """Checks loads against the memory and adapter slots that the servers of one engine have.
 
-    The argument `models` {model: adapters} is all that may take memory: what serves, what is being loaded, and what is
-    not surely unloaded. A model that the engine does not list has an unknown size, so beside it nothing fits.
+    The argument `models` {model: adapters} is everything that may occupy memory: ready, being loaded, or not confirmed
+    as unloaded. A model that the engine does not list has an unknown size, so nothing else fits on its server.
 
     >>> from types import SimpleNamespace as Item
     >>> models = (Item(name="m", size_mb=60.0, adapter_mb=5.0), Item(name="n", size_mb=50.0, adapter_mb=5.0))
@@ -29,21 +29,21 @@
         self.models = {model.name: model for model in engine.models}
 
     def size_mb(self, model: str, adapters: Collection[str] = ()) -> float:
-        """Memory that a model takes with these adapters; infinite if it is unknown."""
+        """Returns the memory of a model with these adapters, in MB; infinite if the engine does not list the model."""
         item = self.models.get(model)
         return item.size_mb + item.adapter_mb * len(adapters) if item else float("inf")
 
     def free_mb(self, models: Mapping[str, Collection[str]]) -> float:
-        """Memory that is left beside these models."""
+        """Returns the memory that these models leave free, in MB."""
         used_mb = fsum(self.size_mb(model, adapters) for model, adapters in models.items())
         return float(self.engine.memory_mb - used_mb)
 
     def fits_model(self, models: Mapping[str, Collection[str]], model: str) -> bool:
-        """Whether a model fits beside these."""
+        """Returns whether `model` fits in the memory that `models` leave free."""
         return model in self.models and self.free_mb(models) >= self.models[model].size_mb
 
     def fits_adapter(self, models: Mapping[str, Collection[str]], model: str) -> bool:
-        """Whether one more adapter of a model fits, in memory and in the number of adapters of a server."""
+        """Returns whether another adapter of `model` fits, by memory and by the server's number of adapter slots."""
         taken = sum(len(adapters) for adapters in models.values())
         return (
             model in self.models
--- a/sumachook/placement/inventory_reader.py
+++ b/sumachook/placement/inventory_reader.py
@@ -1,4 +1,4 @@
-"""Asks the platform which servers there are and which are leaving, and proposes what has changed."""
+"""Polls the platform's server list, and proposes new, changed and leaving servers to the control state."""
 
 from datetime import timedelta
 from typing import Annotated, Any, Literal, NamedTuple
@@ -19,17 +19,17 @@
 from sumachook.placement.list_port import InventoryPage, ListPort
 from sumachook.placement.messages import ServersLeaving, ServersWarmingUp
 
-STORED_NAMES = {"zone": "area"}  # attributes of a listed server whose names in the ordered state differ
-OPTIONAL_FIELDS = ("service", "version")  # not stored while empty
-UNSTORED_FIELDS = ("name", "cold_ms")  # the key of the entry, and what runs down with each reading
-LOGGED_FAILURES = (3, 30, 300)  # in a row; in between a list that can't be read is not logged again
+STORED_NAMES = {"zone": "area"}  # attributes of a listed server that have another name in the control state
+OPTIONAL_FIELDS = ("service", "version")  # omitted from the control state while empty
+UNSTORED_FIELDS = ("name", "cold_ms")  # the key of the entry, and a countdown that changes with each poll
+LOGGED_FAILURES = (3, 30, 300)  # counts of consecutive failures at which a warning is logged, and no other
 COMPONENT = "placement"
 
-Server = dict[str, Any]  # a server as the ordered state holds it
+Server = dict[str, Any]  # an entry of `servers` in the control state
 
 
 class ListedServer(msgspec.Struct, rename="camel", forbid_unknown_fields=False, frozen=True):
-    """One server as the platform lists it."""
+    """One entry of the platform's server list, as it is validated."""
 
     name: Name
     kind: Literal["model", "records", "service"]
@@ -44,7 +44,7 @@
     cold_ms: Annotated[float, Meta(ge=0)] = 0.0
 
     def to_stored(self) -> Server:
-        """The entry of the ordered state."""
+        """Returns the control state's entry for this server."""
         fields = {field: getattr(self, field) for field in self.__struct_fields__ if field not in UNSTORED_FIELDS}
         return {
             STORED_NAMES.get(field, field): value
@@ -54,7 +54,7 @@
 
 
 class Inventory(NamedTuple):
-    """What a list says: servers, how long those just started stay slow, and the entries that can't be read."""
+    """A parsed server list: the servers, {server: warm-up time left in ms}, and the errors of invalid entries."""
 
     servers: dict[str, Server]
     cold_ms: dict[str, float]
@@ -62,24 +62,24 @@
 
 
 class Believed(NamedTuple):
-    """The servers that are believed to exist, and those among them that the list lacks."""
+    """The servers to propose, and those among them that are kept although the list lacks them."""
 
     servers: dict[str, Server]
     kept: dict[str, Server]
 
 
 class InventoryReader:
-    """One in every core.
+    """Polls the server list in every core and compares each complete list with the control state.
 
-    Each reading is compared with the ordered state. The leader proposes a difference at once, the others leave it to
-    the leader for one reading. Edges also learn directly of servers that leave, ahead of the ordered state.
+    The leader proposes a difference at once; followers propose it only if the next poll shows it too. Edges also get
+    direct messages about leaving servers, before the change is committed.
 
     Parameters
     ----------
-    state : the ordered control state
-    platform : the address of the platform, or "" where there is none to ask
+    state : the replicated control state
+    platform : the address of the platform, or "" if no list is polled
     port : the format of the platform's list
-    readers : "all", or "leader" where calls to the platform are expensive
+    readers : which cores poll: "all", or "leader" if calls to the platform are expensive
     """
 
     __slots__ = (
@@ -99,12 +99,12 @@
         "pages",
     )
 
-    INTERVAL = timedelta(seconds=0.5)  # so that a server's leaving is known well within three seconds
-    CALL_TIMEOUT = INTERVAL * 4  # readings overlap: a slow answer is better than none
-    SHRUNKEN_FOR = timedelta(seconds=10)  # a list that lacks more than half is believed after this time
-    LEADERLESS_AFTER = timedelta(seconds=1.5)  # then any core reads, also where only the leader should
-    MAX_PAGES = 40  # of one reading; a list without end is cut there
-    MAX_READINGS = 8  # whose pages are kept; later pages of an older reading begin a list anew
+    INTERVAL = timedelta(seconds=0.5)  # a leaving server must be noticed well within three seconds
+    CALL_TIMEOUT = INTERVAL * 4  # polls may overlap: a slow response is better than none
+    SHRUNKEN_FOR = timedelta(seconds=10)  # a list that lacks more than half of the servers is accepted after this time
+    LEADERLESS_AFTER = timedelta(seconds=1.5)  # without a leader for this long all cores poll
+    MAX_PAGES = 40  # per poll; a list that never ends is cut off there
+    MAX_READINGS = 8  # polls whose pages are kept; a later page of an older poll starts a new list
 
     def __init__(self, state: Any, platform: str | None, now: timedelta, port: Any = None, readers: str = "all"):
         self.state = state
@@ -123,16 +123,16 @@
         self.pages: dict[int, list[list[Any]]] = {}
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Handle one event."""
+        """Handles a tick, or the response or failure of a poll."""
         match event:
             case InventoryTick(is_fresh=is_fresh, is_leading=is_leading):
                 return self._handle_tick(is_fresh, is_leading, now)
             case ResponseReceived(call_id=call_id, status=200, body=body):
                 return self._handle_page(call_id, self.port.read(body), now)
             case ResponseReceived(status=status):
-                return self._handle_failure(f"done {status}")
+                return self._handle_failure(f"HTTP status {status}")
             case CallFailed(failure=failure):
-                return self._handle_failure(f"fault {failure}")
+                return self._handle_failure(f"call failed: {failure}")
         return []
 
     def _handle_tick(self, is_fresh: bool, is_leading: bool, now: timedelta) -> list[Effect]:
@@ -160,7 +160,7 @@
         if self.failures not in LOGGED_FAILURES:
             return []
         details = {"reason": reason, "fails": self.failures}
-        return [Log("warning", COMPONENT, "The platform's list cannot be had.", details)]
+        return [Log("warning", COMPONENT, "Cannot read the platform's server list.", details)]
 
     def _handle_page(self, call_id: InventoryCallId, page: InventoryPage, now: timedelta) -> list[Effect]:
         if page.items is None:
@@ -174,12 +174,12 @@
         return self._handle_list(items, call_id.based_on, now)
 
     def _handle_list(self, items: list[Any], based_on: int, now: timedelta) -> list[Effect]:
-        """Compare a complete list with the ordered state."""
+        """Compares a complete list with the control state; notifies edges and proposes the difference."""
         inventory = self._read_inventory(items)
         effects = self._log_invalid(inventory.invalid)
         servers, kept = self._believe(inventory.servers, now)
         if kept and self.shrunken_since == now:
-            text = "The platform's list lacks more than half, not believed yet."
+            text = "The platform's server list lacks more than half of the known servers; keeping them for now."
             effects.append(Log("warning", COMPONENT, text, {"kept": sorted(kept)}))
         leaving = self._newly_leaving(servers)
         if leaving:
@@ -192,10 +192,10 @@
         if invalid == self.invalid:
             return []
         self.invalid = invalid
-        return [Log("warning", COMPONENT, "The platform's list has odd entries.", {"entries": invalid})]
+        return [Log("warning", COMPONENT, "The platform's server list has invalid entries.", {"entries": invalid})]
 
     def _newly_leaving(self, servers: dict[str, Server]) -> tuple[str, ...]:
-        """Servers that leave and are not yet ordered so."""
+        """Returns the leaving servers that the control state does not mark as leaving yet."""
         known = self.state.servers
         return tuple(
             name
@@ -204,7 +204,7 @@
         )
 
     def _propose(self, servers: dict[str, Server], based_on: int) -> list[Effect]:
-        """Propose what has changed, unless it was compared with an older state; followers only what they see twice."""
+        """Proposes changed servers, unless the state has changed too; followers need two identical lists."""
         was_seen = self.last_read == servers
         self.last_read = servers
         if servers == self.state.servers or based_on != self.state.listed_at or not self.is_fresh:
@@ -214,7 +214,7 @@
         return [ProposeChange(UpdateServers(based_on, servers))]
 
     def _read_inventory(self, items: list[Any]) -> Inventory:
-        """An entry that can't be read changes nothing, except that it may say that its server leaves."""
+        """Parses the entries of a list; an invalid entry has no effect but may still mark its server as leaving."""
         servers: dict[str, Server] = {}
         cold_ms: dict[str, float] = {}
         invalid: list[str] = []
@@ -234,7 +234,7 @@
         return Inventory(servers, cold_ms, tuple(invalid))
 
     def _apply_leaving(self, items: list[Any], servers: dict[str, Server]) -> None:
-        """Take over `leaving` from every entry whose name is known, also from those that can't be read otherwise."""
+        """Sets `leaving` from every entry with a known name, even if the entry is otherwise invalid."""
         for item in items:
             name = item.get("name") if isinstance(item, dict) else None
             if not isinstance(name, str):
@@ -245,7 +245,7 @@
                 servers[name] = {**known, "leaving": is_leaving or item.get("leaving") is True}
 
     def _believe(self, listed: dict[str, Server], now: timedelta) -> Believed:
-        """A list that lacks more than half of a kind at once is believed only after a while."""
+        """Keeps missing servers while a list lacks more than half of a kind or service, for up to `SHRUNKEN_FOR`."""
         kept: dict[str, Server] = {}
         for group in {_group_of(server) for server in self.state.servers.values()}:
             known = {
--- a/sumachook/placement/list_port.py
+++ b/sumachook/placement/list_port.py
@@ -1,4 +1,4 @@
-"""How the platform's list of servers is read; another platform is another such class."""
+"""Requests and parses the platform's server list; a platform with another format needs a class like `ListPort`."""
 
 from typing import Any, NamedTuple
 
@@ -6,9 +6,9 @@
 
 
 class InventoryPage(NamedTuple):
-    """One page of the list; `items` is None where the answer can't be read, with the reason.
+    """One page of the server list; `items` is None if the response is malformed, and `reason` says why.
 
-    `next_page` is the token of the page that follows, or None on the last one.
+    `next_page` is the token of the next page, or None on the last page.
     """
 
     items: list[Any] | None
@@ -17,16 +17,16 @@
 
 
 class ListPort:
-    """The product's own: GET /servers, {"servers": [...], "next": page or null}."""
+    """The default list format: `GET /servers` returns {"servers": [...], "next": page token or null}."""
 
     __slots__ = ()
 
     def path(self, page: Any) -> str:
-        """The path and query of a page; None is the first."""
+        """Returns the path and query for a page token; None requests the first page."""
         return f"/servers?page={page}" if page else "/servers"
 
     def read(self, body: bytes) -> InventoryPage:
-        """The page that an answer holds.
+        """Parses the body of a response; a malformed one gives a page without items.
 
         >>> ListPort().read(b'{"servers":[]}').items, ListPort().read(b'[]').reason
         ([], 'servers: a list is needed')
--- a/sumachook/placement/load_scheduler.py
+++ b/sumachook/placement/load_scheduler.py
@@ -1,4 +1,4 @@
-"""Turns the choice of a server into an order: what the schedulers of requests and of replicas share."""
+"""Turns a chosen candidate into an order; shared by the request scheduler and the replica scheduler."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -15,13 +15,13 @@
 
 @dataclass(slots=True)
 class ReplicaTargets:
-    """What the last look at demand said, by service.
+    """Replica targets of each service, from the last evaluation of demand.
 
     Attributes
     ----------
-    desired : {model: replicas that it should have}
-    overloaded : models that need one more replica at once, the most pressing first
-    predicted : models that are likely to be asked for next
+    desired : {service: {model: target number of replicas}}
+    overloaded : {service: models that need another replica at once, in descending order of request rate}
+    predicted : {service: models that are likely to be requested next}
     """
 
     desired: dict[str, dict[str, int]] = field(default_factory=dict)
@@ -30,7 +30,7 @@
 
 
 class LoadScheduler:
-    """Chooses a server and starts its first order: an unload where room is needed, else the load."""
+    """Chooses a server and sends it one order: an unload if memory or a slot must be freed first, else the load."""
 
     __slots__ = ("registry", "executor", "demand", "targets")
 
@@ -41,7 +41,7 @@
         self.targets = targets
 
     def scorings(self, pending: Iterable[tuple[str, str]], now: timedelta) -> dict[str, CandidateScoring]:
-        """The scoring of each service; `pending` is (service, name) of what requests wait for."""
+        """Returns {service: scoring}; `pending` is (service, name) of each model or adapter that requests wait for."""
         wanted: dict[str, set[str]] = {}
         for service, name in pending:
             wanted.setdefault(service, set()).update((name, model_of(name)))
@@ -72,7 +72,7 @@
         is_spare: bool = False,
         max_cost: float = float("inf"),
     ) -> list[Effect]:
-        """Begin one more replica of a model where that is best, or nothing for now."""
+        """Starts another replica of a model on the cheapest server; returns no effects if no server is suitable now."""
         candidate = scoring.best_server(model, self.executor.store.tokens >= 1.0, is_spare, max_cost)
         if candidate is None:
             return []
@@ -85,7 +85,7 @@
         return [self.executor.start(server, Verb.LOAD, model, "", now)]
 
     def load_adapter(self, scoring: CandidateScoring, model: str, adapter: str, now: timedelta) -> list[Effect]:
-        """Begin one more replica of an adapter where its model is ready, or nothing for now."""
+        """Starts another replica of an adapter on a server that has its base model ready, or returns no effects."""
         candidate = scoring.best_server_for_adapter(model, adapter)
         if candidate is None:
             return []
--- a/sumachook/placement/load_times.py
+++ b/sumachook/placement/load_times.py
@@ -1,4 +1,4 @@
-"""How long orders take, learnt from those that were carried out."""
+"""Estimates the duration of orders from those that have completed."""
 
 from collections.abc import Hashable
 from datetime import timedelta
@@ -8,7 +8,7 @@
 
 
 class OrderKind(NamedTuple):
-    """Orders that are expected to take equally long; `load_ms` is the configured duration of the load of a model."""
+    """Groups orders of equal expected duration; `load_ms` is the configured load time of a model, else 0."""
 
     service: str
     verb: str
@@ -18,12 +18,14 @@
 
 
 class LoadTimeEstimates:
-    """When to poll an order first: about the median duration of its kind, which one long order moves little.
+    """Estimates the median duration of each kind of order, which sets the time of the first poll.
+
+    A single slow order moves the estimate by one small step only.
 
     >>> load_times = LoadTimeEstimates()
     >>> load_times.estimate("load", MS * 600) / MS
     600.0
-    >>> load_times.record("load", MS * 4000, 9)  # the first poll came too early
+    >>> load_times.record("load", MS * 4000, 9)  # nine polls: the estimate was too short
     >>> load_times.estimate("load", MS * 600) / MS
     630.0
     >>> load_times.record("load", MS * 630, 1)
@@ -33,23 +35,23 @@
 
     __slots__ = ("estimates", "steps")
 
-    FIRST_STEP = MS * 30  # a first guess may be wrong by this order of magnitude
-    MIN_STEP = MS * 2  # the steps halve down to this, so that the estimate follows a duration that changes
+    FIRST_STEP = MS * 30  # the expected size of the error of an initial estimate
+    MIN_STEP = MS * 2  # each step is half of the last one, down to this, so the estimate keeps following changes
 
     def __init__(self) -> None:
         self.estimates: dict[Hashable, timedelta] = {}
         self.steps: dict[Hashable, timedelta] = {}
 
     def estimate(self, kind: Hashable, first: timedelta) -> timedelta:
-        """The estimate of this kind, which begins with `first`."""
+        """Returns the estimate for a kind of order; the first call stores `first` as the initial estimate."""
         return self.estimates.setdefault(kind, first)
 
     def learnt(self, kind: Hashable, default: timedelta) -> timedelta:
-        """The estimate of this kind if there is one; the default is not kept."""
+        """Returns the estimate for a kind of order, or `default` without storing it."""
         return self.estimates.get(kind, default)
 
     def record(self, kind: Hashable, duration: timedelta, polls: int) -> None:
-        """Move the estimate by one step: up if an order needed more than one poll, down otherwise."""
+        """Moves the estimate by one step: up if the completed order needed more than one poll, else down."""
         estimate = self.estimates.get(kind, duration)
         step = self.steps.get(kind, self.FIRST_STEP)
         self.steps[kind] = max(self.MIN_STEP, step / 2)
--- a/sumachook/placement/messages.py
+++ b/sumachook/placement/messages.py
@@ -1,40 +1,40 @@
-"""The messages of placement between nodes."""
+"""Messages about replica placement between edges and cores."""
 
 from typing import Any
 
 from sumachook.transport.node_message import NodeMessage
 
-# {service: {"model" or "model/adapter": (requests waiting, soonest deadline in ms)}}
+# {service: {"model" or "model/adapter": (number of waiting requests, ms until the earliest deadline)}}
 RequestsByService = dict[str, dict[str, tuple[int, float]]]
-# {service: {name: (requests begun since the last report, running now, {server: running now})}}
+# {service: {name: (requests started since the last report, running now, {server: running now})}}
 UsageByService = dict[str, dict[str, tuple[Any, ...]]]
-# {server: {model: adapters}, or None for a server that holds nothing usable}
+# {server: {model: adapters}, or None for a server that must not get requests}
 PlacementsByServer = dict[str, dict[str, tuple[str, ...]] | None]
 
 
 class DemandReport(NodeMessage, frozen=True, tag="demand"):
-    """How often an edge was asked for each model or adapter since its last report."""
+    """Reports how many requests for each model or adapter an edge received since its last report."""
 
     counts: dict[str, float]
 
 
 class PlacementRequest(NodeMessage, frozen=True, tag="want"):
-    """What waits at an edge because no server is known to hold it."""
+    """Lists the models and adapters that requests at an edge wait for, because no known server holds them."""
 
     requests: RequestsByService
 
 
 class ModelUsage(NodeMessage, frozen=True, tag="usage"):
-    """What was begun at an edge since its last report, and what runs."""
+    """Reports the requests that an edge started since its last report, and those running now."""
 
     usage: UsageByService
 
 
 class PlacementUpdate(NodeMessage, frozen=True, tag="places"):
-    """Which servers hold which models: everything (a snapshot), or what changed since the update before (a delta).
+    """Tells an edge which servers hold which models, as a full snapshot or as a delta to the previous update.
 
-    Updates are numbered within one run (`incarnation`) of the process that holds the lease with this fence. A delta
-    without changes repeats the number of the last one, as a heartbeat.
+    Updates are numbered per fencing token and per run (`incarnation`) of the lease holder's process. A delta without
+    changes is a heartbeat and repeats the number of the last update.
     """
 
     fence: int
@@ -45,18 +45,18 @@
 
 
 class PlacementSnapshotRequest(NodeMessage, frozen=True, tag="places_ask"):
-    """An edge asks for a snapshot; `number` is that of its last update, or -1 if it knows nothing at all."""
+    """Requests a placement snapshot; `number` is that of the edge's last update, or -1 if it has no placements yet."""
 
     number: int
 
 
 class ServersLeaving(NodeMessage, frozen=True, tag="leaving"):
-    """The names of servers that will be taken away soon, ahead of the ordered state."""
+    """Notifies edges of servers that will be removed soon, before the change is committed to the control state."""
 
     servers: tuple[str, ...]
 
 
 class ServersWarmingUp(NodeMessage, frozen=True, tag="cold"):
-    """How long each server that was just started stays slow, in milliseconds."""
+    """Tells edges how long each recently started server is still warming up, in milliseconds."""
 
     servers: dict[str, float]
--- a/sumachook/placement/model_names.py
+++ b/sumachook/placement/model_names.py
@@ -1,8 +1,8 @@
-"""Names of what a server may hold: "model", or "model/adapter"."""
+"""Builds and splits the names of models ("model") and adapters ("model/adapter")."""
 
 
 def full_name(model: str, adapter: str = "") -> str:
-    """The name of a model, or of an adapter of it.
+    """Returns the name of a model, or of one of its adapters.
 
     >>> full_name("m"), full_name("m", "a1")
     ('m', 'm/a1')
@@ -11,7 +11,7 @@
 
 
 def split_name(name: str) -> tuple[str, str]:
-    """The model and the adapter ("" for the model itself) that a name stands for.
+    """Splits a name into the model and the adapter, which is "" for the model itself.
 
     >>> split_name("m"), split_name("m/a1")
     (('m', ''), ('m', 'a1'))
@@ -21,5 +21,5 @@
 
 
 def model_of(name: str) -> str:
-    """The model that a name stands for, or whose adapter it names."""
+    """Returns the model that a name denotes, or the base model of the adapter that it denotes."""
     return name.partition("/")[0]
--- a/sumachook/placement/order_executor.py
+++ b/sumachook/placement/order_executor.py
@@ -1,4 +1,4 @@
-"""The orders in flight at engine servers: sent, polled until they are complete, and given up."""
+"""Sends orders to engine servers, polls them until they complete, and abandons those whose outcome is unknown."""
 
 from datetime import timedelta
 from typing import Any
@@ -14,22 +14,22 @@
 from sumachook.placement.server_registry import ServerRegistry
 from sumachook.placement.store_tokens import StoreTokenBucket
 
-UNREADABLE_REPORT = "no report"  # the reason that is logged for an answer which is no report
-UNCONFIGURED_LOAD = MS * 600  # first guess at the load of a model that the engine does not list
+UNREADABLE_REPORT = "malformed report"  # the logged reason for a response that is not a valid report
+UNCONFIGURED_LOAD = MS * 600  # initial estimate for the load of a model that the engine does not list
 COMPONENT = "placement"
 
 
 class OrderExecutor:
-    """Carries orders through under one lease, whatever is lost.
+    """Carries out orders under one lease, despite lost requests and responses.
 
-    Each server has at most one order in flight, and each order names the server's count of orders for which it was
-    decided; so neither a repeated nor a delayed one does harm. Where the believed contents of a server are in doubt, it
-    must report before its next order.
+    Each server has at most one order in flight, and each order carries the server's count of accepted orders that it
+    was based on, so repeated and delayed orders are harmless. If the assumed contents of a server may be wrong, the
+    server must report before its next order.
 
     Attributes
     ----------
-    store : the loads from the store of weights that may begin now
-    is_superseded : a server was ordered under a higher fence, so another core holds the lease
+    store : the token bucket that limits loads from the weight store
+    is_superseded : whether a server has seen a higher fencing token, so another core holds the lease
     """
 
     __slots__ = ("calls", "registry", "publisher", "load_times", "store", "is_superseded")
@@ -45,7 +45,7 @@
     # sending -------------------------------------------------------------------------
 
     def start(self, server: EngineServer, verb: Verb, model: str, adapter: str, now: timedelta) -> Fetch:
-        """Order an idle server to load or unload a model, or an adapter of it."""
+        """Sends an order to an idle server: to load or unload a model, or one of its adapters."""
         is_from_store = verb == Verb.LOAD and not adapter and model not in server.on_disk
         if is_from_store:
             self.store.spend()
@@ -56,11 +56,11 @@
         return self.calls.send_order(server, order)
 
     def request_report(self, server: EngineServer, now: timedelta) -> Fetch:
-        """Ask a server what it holds."""
+        """Requests a report of the models that a server holds."""
         return self.calls.request_report(server, now)
 
     def call_due(self, now: timedelta) -> list[Effect]:
-        """Ask for reports that are due, and poll the orders that should be complete by now."""
+        """Requests the reports that are due, and polls the orders that should be complete by now."""
         effects: list[Effect] = []
         for server in self.registry.servers.values():
             if server.pending_call or server.is_replaced:
@@ -73,7 +73,7 @@
         return effects
 
     def next_call_at(self) -> timedelta | None:
-        """When `call_due` has something to do next, or None."""
+        """Returns when the next report request or poll is due, or None."""
         due = []
         for server in self.registry.servers.values():
             if server.pending_call:
@@ -87,11 +87,11 @@
     # answers -------------------------------------------------------------------------
 
     def on_failure(self, server: EngineServer, failure: CallFailure, now: timedelta) -> list[Effect]:
-        """A call ended without an answer."""
+        """Handles a call that failed without a response."""
         return self._on_no_answer(server, failure, CallFailure(failure).was_before_first_byte, now)
 
     def _on_no_answer(self, server: EngineServer, reason: str, is_unsent: bool, now: timedelta) -> list[Effect]:
-        """`is_unsent`: the server surely did not get the call (the rule is in `calls/run_status.py`)."""
+        """Handles a missing response; `is_unsent` if no byte reached the server (see `calls/run_status.py`)."""
         server.failures += 1
         order = server.order
         if order is not None and not order.is_accepted:
@@ -106,15 +106,15 @@
         if server.is_unreachable or is_reachable:
             return []
         server.is_unreachable = True
-        return [Log("warning", COMPONENT, "An engine server is dark.", {"server": server.name, "reason": reason})]
+        return [Log("warning", COMPONENT, "Engine server is unreachable.", {"server": server.name, "reason": reason})]
 
     def _give_back_unsent(self, order: Order, is_unsent: bool) -> None:
-        """A load that surely did not begin does not count against the store; one that may have begun does."""
+        """Refunds the store token of a load that cannot have begun; a load that may have begun stays counted."""
         if order.is_from_store and order.attempts == 1 and is_unsent:
             self.store.give_back()
 
     def on_report(self, server: EngineServer, report: ServerReport | None, now: timedelta) -> list[Effect]:
-        """An answer to a request for a report; None if it can't be read."""
+        """Handles the response to a report request; `report` is None if the response is malformed."""
         if report is None:
             return self._on_no_answer(server, UNREADABLE_REPORT, False, now)
         self._note_answer(server)
@@ -130,7 +130,7 @@
 
     @staticmethod
     def _is_outdated(server: EngineServer, report: ServerReport, now: timedelta) -> bool:
-        """Whether the report may be older than what is known."""
+        """Returns whether a report may predate the last completed order."""
         return (
             server.is_known
             and server.sequence is not None
@@ -139,7 +139,7 @@
         )
 
     def on_answer(self, server: EngineServer, answer: OrderAnswer, now: timedelta) -> list[Effect]:
-        """An answer to the order in flight."""
+        """Handles a server's answer to its order in flight."""
         self._note_answer(server)
         order = server.order
         if order is None:
@@ -163,7 +163,7 @@
         return order.is_accepted and now - order.accepted_at < allowance
 
     def _on_accepted(self, server: EngineServer, order: Order, now: timedelta) -> list[Effect]:
-        if order.is_accepted:  # the same order while it is carried out is not counted again
+        if order.is_accepted:  # the same order is counted by the server only once, however often it is polled
             self._poll_later(server, order, now)
             return []
         if server.sequence is not None:
@@ -173,7 +173,7 @@
         order.due_at = now + self._expected_duration(server, order)
         server.poll_at = order.due_at
         details = {**_details(server, order), "fence": self.calls.fence}
-        return [Log("info", COMPONENT, "An order was taken.", details)]
+        return [Log("info", COMPONENT, "Order accepted.", details)]
 
     @staticmethod
     def _poll_later(server: EngineServer, order: Order, now: timedelta) -> None:
@@ -187,7 +187,7 @@
 
     def _on_complete(self, server: EngineServer, order: Order, now: timedelta) -> list[Effect]:
         self.publisher.mark_changed(server.name)
-        if not order.is_accepted and order.verb == Verb.LOAD:  # it held what was not believed: what else is wrong?
+        if not order.is_accepted and order.verb == Verb.LOAD:  # it held the model already: ask for a report
             if order.is_from_store:
                 self.store.give_back()
             server.invalidate(now)
@@ -197,7 +197,7 @@
         server.complete_order(order, now)
         duration_ms = round((now - order.accepted_at) / MS)
         details = {**_details(server, order), "ms": duration_ms, "asks": order.attempts}
-        return [Log("debug", COMPONENT, "An order is done.", details)]
+        return [Log("debug", COMPONENT, "Order complete.", details)]
 
     def _on_refused(self, server: EngineServer, order: Order, answer: OrderAnswer, now: timedelta) -> list[Effect]:
         if order.is_from_store and not order.is_accepted:
@@ -205,18 +205,18 @@
         if answer == OrderAnswer.FENCED:
             self.is_superseded = True
             details = {"server": server.name, "fence": self.calls.fence}
-            return [Log("warning", COMPONENT, "A server knows a higher fence; no more orders.", details)]
+            return [Log("warning", COMPONENT, "Orders stopped: a server saw a higher fencing token.", details)]
         is_busy = answer == OrderAnswer.BUSY
         server.invalidate(now + (CALLS.report_retry_busy if is_busy else CALLS.report_retry_unreachable))
         self.publisher.mark_changed(server.name)
         server.is_replaced = answer == OrderAnswer.OTHER_SERVER
         details = {**_details(server, order), "answer": answer.value}
-        return [Log("warning", COMPONENT, "An order was not taken.", details)]
+        return [Log("warning", COMPONENT, "Order was not accepted.", details)]
 
     # durations -----------------------------------------------------------------------
 
     def _expected_duration(self, server: EngineServer, order: Order) -> timedelta:
-        """How long this order takes: as those of its kind did, or a first guess."""
+        """Returns the estimated duration of an order, from earlier orders of its kind or from the configuration."""
         kind = self._kind_of(server, order)
         if order.verb == Verb.UNLOAD or order.adapter:
             return self.load_times.estimate(kind, CALLS.first_unload_estimate)
--- a/sumachook/placement/orders.py
+++ b/sumachook/placement/orders.py
@@ -1,4 +1,4 @@
-"""What the placer orders next, from what is planned and what servers hold: a pure function."""
+"""Computes the placer's next orders from the plan and the contents of the servers, without side effects."""
 
 from collections.abc import Collection, Iterable, Mapping
 from math import fsum
@@ -13,11 +13,11 @@
 ADAPTER = "adapter"
 READY = "ready"
 
-ItemAtServer = tuple[str, str]  # server, and the model or adapter
+ItemAtServer = tuple[str, str]  # (server, model or adapter)
 
 
 class ServerOrder(NamedTuple):
-    """An order to a model server; `gigabytes` is what a load takes from the store's budget."""
+    """An order to a model server; a load uses up `gigabytes` of the weight store's budget."""
 
     server: str
     verb: str
@@ -27,7 +27,7 @@
 
 
 class PlannedOrders(NamedTuple):
-    """Orders, and the gigabytes of the loads among them."""
+    """Orders to send, and the total size of the loads among them in gigabytes."""
 
     orders: list[ServerOrder]
     gigabytes: float
@@ -43,15 +43,15 @@
     budget: float,
     not_now: Collection[ItemAtServer] = frozenset(),
 ) -> PlannedOrders:
-    """The orders that bring what servers hold nearer to the plan.
+    """Returns the orders that bring the contents of the servers closer to the plan.
 
     Parameters
     ----------
     pairs : {model: its servers}, the plan
-    actual : {server: {item: status}} as last read from the servers themselves
-    in_flight : {(server, item): verb} as ordered since; memory is counted with both
-    budget : gigabytes that may be loaded from the store now
-    not_now : items at servers that were refused a short while ago
+    actual : {server: {item: status}} as last polled from the servers
+    in_flight : {(server, item): verb} of orders sent since; memory is counted for both loads and unloads
+    budget : gigabytes that may be loaded from the weight store now
+    not_now : (server, item) whose last order was refused and whose backoff has not expired
     """
     planner = _OrderPlanner(catalogue, servers, pairs, demand, actual, in_flight, budget, not_now)
     planner.unload_unknown()
@@ -61,7 +61,7 @@
 
 
 class _OrderPlanner:
-    """The orders so far, and what each server will hold with them (`held`)."""
+    """Collects orders; `held` is what each server will hold once they and those in flight are complete."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
         self.replicas = self._ready_replicas()
         self.orders: list[ServerOrder] = []
         self.gigabytes = 0.0
-        self.waiting_demand: dict[str, float] = {}  # by server: of the most wanted model for which there is no room yet
+        self.waiting_demand: dict[str, float] = {}  # {server: demand of the busiest planned model that lacks memory}
 
     def _held_with_orders(self) -> dict[str, set[str]]:
         held = {
@@ -118,7 +118,7 @@
         return self.in_flight.get((server, item)) == UNLOAD
 
     def _unloading(self, server: str) -> set[str]:
-        """What a server still holds and was ordered to unload."""
+        """Returns the items that a server still holds but was ordered to unload."""
         return {item for item in self.actual[server] if self._is_unloading(server, item)}
 
     def _is_ready(self, server: str, item: str) -> bool:
@@ -149,7 +149,7 @@
     # the steps -----------------------------------------------------------------------
 
     def unload_unknown(self) -> None:
-        """What is in no catalogue is unloaded, and nothing is loaded beside it: nobody here knows its size."""
+        """Unloads items that the catalogue lacks, and excludes their servers from loads: the items' size is unknown."""
         for server, items in self.actual.items():
             unknown = [item for item in items if item not in self.sizes and item not in self.adapters]
             if not unknown:
@@ -162,12 +162,12 @@
             del self.held[server]
 
     def load_models(self) -> None:
-        """Load what is planned and missing: primaries first, then by demand."""
+        """Orders the loads of planned models that are missing: primary replicas first, then by demand."""
         for server, model in self._missing_models():
             size = self.sizes[model]
             if self._free_memory(server) >= size:
                 if size > self.budget - self.gigabytes:
-                    break  # the store's budget: the first in turn waits, nothing overtakes it
+                    break  # the first load waits for the store's budget; smaller ones must not overtake it
                 self._load(server, MODEL, model, size)
             else:
                 self.waiting_demand[server] = max(self._demand_of(model), self.waiting_demand.get(server, 0.0))
@@ -183,7 +183,7 @@
         return [(server, model) for _, _, model, server in sorted(missing)]
 
     def _make_room(self, server: str, model: str) -> None:
-        """Unload one model that gives way, else one adapter, unless a server is unloading something already."""
+        """Evicts one model for a planned one, or else one adapter, unless the server is unloading something already."""
         if any(verb == UNLOAD and other == server for (other, _), verb in self.in_flight.items()):
             return
         scores = self._eviction_scores(server, model)
@@ -195,7 +195,7 @@
         self.replicas[evicted] = self.replicas.get(evicted, 1) - 1
 
     def _unload_adapter_asked_for_less(self, server: str, model: str) -> None:
-        """Where every model on a server is planned there, adapters may hold the room that the plan counts on."""
+        """Evicts an adapter with less demand than `model`: adapters may occupy memory that the plan counts on."""
         demand = self._demand_of(model)
         adapters = [
             item
@@ -206,7 +206,7 @@
             self._unload(server, ADAPTER, min(adapters, key=lambda item: (self._demand_of(item), item)), 0.0)
 
     def _eviction_scores(self, server: str, model: str) -> dict[str, float]:
-        """{model: score} of what may give way: served elsewhere or not asked for, else asked for less."""
+        """Returns {model: score} of models to evict: with other replicas or no demand, or else with less demand."""
         unplanned = [
             item
             for item in self.held[server]
@@ -231,7 +231,7 @@
         )
 
     def load_adapters(self) -> None:
-        """Load the adapters that belong where their models are ready; others give way."""
+        """Orders the loads of planned adapters whose base model is ready, and evicts unplanned ones for them."""
         for server, names in self.wanted_adapters.items():
             if server not in self.held:
                 continue
@@ -251,7 +251,7 @@
         )
 
     def _load_adapter(self, server: str, name: str, wanted: Iterable[str], present: list[str]) -> None:
-        """Load an adapter if there is room, else unload one that is not wanted; `present` is kept up to date."""
+        """Loads an adapter if a slot is free, else evicts one that is not planned; updates `present`."""
         unloading = [item for item in self._unloading(server) if item in self.adapters]
         if len(present) + len(unloading) < self.servers[server]["places"]:
             size = self.adapters[name].memory
--- a/sumachook/placement/placement_status.py
+++ b/sumachook/placement/placement_status.py
@@ -1,4 +1,4 @@
-"""What is loaded where, and why, as the operator sees it: reads the provisioner, changes nothing."""
+"""Describes for operators which models are loaded where, and why; only reads the provisioner."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -8,12 +8,15 @@
 from sumachook.placement.policy import MS
 from sumachook.placement.provisioner import Provisioner
 
-RARE_RATE = 0.05  # requests a second; below this, and with nothing running, nobody asks for a model
+RARE_RATE = 0.05  # requests per second; a model below this and with no running requests counts as unused
 
 
 def placement_status(provisioner: Provisioner, now: timedelta) -> dict[str, Any]:
-    """The document of `show places`: servers with what they hold and what is under way, models with their servers and
-    the reason, and what requests wait for."""
+    """Returns the answer to `show places`.
+
+    It lists the servers with their models and orders in flight, the models with their servers and the reason for the
+    number of replicas, and the models and adapters that requests wait for.
+    """
     servers = provisioner.registry.servers.values()
     return {
         "fence": provisioner.fence,
@@ -53,7 +56,7 @@
         return "leaving or in an evacuated area"
     if server.is_unreachable:
         return "does not answer"
-    return "open" if server.is_known else "being read"
+    return "open" if server.is_known else "waiting for its report"
 
 
 def _order_status(order: Order | None) -> str:
@@ -63,7 +66,7 @@
 
 
 def _servers_by_model(provisioner: Provisioner, servers: Iterable[EngineServer]) -> dict[tuple[str, str], list[str]]:
-    """The names of the servers that hold each model, also of models that should have a replica and have none."""
+    """Returns {(service, model): server names}, including models without a replica that should have one."""
     found: dict[tuple[str, str], list[str]] = {}
     for server in servers:
         for model in server.ready if server.is_open else ():
@@ -90,7 +93,7 @@
 
 
 def _reason(rate: float, running: int, desired: int, replicas: int) -> str:
-    """Why a model has the replicas that it has.
+    """Explains the number of replicas of a model to an operator.
 
     >>> _reason(9.0, 40, 2, 1), _reason(0.0, 0, 0, 1)
     ('9.0 a second, 40 running; should have 2 places, has 1', 'nobody asks for it; it stays until its room is needed')
@@ -100,4 +103,4 @@
     asked = f"{rate:.1f} a second, {running} running"
     if desired > replicas:
         return f"{asked}; should have {desired} places, has {replicas}"
-    return f"{asked}; it keeps {replicas}" if desired else f"{asked}; too rarely to keep a place for"
+    return f"{asked}; it keeps {replicas}" if desired else f"{asked}; too few requests to keep a replica"
--- a/sumachook/placement/placer.py
+++ b/sumachook/placement/placer.py
@@ -1,4 +1,4 @@
-"""The placer: brings model servers nearer to the plan, while this core holds the placement lease."""
+"""The placer: plans replicas and orders loads on model servers while this core holds the placement lease."""
 
 from datetime import timedelta
 from typing import Any, NamedTuple
@@ -19,13 +19,13 @@
 from sumachook.placement.plan import Pair, plan_pairs
 from sumachook.requests.model_server_api import ModelServerApi
 
-POLL_TIMEOUT = timedelta(seconds=1.5)  # beyond the next poll: a slow answer still counts
-DEMAND_HALF_LIFE = timedelta(seconds=60)  # a plan should not follow every burst
+POLL_TIMEOUT = timedelta(seconds=1.5)  # longer than the poll interval: a slow response still counts
+DEMAND_HALF_LIFE = timedelta(seconds=60)  # long enough that the plan does not follow short bursts
 FORGOTTEN_DEMAND = 0.05  # decayed counts below this are dropped
 MODELS = "models"
 ADAPTERS = "adapters"
 ORDER = "order"
-WARM = "warm"  # the status of what has been ready for a short time only
+WARM = "warm"  # status of an item that became ready less than `WARM_FOR` ago
 COMPONENT = "placement"
 
 Items = dict[str, str]  # {model or adapter: status} of one server
@@ -33,32 +33,32 @@
 
 
 class SentOrder(NamedTuple):
-    """An order whose result no read has shown yet, and how many reads there were."""
+    """An order whose effect no poll has shown yet, and the number of polls since it was sent."""
 
     verb: str
     reads: int
 
 
 class UnconfirmedLoad(NamedTuple):
-    """A load that may have begun though its call failed: its gigabytes stay taken from the store's budget."""
+    """A load that may have begun although its call failed: its size stays counted against the store's burst."""
 
     gigabytes: float
     failed_at: timedelta
 
 
 class Backoff(NamedTuple):
-    """An order that was refused is not sent again before `until`; `pause` doubles each time."""
+    """Delays the retry of a refused order to `until`; `pause` doubles with each refusal."""
 
     until: timedelta
     pause: timedelta
 
 
 class Placer:
-    """Reads what model servers hold, proposes the plan and what is held, and orders loads within the store's budget.
+    """Polls the model servers, proposes their contents and the plan, and orders loads within the store's budget.
 
     Parameters
     ----------
-    state : the ordered control state
+    state : the replicated control state
     now : the time on this core's monotonic clock
     """
 
@@ -89,13 +89,13 @@
     )
 
     POLL_INTERVAL = timedelta(seconds=0.8)
-    PLAN_INTERVAL = timedelta(seconds=4)  # also without a change, so that the plan follows demand
-    WARM_FOR = timedelta(seconds=6)  # edges send little to what has been ready for a shorter time
-    RESEND_INTERVAL = timedelta(seconds=1)  # of a proposal that may have been lost
-    UNCONFIRMED_FOR = timedelta(seconds=30)  # no load takes longer
-    MAX_READS = 5  # after which an order that no read shows counts as lost
+    PLAN_INTERVAL = timedelta(seconds=4)  # replans at this interval even without changes, to follow demand
+    WARM_FOR = timedelta(seconds=6)  # edges limit requests to items that became ready more recently than this
+    RESEND_INTERVAL = timedelta(seconds=1)  # for proposals, which may be lost; refused orders back off from it
+    UNCONFIRMED_FOR = timedelta(seconds=30)  # longer than any load takes
+    MAX_READS = 5  # polls without the effect of an order, after which it counts as lost
     MAX_BACKOFF = timedelta(seconds=60)
-    UNREACHABLE_AFTER = 3  # failed reads in a row
+    UNREACHABLE_AFTER = 3  # consecutive failed polls
 
     def __init__(self, state: Any, now: timedelta):
         self.state = state
@@ -114,7 +114,7 @@
         self.needs_plan = True
 
     def _start_lease(self, now: timedelta) -> None:
-        """A new holder knows nothing until it has read it from the servers; the store's budget begins empty."""
+        """Resets what is known of the servers until they are polled, and starts with an empty budget for the store."""
         self.actual: dict[str, Items] = {}
         self.models: dict[str, Items] = {}
         self.failures: dict[str, int] = {}
@@ -132,7 +132,7 @@
         self.refused: dict[ItemAtServer, Backoff] = {}
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Handle one event."""
+        """Handles a tick, a state change, a demand report, or the result of a call."""
         match event:
             case LeaseTick(fence=fence):
                 return self._handle_tick(fence, now)
@@ -175,7 +175,7 @@
         return effects + self._propose_held(now) + self._propose_pairs(now) + self._send_orders(now)
 
     def _fill_budget(self, now: timedelta) -> None:
-        """Gigabytes that may be loaded from the store now; loads that may have begun stay taken from its burst."""
+        """Refills the budget of gigabytes to load from the store; loads that may be running reduce the burst."""
         store = self.state.catalogue.store
         self.unconfirmed = {
             name: load
@@ -234,12 +234,12 @@
         self.unreachable.add(name)
         self.actual.pop(name, None)
         self.needs_plan = True
-        return [Log("warning", COMPONENT, "A server is dark.", {"server": name})]
+        return [Log("warning", COMPONENT, "Model server is unreachable.", {"server": name})]
 
     def _learn_items(self, name: str, items: Items, now: timedelta) -> None:
-        """Take over what a server says; an order is forgotten once it shows, or after some reads without it.
+        """Records a server's contents, and drops orders whose effect they show or that `MAX_READS` polls did not show.
 
-        Reads are counted, not seconds: a server that froze has not had the time to show anything.
+        Polls are counted rather than seconds, because a frozen server has had no time to carry out anything.
         """
         before = self.actual.get(name)
         self.actual[name] = items
@@ -259,7 +259,7 @@
     # proposals -----------------------------------------------------------------------
 
     def _propose_held(self, now: timedelta) -> list[Effect]:
-        """Have it ordered what each server holds, where that has changed."""
+        """Proposes the contents of servers that differ from the control state."""
         if now - self.held_proposed_at < self.RESEND_INTERVAL / 4:
             return []
         changed: dict[str, Items | None] = {}
@@ -282,7 +282,7 @@
         return WARM if status == READY and now - ready_since < self.WARM_FOR else status
 
     def _propose_pairs(self, now: timedelta) -> list[Effect]:
-        """Have the plan ordered, where it has changed; there is none before all servers were read."""
+        """Proposes a changed plan; does not plan before every server was polled or found unreachable."""
         is_due = now >= self.next_plan_at or (
             self.needs_plan and now >= self.pairs_proposed_at + self.RESEND_INTERVAL / 2
         )
@@ -308,7 +308,7 @@
     # orders --------------------------------------------------------------------------
 
     def _send_orders(self, now: timedelta) -> list[Effect]:
-        """Order what is due: one unanswered order a server."""
+        """Sends the planned orders, with at most one unanswered order per server."""
         servers = {name: server for name, server in self._servers().items() if self._may_order(name, server)}
         if not servers or not self.state.pairs:
             return []
@@ -332,7 +332,7 @@
         return effects
 
     def _may_order(self, name: str, server: dict[str, Any]) -> bool:
-        """Only servers that were read, stay, are in an open zone and owe no answer."""
+        """Returns whether a server was polled, is not leaving, is in an open zone, and has no unanswered order."""
         return (
             name in self.actual
             and name not in self.unanswered
@@ -350,7 +350,7 @@
         details = {"server": order.server, "verb": order.verb, "item": order.item, "fence": self.fence}
         return [
             _fetch(call_id, server, call, ORDER_TIMEOUT),
-            Log("info", COMPONENT, "Order goes out.", details),
+            Log("info", COMPONENT, "Sending an order to a model server.", details),
         ]
 
     def _handle_order_answer(
@@ -371,7 +371,7 @@
         self.refused[(name, item)] = Backoff(now + pause, pause)
         reason = event.status if isinstance(event, ResponseReceived) else CallFailure(event.failure).value
         details = {"server": name, "verb": call_id.verb, "item": item, "answer": str([reason])}
-        return [Log("warning", COMPONENT, "An order was not taken.", details)]
+        return [Log("warning", COMPONENT, "Order was not accepted.", details)]
 
 
 def _fetch(call_id: PollId | OrderId, server: dict[str, Any], call: Any, timeout: timedelta) -> Fetch:
@@ -380,6 +380,6 @@
 
 
 def _outline(state: Any) -> tuple[Any, ...]:
-    """What a plan depends on of the ordered state."""
+    """Returns the parts of the control state that a plan depends on, to detect changes."""
     servers = sorted((name, item["area"], item["leaving"], item["memory"]) for name, item in state.servers.items())
     return state.generation, state.evacuated, tuple(servers)
--- a/sumachook/placement/places.py
+++ b/sumachook/placement/places.py
@@ -1,4 +1,4 @@
-"""An edge's view of which servers hold which models."""
+"""Tracks on an edge which servers hold which models, from the lease holder's placement updates."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class Epoch(NamedTuple):
-    """Within which updates are numbered: one run of a holder's process, under one fence of the lease."""
+    """The scope of update numbers: one fencing token of the lease and one run of the holder's process."""
 
     fence: int
     incarnation: int
 
 
 class Places:
-    """Follows the placement updates of the lease's holder; where one is missing it asks for a snapshot.
+    """Applies the placement updates of the lease holder, and requests a snapshot if it missed one.
 
     >>> places, holder = Places(), ("core-1", "127.0.0.1:1")
     >>> places.take(MessageReceived(*holder, PlacementUpdate(1, 9, 4, False, {})), None)
@@ -44,7 +44,7 @@
         self.index: dict[str, set[str]] = {}
 
     def take(self, event: MessageReceived, now: timedelta) -> list[Effect]:
-        """Apply a placement update; one of an older holder, or an older one of the same, counts for nothing."""
+        """Applies a placement update; ignores updates with an older fencing token or an older number."""
         update: PlacementUpdate = event.message
         epoch = Epoch(update.fence, update.incarnation)
         if update.fence < self.fence or (epoch == self.epoch and update.number < self.number):
@@ -60,7 +60,7 @@
             self.number = update.number
             return self._apply(update.servers)
         if epoch == self.epoch and update.number == self.number:
-            return []  # it came already
+            return []  # duplicate or heartbeat
         return [Send(event.address, PlacementSnapshotRequest(self.number if epoch == self.epoch else 0))]
 
     def _apply(self, servers: PlacementsByServer) -> list[Effect]:
@@ -70,7 +70,7 @@
         return [PlacementsAdded()] if has_added else []
 
     def _replace(self, name: str, models: dict[str, tuple[str, ...]] | None) -> bool:
-        """Replace what a server holds; whether there is anything among it that it did not hold before."""
+        """Replaces the contents of a server; returns whether they include a new model or adapter."""
         before = self.servers.pop(name, {})
         for model in before:
             self.index[model].discard(name)
@@ -83,17 +83,17 @@
         return any(model not in before or adapters - before[model] for model, adapters in held.items())
 
     def holders(self, model: str, adapter: str = "") -> tuple[str, ...]:
-        """The servers that hold a model, or an adapter of it."""
+        """Returns the sorted names of the servers that hold a model, or an adapter of it."""
         names = self.index.get(model, ())
         return tuple(sorted(name for name in names if not adapter or adapter in self.servers[name][model]))
 
     def holds(self, instance: str, model: str, adapter: str = "") -> bool:
-        """Whether a server holds a model, or an adapter of it."""
+        """Returns whether a server holds a model, or an adapter of it."""
         adapters = self.servers.get(instance, {}).get(model)
         return adapters is not None and (not adapter or adapter in adapters)
 
     def forget(self, instance: str, model: str, adapter: str = "") -> None:
-        """A server said that it does not hold it: until the next update of this server it doesn't."""
+        """Removes a model or adapter that the server denied holding, until the next update about this server."""
         models = self.servers.get(instance)
         if models is None or model not in models:
             return
--- a/sumachook/placement/plan.py
+++ b/sumachook/placement/plan.py
@@ -1,4 +1,4 @@
-"""Which model belongs on which two servers: pure functions of catalogue, servers and demand."""
+"""Plans which servers hold which models: pure functions of the catalogue, the servers and demand."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
@@ -7,25 +7,25 @@
 
 from sumachook.policies.policy import compile_policy
 
-Pair = tuple[str, str]  # the servers of a model's primary and secondary replica, "" where there is no room
+Pair = tuple[str, str]  # the servers of a model's primary and secondary replica; "" if none has memory for it
 Servers = Mapping[str, Mapping[str, Any]]
 NO_PAIR: Pair = ("", "")
 PRIMARY = 0
 SECONDARY = 1
 
-# The score of a server is a random number from 0 to 1, stable for a model and a server, and what these add.
-STAY = 1.0  # for a model's present server, and for a server that holds it: a move costs a load
-CROWDED = 0.6  # subtracted, twice, as a server fills up: models spread evenly
-KEEP = 1.5  # the demand of a model with two replicas counts so many times: it loses one only to clearly more demand
+# A server's score for a model is a hash of both, from 0 to 1, plus or minus these terms and the operator's policy.
+STAY = 1.0  # added for the server in the current plan, and for one that holds the model: a move costs a load
+CROWDED = 0.6  # twice this times the used share of memory is subtracted, which spreads models evenly
+KEEP = 1.5  # demand factor of models with two replicas: one is given up only for clearly higher demand
 
 
 def _affinity(model: str, server: str) -> float:
-    """A number from 0 to 1 that is always the same for this model and server."""
+    """Returns a hash of a model and a server as a number from 0 to 1."""
     return crc32(f"{model}@{server}".encode()) / 0xFFFFFFFF
 
 
 def usable(servers: Servers, evacuated: Collection[str], unreachable: Collection[str]) -> dict[str, Mapping[str, Any]]:
-    """Model servers that may be given anything at all."""
+    """Returns the model servers that replicas may be placed on: reachable, not leaving, and in an open zone."""
     return {
         name: server
         for name, server in servers.items()
@@ -45,16 +45,16 @@
     pairs: Mapping[str, Pair],
     held: Mapping[str, Mapping[str, str]],
 ) -> dict[str, Pair]:
-    """The servers that each model belongs on.
+    """Returns the servers that should hold each model.
 
-    The busiest models have two replicas, in two zones where possible. The plan is stable: what is placed stays unless
-    something else is clearly better.
+    The busiest models have two replicas, in two zones if possible. The plan is stable: a replica moves only if another
+    server is clearly better.
 
     Parameters
     ----------
-    demand : {model: how much it was asked for of late}
-    pairs : the plan up to now
-    held : {server: {model: its status}}
+    demand : {model: decayed count of recent requests}
+    pairs : the current plan
+    held : {server: {model: status}} of the present contents
     """
     open_servers = usable(servers, evacuated, unreachable)
     planner = _PairPlanner(
@@ -70,7 +70,7 @@
 
 
 def _by_demand(catalogue: Any, demand: Mapping[str, float], pairs: Mapping[str, Pair]) -> list[Any]:
-    """All models, the most asked first; those with two replicas count more."""
+    """Returns all models by descending demand, where models with two replicas are weighted by `KEEP`."""
     factors = {model: KEEP if pair[SECONDARY] else 1.0 for model, pair in pairs.items()}
     return sorted(
         catalogue.models, key=lambda model: (-demand.get(model.name, 0.0) * factors.get(model.name, 1.0), model.name)
@@ -80,7 +80,7 @@
 def _busy_models(
     catalogue: Any, models: list[Any], demand: Mapping[str, float], pairs: Mapping[str, Pair]
 ) -> list[Any]:
-    """As many models as the catalogue says: those that are asked for, those that have two replicas, then any."""
+    """Picks the catalogue's number of busy models: first those with demand, then those with two replicas, then any."""
     busy = [model for model in models if demand.get(model.name, 0.0) > 0][: catalogue.busy]
     if len(busy) < catalogue.busy:
         paired = [model for model in models if model not in busy and pairs.get(model.name, NO_PAIR)[SECONDARY]]
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True)
 class _PairPlanner:
-    """Gives models to servers one after another; `free` is the memory that is left of each server."""
+    """Assigns models to servers one by one; `free` is the unassigned memory of each server."""
 
     open_servers: Mapping[str, Mapping[str, Any]]
     score_by_policy: Any
@@ -101,7 +101,7 @@
     free: dict[str, float]
 
     def plan(self, models: list[Any], busy: list[Any]) -> dict[str, Pair]:
-        """Primaries of what is busy or asked for, then the secondaries of what is busy, then the rest."""
+        """Places primaries of busy or requested models, then secondaries of busy models, then all other primaries."""
         rare = [model for model in models if model not in busy]
         wanted = [model for model in rare if self.demand.get(model.name, 0.0) > 0]
         result: dict[str, Pair] = {}
@@ -117,7 +117,7 @@
         return result
 
     def choose(self, model: Any, primary: str, position: int) -> str:
-        """The best server with room, or ""; one in another zone than the primary's goes before everything."""
+        """Returns the server with the best score and enough memory, or ""; prefers another zone than the primary's."""
         best: tuple[bool, float, str] | None = None
         for name, server in self.open_servers.items():
             if name == primary or self.free[name] < model.memory:
@@ -155,7 +155,7 @@
 def plan_adapters(
     catalogue: Any, servers: Servers, pairs: Mapping[str, Pair], demand: Mapping[str, float]
 ) -> dict[str, tuple[str, ...]]:
-    """{server: adapters that belong there}, within the number of adapters that each server can hold."""
+    """Returns {server: adapters it should hold}, by descending demand and within each server's adapter slots."""
     wanted: dict[str, list[str]] = {name: [] for name in servers}
     adapters = sorted(catalogue.adapters, key=lambda adapter: (-demand.get(adapter.name, 0.0), adapter.name))
     for position in (PRIMARY, SECONDARY):
--- a/sumachook/placement/policy.py
+++ b/sumachook/placement/policy.py
@@ -1,4 +1,4 @@
-"""The figures by which the provisioner decides, in one place."""
+"""Tuning constants of the provisioner."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -8,134 +8,134 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasePolicy:
-    """How long a lease counts, and how often its holder looks at things."""
+    """Lifetime of the placement lease, and the intervals of its holder's periodic work."""
 
     lease: timedelta = MS * 150
-    """After a tick that confirmed the lease: three ticks, well before another core takes it over."""
+    """Time after a tick in which the lease counts: three ticks, which end well before another core can acquire it."""
     tick_interval: timedelta = MS * 50
-    """The time between two ticks; what is due sooner asks for a wake-up."""
+    """Interval of the ticks; a call that is due earlier schedules a wake-up."""
     replication_interval: timedelta = MS * 250
-    """Between two looks at how many replicas each model should have."""
+    """Interval at which the target number of replicas of each model is evaluated."""
     replication_delay: timedelta = MS * 1000
-    """After the start of a lease, so that servers have reported and edges have said what they need."""
+    """Delay of the first evaluation after a lease starts, so that servers and edges have reported before it."""
     expiry_interval: timedelta = MS * 1000
-    """Between two turns of forgetting what is no longer asked for."""
+    """Interval at which expired demand and placement requests are dropped."""
     first_snapshot_within: timedelta = MS * 700
-    """A new holder publishes what it knows after this time, even if some servers have not reported."""
+    """Time after which a new lease holder publishes a snapshot even if some servers have not reported."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallPolicy:
-    """When servers are called, and when they are called again."""
+    """Timeouts, polling intervals and retry delays of calls to engine servers."""
 
     connect_timeout: timedelta = MS * 250
-    """Servers are one network away; a connection that needs longer will not come up."""
+    """Connect timeout; servers are in the same network, so a connection that takes longer will not succeed."""
     total_timeout: timedelta = MS * 600
-    """A server answers an order at once and carries it out afterwards, so a later answer is lost."""
+    """Total timeout; a server acknowledges an order before it carries it out, so a later response counts as lost."""
     poll_interval: timedelta = MS * 28
-    """Between two polls of an order that should be complete by now: a small part of the shortest load."""
+    """Interval between polls of an order that should be complete by now: a small part of the shortest load."""
     poll_interval_late: timedelta = MS * 56
-    """The same once the order is `late_after` late."""
+    """Poll interval once the order is late by `late_after`."""
     poll_interval_very_late: timedelta = MS * 112
-    """The same once the order is `very_late_after` late."""
+    """Poll interval once the order is late by `very_late_after`."""
     late_after: timedelta = MS * 100
     very_late_after: timedelta = MS * 400
     report_lag: timedelta = MS * 300
-    """How old the contents of a report may be: a server is not read sooner after what it may not show yet."""
+    """Maximum age of the contents of a report: one that must show a change is requested this long after it."""
     report_retry_busy: timedelta = MS * 100
-    """Before the next report of a server that only said that it was busy."""
+    """Delay before the next report request to a server that only reported being busy."""
     report_retry_unreachable: timedelta = MS * 500
-    """Before the next report of a server that did not answer, or did not take an order."""
+    """Delay before the next report request to a server that did not respond or rejected an order."""
     busy_allowance_factor: float = 5.0
-    """An accepted order may be busy for so many times its expected duration ..."""
+    """An accepted order may report busy for this multiple of its expected duration plus `busy_allowance`."""
     busy_allowance: timedelta = MS * 2000
-    """... and for so long beyond, before what is believed of the server is checked."""
+    """Fixed part of the time that an accepted order may report busy; after it the provisioner requests a report."""
     recheck_after: timedelta = MS * 1000
-    """A replica that an edge doesn't know of is checked only after this time: the update may be on its way."""
+    """Minimum age of a replica before a request for it makes the server report: the edge's update may be in transit."""
     first_unload_estimate: timedelta = MS * 20
-    """The first guess at the duration of an unload, or of an order for an adapter."""
+    """Initial estimate of the duration of an unload or an adapter order."""
     store_overhead: timedelta = MS * 4
-    """Added to the configured duration of a load from the store, in the first guess."""
+    """Added to the configured load time for the initial estimate of a load from the weight store."""
     disk_part: float = 0.5
-    """Part of that duration that a load from the server's own disk is first thought to take."""
+    """Fraction of the configured load time that is the initial estimate of a load from the server's own disk."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScoringPolicy:
-    """What a candidate for a load costs, in seconds that somebody waits."""
+    """Weights for the cost of a candidate server for a load; costs are seconds of request waiting time."""
 
     eviction_of_running: float = 1.5
-    """Evicting a model that serves requests: the unload waits for them."""
+    """Cost of evicting a model with running requests, as the unload waits for them."""
     eviction_of_more_asked: float = 5.0
-    """Evicting the only replica of a model that is asked for more than the one to be loaded."""
+    """Cost of evicting the only replica of a model with a higher request rate than the one to load."""
     only_replica_loads: float = 3.3
-    """What a model's only replica is worth, in times of a load and its rate."""
+    """Cost of evicting a model's only replica, multiplied by its load time and request rate."""
     shared_replica_loads: float = 0.67
-    """What one of several replicas is worth, together with the others."""
+    """Cost of evicting one of several replicas, times load time and request rate, divided by the replica count."""
     disk_part: float = 0.42
-    """Part of the configured duration that a load from a server's own disk takes, where none was observed yet."""
+    """Fraction of the configured load time that a load from local disk takes, until one has been observed."""
     adapter_eviction: float = 0.1
-    """Evicting one adapter: it is loaded again within a few milliseconds."""
+    """Cost of evicting one adapter, which can be reloaded within a few milliseconds."""
     acceptable_cost: float = 1.5
-    """What a model that is asked for may cost others at once."""
+    """Eviction cost that is acceptable for a requested model without any wait."""
     acceptable_cost_per_load: float = 1.8
-    """Added for each time of a load that it has waited ..."""
+    """Added to the acceptable cost per load time that the request has waited."""
     acceptable_cost_per_load_squared: float = 0.72
-    """... and for the square of these, so that nothing waits without end."""
+    """Added to the acceptable cost per squared load time of waiting, so that no request waits forever."""
     waiting_rate: float = 0.3
-    """A request that waits counts as so many requests a second."""
+    """Request rate, per second, that one waiting request counts as."""
     catalogue_order_loads: float = 0.8
-    """Worth of the first model of the catalogue while little was asked for yet: operators list the most asked first."""
+    """Value of the catalogue's first model at startup, in load times: operators list the busiest models first."""
     catalogue_order_for: timedelta = timedelta(seconds=20)
-    """So long after the first request the order of the catalogue counts, ever less."""
+    """Time after the first request over which the weight of the catalogue order decays to zero."""
     predicted_loads: float = 2.0
-    """Worth of the only replica of a model that is likely to be asked for next."""
+    """Cost of evicting the only replica of a model that is likely to be requested next, in load times."""
     just_used: float = 0.2
-    """Worth of a model that was asked for within the last second."""
+    """Cost of evicting a model that was requested within the last second."""
     blocked_adapters: float = 0.05
-    """A load blocks its server for adapters; for each request a second of models with adapters there."""
+    """Cost per request per second of the server's models with adapters: a load blocks adapter loads there."""
     same_zone: float = 0.3
-    """Each other replica in the same zone: a zone may be lost as a whole."""
+    """Cost per other replica in the same zone, as a whole zone may fail."""
     load_on_server: float = 0.02
-    """Each request a second that the server gets already."""
+    """Cost per request per second that the server already handles."""
     per_eviction: float = 0.05
-    """Each model or adapter to be unloaded first."""
+    """Cost per model or adapter that must be unloaded first."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaPolicy:
-    """How many replicas models should have, and what these may cost others."""
+    """Thresholds for the number of replicas of each model, and the eviction costs that they justify."""
 
     rate_per_replica: float = 22.0
-    """Requests a second that one replica is meant to take."""
+    """Requests per second that one replica is meant to handle."""
     slots_part: float = 0.5
-    """Part of the requests that an engine runs at once: so many of one model are worth a replica."""
+    """Fraction of an engine's concurrent requests; this many of one model justify one replica."""
     busy_rate: float = 1.0
-    """A model that is asked for less often than this a second never counts as busy."""
+    """Requests per second below which a model never counts as busy."""
     busy_share: float = 0.04
-    """Part of all requests from which a model counts as busy."""
+    """Share of all requests from which a model counts as busy."""
     kept_rate: float = 0.3
-    """Requests a second from which a model should have a replica at all."""
+    """Requests per second from which a model should have at least one replica."""
     overloaded_share: float = 0.1
-    """Part of all requests that should not depend on a single replica."""
+    """Share of all requests from which a model should not depend on a single replica."""
     rising: float = 1.2
-    """A predicted rate that is so many times the present one counts as rising."""
+    """Ratio of predicted to present request rate above which demand counts as rising."""
     popular_share: float = 0.02
-    """Part of all requests from which a model is popular, for predicting which one is next."""
+    """Share of all requests from which a model counts as popular when predicting the next ones."""
     busiest_part: float = 0.3
-    """Part of all room for models whose models may each have a second replica."""
+    """Fraction of all model slots; this many of the busiest models may have a second replica."""
     predicted_cost_loads: float = 1.3
-    """What a replica of a model that is likely to be asked for next may cost others, in times of its load."""
+    """Acceptable eviction cost for a replica of a model that is likely to be requested next, in load times."""
     overloaded_cost_loads: float = 0.42
-    """What a further replica of an overloaded model may cost others, in times of its load and its rate."""
+    """Acceptable eviction cost for another replica of an overloaded model, in load times multiplied by its rate."""
     adapter_rate: float = 0.5
-    """Requests a second from which an adapter should have a second replica."""
+    """Requests per second from which an adapter should have a second replica."""
     running_per_adapter_replica: int = 12
-    """Running requests of an adapter for each further replica."""
+    """Running requests of an adapter per additional replica."""
     adapters_considered: int = 12
-    """So many of the most asked adapters are looked at in one turn."""
+    """Number of the busiest adapters that one evaluation considers."""
     adapter_eviction_ratio: float = 4.0
-    """An adapter gives way to another one only if that is asked for so many times as often."""
+    """Minimum ratio of request rates for evicting one adapter in favour of another."""
 
 
 LEASE = LeasePolicy()
--- a/sumachook/placement/port.py
+++ b/sumachook/placement/port.py
@@ -1,4 +1,4 @@
-"""How one format of engine server is called; another format is another such class."""
+"""Builds and parses calls to engine servers; servers with another API need a class like `ServerPort`."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class HttpCall(NamedTuple):
-    """A call to a server: method, path, headers and body."""
+    """The method, path, headers and body of an HTTP request to a server."""
 
     method: str
     path: str
@@ -16,10 +16,10 @@
 
 
 class ServerReport(msgspec.Struct, frozen=True):
-    """What a server says of itself.
+    """An engine server's report of its contents and load.
 
-    `sequence` is its count of accepted orders. A server that `is_busy` carries an order out: its models don't count.
-    `waiting` and `running` are requests, `cache_used` and `cache_total` tokens of its prefix cache.
+    `sequence` is its count of accepted orders. While `is_busy`, the server carries out an order and `models` is not
+    valid. `waiting` and `running` count requests; `cache_used` and `cache_total` are tokens of its prefix cache.
     """
 
     models: dict[str, list[str]]
@@ -32,18 +32,18 @@
 
 
 class OrderAnswer(StrEnum):
-    """What a server answered to an order; logs write these values."""
+    """A server's answer to an order; logs contain these values."""
 
-    ACCEPTED = "begun"  # it carries the order out now
-    COMPLETE = "holds"  # it is carried out, or was so before
-    BUSY = "busy"  # it carries out an order, or its count of orders is another one
-    FENCED = "fenced"  # it was ordered under a higher fence before
-    OTHER_SERVER = "strange"  # another server than the one addressed
-    INVALID = "bad"  # anything else
+    ACCEPTED = "begun"  # the server has started to carry out the order
+    COMPLETE = "holds"  # the order is complete, now or already before it came
+    BUSY = "busy"  # another order is in progress, or the sequence number does not match
+    FENCED = "fenced"  # the server has seen a higher fencing token
+    OTHER_SERVER = "strange"  # a different server answers at this address
+    INVALID = "bad"  # any other status
 
 
 class ServerPort:
-    """JSON over `GET /report` and `POST /orders`, the project's own format.
+    """The default API of engine servers: JSON over `GET /report` and `POST /orders`.
 
     >>> ServerPort.order("load", "m", "a1", "core-1", 7, 3).path
     '/orders'
@@ -64,12 +64,12 @@
 
     @staticmethod
     def report() -> HttpCall:
-        """The call that asks a server for its report."""
+        """Returns the request for a server's report."""
         return HttpCall("GET", "/report", {}, b"")
 
     @staticmethod
     def read_report(status: int, body: bytes) -> ServerReport | None:
-        """What the server says of itself, or None for an answer that can't be read."""
+        """Parses a report; returns None for a malformed body or a status other than 200."""
         try:
             doc = msgspec.json.decode(body)
             if status != 200:
@@ -88,14 +88,14 @@
 
     @staticmethod
     def order(verb: str, model: str, adapter: str, holder: str, fence: int, sequence: int | None) -> HttpCall:
-        """The call that orders a server to load or unload.
+        """Returns the request that orders a server to load or unload a model or adapter.
 
         Parameters
         ----------
         verb : "load" or "unload"
-        adapter : the adapter of `model` that is meant, or "" for the model itself
-        holder, fence : who holds the placement lease, and the fence of that lease
-        sequence : the server's count of orders for which this one was decided, or None if it is unknown
+        adapter : an adapter of `model`, or "" for the model itself
+        holder, fence : the holder of the placement lease and its fencing token
+        sequence : the server's count of accepted orders that this order was based on, or None if it is unknown
         """
         body: dict[str, str | int] = {"verb": verb, "model": model, "holder": holder, "fence": fence}
         if adapter:
@@ -106,5 +106,5 @@
 
     @classmethod
     def read_order(cls, status: int, body: bytes) -> OrderAnswer:
-        """What the answer to an order means."""
+        """Maps the status of a response to an order; the body is ignored."""
         return cls._ANSWERS.get(status, OrderAnswer.INVALID)
--- a/sumachook/placement/provisioner.py
+++ b/sumachook/placement/provisioner.py
@@ -1,4 +1,4 @@
-"""The provisioner: keeps the models that edges ask for loaded, while this core holds the placement lease."""
+"""The provisioner: loads the models that edges request, while this core holds the placement lease."""
 
 from datetime import timedelta
 from typing import Any
@@ -25,21 +25,21 @@
 from sumachook.placement.server_calls import CallKind, ServerCalls
 from sumachook.placement.server_registry import ServerRegistry
 
-UNLIMITED_LOADS_PER_S = 1000.0  # where the configuration states no rate for the store of weights
+UNLIMITED_LOADS_PER_S = 1000.0  # if the configuration sets no rate limit for the weight store
 
 
 class Provisioner:
-    """The placement lease and its ticks; what is decided under a lease is in the parts that are made anew with it.
+    """Runs placement on demand under the placement lease; its components are created anew for each lease.
 
-    Demand and placement requests are kept without the lease as well, so that a new holder knows what is asked for.
+    Every core records demand and placement requests, also without the lease, so that a new holder has them at once.
 
     Parameters
     ----------
-    state : the ordered control state, of which it reads catalogue, servers and evacuated zones
-    port : the format of the engine servers
-    node : the name of this core, which orders bear
+    state : the replicated control state, of which the catalogue, servers and evacuated zones are read
+    port : builds and parses the calls to engine servers
+    node : the name of this core, sent as the holder in orders
     now : the time on this core's monotonic clock
-    incarnation : the run of this core's process, which placement updates bear
+    incarnation : the run of this core's process, sent in placement updates
     """
 
     __slots__ = (
@@ -77,7 +77,7 @@
         self._start_lease(0, now, last_call=0)
 
     def _start_lease(self, fence: int, now: timedelta, last_call: int) -> None:
-        """A new holder knows nothing: each server reports before its first order, and the store's tokens are spent."""
+        """Resets the state of the lease: servers must report before their first order, the token bucket is empty."""
         self.fence = fence
         self.started_at = now
         self.registry = ServerRegistry()
@@ -95,7 +95,7 @@
             self._update_registry(now)
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Handle one event; while the lease is held, also do whatever is due."""
+        """Handles an event; while this core holds the lease, also sends the calls, orders and updates that are due."""
         effects = self._handle(event, now)
         if not self._holds_lease(now) or (isinstance(event, MessageReceived) and not self.has_new_request):
             return effects
@@ -128,7 +128,7 @@
         if now - self.last_expiry_at >= LEASE.expiry_interval:
             self.last_expiry_at = now
             self.demand.expire(now)
-            self.requests.pending(now)  # forgets what waits no more
+            self.requests.pending(now)  # drops expired placement requests
         if not fence:
             return []
         if self.publisher.is_open:
@@ -138,13 +138,13 @@
         return []
 
     def _knows_servers(self) -> bool:
-        """Whether all servers that can be used have reported."""
+        """Returns whether all open servers have reported."""
         servers = self.registry.servers.values()
         return bool(servers) and all(server.is_known or not server.is_open for server in servers)
 
     def _handle_message(self, sender: str, address: str, message: Any, now: timedelta) -> list[Effect]:
         match message:
-            case PlacementRequest(requests=requests):  # one that is repeated waits for the next tick
+            case PlacementRequest(requests=requests):  # a repeated request is handled at the next tick
                 self.has_new_request = self.requests.record(sender, requests, now)
             case ModelUsage(usage=usage):
                 self.demand.record(sender, usage, now)
@@ -154,7 +154,7 @@
         return []
 
     def _note_used(self, usage: UsageByService) -> None:
-        """What was loaded for somebody has been used: from now on it may be unloaded again."""
+        """Clears `unused_since` of used models and adapters, which lifts their protection against eviction."""
         for service, names in usage.items():
             used = {name for name, (begun, running, *_) in names.items() if begun or running}
             used |= {model_of(name) for name in used}
@@ -180,7 +180,7 @@
     # what is due ---------------------------------------------------------------------
 
     def _act(self, now: timedelta) -> list[Effect]:
-        """Calls that are due, then what requests wait for, then further replicas."""
+        """Sends due calls, then loads for waiting requests, then loads of additional replicas."""
         self.executor.store.fill(self.registry.loads_per_s or UNLIMITED_LOADS_PER_S, now)
         effects = self.executor.call_due(now)
         effects += self.request_scheduler.serve(now)
@@ -190,7 +190,7 @@
         return effects
 
     def _wake(self, now: timedelta) -> list[Effect]:
-        """Ask for a wake-up where a call is due before the next tick."""
+        """Schedules a wake-up if a call is due before the next tick."""
         soonest = self.executor.next_call_at()
         if soonest is None or soonest >= self.last_tick + LEASE.tick_interval or now < self.wake_at <= soonest:
             return []
--- a/sumachook/placement/publisher.py
+++ b/sumachook/placement/publisher.py
@@ -12,17 +12,17 @@
 
 
 class PlacementPublisher:
-    """Numbered deltas to all edges, a snapshot to each edge that asks or is new, and a heartbeat each second.
+    """Sends numbered deltas to all edges, snapshots to new edges and on request, and a heartbeat each second.
 
-    The heartbeat repeats the number of the last delta, so that an edge sees that it missed one. Before a new holder of
-    the lease knows its servers it publishes nothing: what the edges know from its predecessor is better.
+    The heartbeat repeats the number of the last delta, so that an edge detects a lost one. A new lease holder publishes
+    nothing until it knows its servers, as the edges' placements from the previous holder are better than partial ones.
 
     Attributes
     ----------
-    incarnation : the run of the holder's process that numbers the updates. The fence alone does not tell two runs
-        apart: it stays where a process is started again before its lease ends.
-    published : what the edges were told last, by server
-    changed : names of the servers to be compared with that
+    incarnation : the run of the holder's process that numbers the updates. The fencing token alone does not
+        distinguish two runs: it stays the same if the process restarts before its lease ends.
+    published : {server: models} as last sent to the edges
+    changed : names of servers whose models may differ from `published`
     is_open : whether deltas are sent
     """
 
@@ -41,11 +41,11 @@
         self.heartbeat_at = now
 
     def mark_changed(self, *names: str) -> None:
-        """What these servers hold may have changed."""
+        """Marks servers for comparison with what was published last."""
         self.changed.update(names)
 
     def open(self, servers: Servers, edges: tuple[str, ...], now: timedelta) -> list[Effect]:
-        """Send a snapshot to all edges, and deltas from now on."""
+        """Sends a snapshot to all edges, and enables deltas."""
         self._publish_all(servers)
         self.is_open = True
         self.edges = edges
@@ -53,16 +53,16 @@
         return self._send(self._snapshot(), edges)
 
     def update_edges(self, edges: tuple[str, ...]) -> list[Effect]:
-        """Send a snapshot to each edge that was not among the live ones before."""
+        """Updates the list of live edges, and sends a snapshot to each new one."""
         known = set(self.edges)
         self.edges = edges
         new_edges = [address for address in edges if address not in known] if self.is_open else []
         return self._send(self._snapshot(), new_edges) if new_edges else []
 
     def answer(self, address: str, is_blank: bool, servers: Servers) -> list[Effect]:
-        """Answer an edge that asks for a snapshot.
+        """Answers an edge's request for a snapshot.
 
-        An edge that knows nothing at all (`is_blank`) gets what is known, also before all servers have reported.
+        An edge without any placements (`is_blank`) gets a partial snapshot even before all servers have reported.
         """
         if self.is_open:
             return self._send(self._snapshot(), (address,))
@@ -72,7 +72,7 @@
         return []
 
     def publish(self, servers: Servers, now: timedelta) -> list[Effect]:
-        """Send what has changed, or a heartbeat if one is due, to every edge."""
+        """Sends a delta with the changes, or a heartbeat if one is due, to every edge."""
         delta = self._take_delta(servers)
         is_due = now - self.heartbeat_at >= self.HEARTBEAT_INTERVAL
         if not self.is_open or not (delta or is_due):
@@ -84,12 +84,12 @@
         return self._send(update, self.edges)
 
     def _publish_all(self, servers: Servers) -> None:
-        """Compare all servers, so that a snapshot is complete."""
+        """Updates `published` for all servers, so that a snapshot is complete."""
         self.mark_changed(*servers)
         self._take_delta(servers)
 
     def _take_delta(self, servers: Servers) -> PlacementsByServer:
-        """What has changed since it was last taken; from now on it counts as published."""
+        """Returns the changes since the last call, and records them as published."""
         delta: PlacementsByServer = {}
         for name in self.changed:
             models = _usable_models(servers.get(name))
@@ -113,7 +113,7 @@
 
 
 def _usable_models(server: EngineServer | None) -> Models | None:
-    """{model: adapters} that edges may send requests for, or None for a server that they can't use."""
+    """Returns {model: adapters} that edges may send requests for, or None if the server is unusable or unknown."""
     if server is None or server.is_unreachable or server.is_replaced:
         return None
     if not server.ready and not server.is_known:
--- a/sumachook/placement/replica_counts.py
+++ b/sumachook/placement/replica_counts.py
@@ -1,4 +1,4 @@
-"""How many replicas each model should have: read from demand, changes nothing."""
+"""Computes the target number of replicas of each model from demand; changes no state."""
 
 from math import ceil
 
@@ -7,11 +7,11 @@
 
 
 def desired_replicas(scoring: CandidateScoring) -> dict[str, int]:
-    """{model: replicas} of what is asked for.
+    """Returns {model: target number of replicas} of the models with steady demand.
 
-    One replica for what is asked for steadily, two for the busiest, and one for each half of an engine's slots that is
-    running or each 22 requests a second. The busiest are bounded, so that their second replicas take at most six tenths
-    of all memory.
+    A model gets one replica, the busiest ones two, and any model one per 22 requests per second or per half of an
+    engine's slots in running requests. The number of busiest models is limited, so that their replicas use at most six
+    tenths of all memory.
     """
     models = scoring.capacity.models
     rates = {model: rate for model in models if (rate := scoring.rate(model)) >= REPLICAS.kept_rate}
@@ -36,14 +36,15 @@
 
 
 def running_per_replica(scoring: CandidateScoring) -> float:
-    """How many requests of a model may run at one replica before it should have another one."""
+    """Returns how many running requests of a model one replica is meant to handle."""
     return float(max(1.0, REPLICAS.slots_part * scoring.capacity.engine.slots))
 
 
 def overloaded_models(scoring: CandidateScoring) -> tuple[str, ...]:
-    """Models with fewer replicas than desired where the lack is felt, the most asked first.
+    """Returns the overloaded models with fewer replicas than desired, by descending request rate.
 
-    That is where too much runs on each replica, or where a tenth of all requests depends on a single one, or soon will.
+    A model is overloaded if its replicas have too many requests, or if a tenth of all requests depends on a single
+    replica or soon will.
     """
     total = sum(scoring.rate(model) for model in scoring.desired)
     overloaded = [
@@ -67,7 +68,7 @@
 
 
 def popular_models(scoring: CandidateScoring) -> set[str]:
-    """Those that get a fiftieth of all requests, and at least one a second."""
+    """Returns the models that get at least a fiftieth of all requests and at least one request per second."""
     rates = {model: scoring.rate(model) for model in scoring.capacity.models}
     threshold = max(REPLICAS.busy_rate, REPLICAS.popular_share * sum(rates.values()))
     return {model for model, rate in rates.items() if rate >= threshold}
--- a/sumachook/placement/replica_scheduler.py
+++ b/sumachook/placement/replica_scheduler.py
@@ -1,4 +1,4 @@
-"""Adds replicas of what is busy, at the cost of what is idle."""
+"""Adds replicas of busy models and adapters, evicting idle ones for them."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
 
 
 class ReplicaScheduler:
-    """Decides how many replicas models should have; one load a service and turn, and only while nobody waits."""
+    """Updates the replica targets, and orders at most one load per service and run while no request waits."""
 
     __slots__ = ("scheduler", "predictions")
 
@@ -23,7 +23,7 @@
         self.predictions: dict[str, DemandPrediction] = {}
 
     def adjust(self, pending: list[Key], now: timedelta) -> list[Effect]:
-        """Look at demand anew, and order what it calls for; `pending` is what requests wait for."""
+        """Re-evaluates demand and orders missing replicas; `pending` lists what requests wait for."""
         effects: list[Effect] = []
         has_waiting = any(not self._is_under_way(service, name) for service, name in pending)
         for scoring in self.scheduler.scorings(pending, now).values():
@@ -46,14 +46,14 @@
 
     @staticmethod
     def _is_busy(scoring: CandidateScoring) -> bool:
-        """Whether more than a quarter of the servers carry out orders, so that further ones wait."""
+        """Returns whether over a quarter of the servers are carrying out orders, so that no replica is added now."""
         busy = sum(1 for server in scoring.servers if server.order is not None or server.reserved_for)
         return busy > len(scoring.servers) // 4
 
     def _add_model_replica(self, scoring: CandidateScoring, now: timedelta) -> list[Effect]:
         for model, desired in sorted(scoring.desired.items(), key=lambda item: -scoring.rate(item[0])):
             planned = scoring.planned_replicas(model)
-            # a second replica leaves a token for what has none
+            # an additional replica leaves one store token for models without any
             if planned < desired and (self.scheduler.executor.store.tokens >= 2.0 or not planned):
                 effects = self.scheduler.load_model(scoring, model, now, is_spare=True)
                 if effects:
@@ -79,7 +79,7 @@
 
     @staticmethod
     def _needs_adapter_replica(scoring: CandidateScoring, name: str) -> bool:
-        """Whether an adapter that is ready somewhere should be ready on one more of its model's servers."""
+        """Returns whether a loaded adapter should get another replica on one of its base model's servers."""
         model, adapter = split_name(name)
         holders = [server for server in scoring.servers if server.is_open and model in server.ready]
         replicas = sum(1 for server in holders if adapter in server.models[model])
@@ -88,7 +88,7 @@
         return 0 < replicas < min(len(holders), 1 + by_rate + by_running)
 
     def _is_under_way(self, service: str, name: str) -> bool:
-        """Whether what requests wait for is ready somewhere, is being loaded, or room is being made for it."""
+        """Returns whether a model or adapter is ready or loading on an open server, or a server is reserved for it."""
         model, adapter = split_name(name)
         return any(
             server.service == service and server.is_open and _provides(server, model, adapter)
--- a/sumachook/placement/request_scheduler.py
+++ b/sumachook/placement/request_scheduler.py
@@ -1,4 +1,4 @@
-"""Loads what requests wait for, the most pressing first."""
+"""Loads the models and adapters that requests wait for, most urgent first."""
 
 from datetime import timedelta
 
@@ -12,7 +12,7 @@
 
 
 class RequestScheduler:
-    """Serves what waits; what finds no free server is weighed again when one is free."""
+    """Orders loads for placement requests; a request that finds no suitable server is retried when one becomes idle."""
 
     __slots__ = ("scheduler", "requests")
 
@@ -21,7 +21,7 @@
         self.requests = requests
 
     def serve(self, now: timedelta) -> list[Effect]:
-        """Orders for overloaded models, then for everything that requests wait for."""
+        """Returns orders for overloaded models, then for everything that requests wait for."""
         pending = self.requests.pending(now)
         self._release_reservations(pending)
         overloaded = [
@@ -44,7 +44,7 @@
         return effects
 
     def _release_reservations(self, pending: list[Key]) -> None:
-        """Drop reservations for what nobody waits for any more."""
+        """Releases reservations for models that no request waits for any longer."""
         for server in self.scheduler.registry.servers.values():
             is_free = server.order is None and not server.pending_call
             if server.reserved_for and is_free and not self._is_still_needed(server, pending):
@@ -69,7 +69,7 @@
         return self.scheduler.load_adapter(scoring, model, adapter, now)
 
     def _serve_model(self, scoring: CandidateScoring, model: str, adapter: str, now: timedelta) -> list[Effect]:
-        """Load a model that no server holds, if that is not under way; `adapter` is what is waited for, or ""."""
+        """Loads a model without replicas unless a load is in progress; `adapter` is the requested one, or ""."""
         if any(_is_preparing(server, model) for server in scoring.servers):
             return []
         key = (scoring.service, full_name(model, adapter))
@@ -77,7 +77,7 @@
         return self.scheduler.load_model(scoring, model, now, max_cost=max_cost)
 
     def _serve_overloaded(self, scoring: CandidateScoring, model: str, now: timedelta) -> list[Effect]:
-        """One more replica of what has too few, before what is asked for rarely is served."""
+        """Orders another replica of an overloaded or predicted model, ahead of rarely requested models."""
         is_predicted = model in scoring.predicted
         has_room_now = any(server.reserved_for == model and server.is_idle for server in scoring.servers)
         if scoring.planned_replicas(model) - has_room_now >= max(scoring.desired.get(model, 0), is_predicted):
@@ -91,7 +91,7 @@
     def _check_replicas(
         self, service: str, replicas: list[EngineServer], model: str, adapter: str, now: timedelta
     ) -> list[Effect]:
-        """An edge doesn't know a replica that there is: the update is on its way, or the server lost what it held."""
+        """Requests reports for replicas that an edge lacks: its update is in transit, or the server lost the model."""
         effects: list[Effect] = []
         for server in replicas:
             if not server.is_idle or server.report_requested_at is None:
@@ -99,11 +99,11 @@
             known_since = max(server.loaded_at.get(model, server.report_requested_at), server.report_requested_at)
             if now - known_since > CALLS.recheck_after and (not adapter or adapter in server.ready[model]):
                 effects.append(self.scheduler.executor.request_report(server, now))
-        self.requests.forget(service, full_name(model, adapter))  # an edge where it still waits says so again
+        self.requests.forget(service, full_name(model, adapter))  # an edge repeats it while requests wait
         return effects
 
 
 def _is_preparing(server: EngineServer, model: str) -> bool:
-    """Whether the server loads the model, or makes room for it and can't go on yet."""
+    """Returns whether the server is loading the model, or is still evicting others for it."""
     is_making_room = server.reserved_for == model and not server.is_idle
     return server.is_open and (server.is_loading(model) or is_making_room)
--- a/sumachook/placement/server_calls.py
+++ b/sumachook/placement/server_calls.py
@@ -1,4 +1,4 @@
-"""The provisioner's calls to engine servers: one unanswered call per server."""
+"""Sends the provisioner's calls to engine servers, with at most one unanswered call per server."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -13,30 +13,30 @@
 
 
 class CallKind(Enum):
-    """What a server was asked."""
+    """The type of a call: a report request or an order."""
 
     REPORT = "report"
     ORDER = "order"
 
 
 class PendingCall(NamedTuple):
-    """A call that was not answered yet."""
+    """A call whose response has not arrived yet."""
 
     server: str
     kind: CallKind
 
 
 class CompletedCall(NamedTuple):
-    """A call that ended, at a server that still waits for its answer."""
+    """A call that ended with a response or a failure, and the server that it was made to."""
 
     server: EngineServer
     kind: CallKind
 
 
 class ServerCalls:
-    """Makes the calls, and knows which of them a host's event belongs to.
+    """Sends calls and matches responses to them.
 
-    All calls bear the fence of one lease: an answer to a call of an earlier lease belongs to none.
+    All calls carry the fencing token of one lease; responses to calls of an earlier lease are ignored.
     """
 
     __slots__ = ("port", "node", "fence", "last_number", "pending")
@@ -49,13 +49,13 @@
         self.pending: dict[int, PendingCall] = {}
 
     def send_order(self, server: EngineServer, order: Order) -> Fetch:
-        """Send the order in flight at a server, for the first time or as a poll."""
+        """Sends a server's order in flight, for the first time or as a poll."""
         order.attempts += 1
         call = self.port.order(order.verb, order.model, order.adapter, self.node, self.fence, server.sequence)
         return self._fetch(server, CallKind.ORDER, call)
 
     def request_report(self, server: EngineServer, now: timedelta) -> Fetch:
-        """Ask a server what it holds."""
+        """Requests a report of the models that a server holds."""
         server.report_requested_at = now
         return self._fetch(server, CallKind.REPORT, self.port.report())
 
@@ -75,7 +75,7 @@
         )
 
     def complete(self, call_id: ServerCallId, servers: Mapping[str, EngineServer]) -> CompletedCall | None:
-        """The call that has ended, or None where nobody waits for it any more."""
+        """Returns the call that has ended, or None if it belongs to an earlier lease or a removed server."""
         if call_id.fence != self.fence or call_id.number not in self.pending:
             return None
         name, kind = self.pending.pop(call_id.number)
--- a/sumachook/placement/server_registry.py
+++ b/sumachook/placement/server_registry.py
@@ -1,4 +1,4 @@
-"""The engine servers that the ordered state lists, and what their engines have room for."""
+"""Tracks the engine servers listed in the control state, and the capacity of their engines."""
 
 from datetime import timedelta
 from typing import Any
@@ -9,13 +9,13 @@
 
 
 class ServerRegistry:
-    """Follows the ordered state; knows nothing of a new server until it has reported.
+    """Keeps the engine servers in step with the control state; a new server's contents are unknown until it reports.
 
     Attributes
     ----------
-    servers : by name
-    capacities : by service, of the services that run an engine
-    loads_per_s : loads a second that the store of weights bears, for all services together
+    servers : {name: server}
+    capacities : {service: capacity} of the services that run an engine
+    loads_per_s : rate limit of the weight store, in loads per second for all services together
     """
 
     __slots__ = ("servers", "capacities", "loads_per_s")
@@ -26,7 +26,7 @@
         self.loads_per_s = 0.0
 
     def update(self, state: Any, now: timedelta) -> set[str]:
-        """Take over what the state lists; returns the names of servers of which the edges may have to be told."""
+        """Applies the control state; returns the names of servers whose placements may have changed for the edges."""
         engines = _engines(state.catalogue)
         self.capacities = {service: FreeCapacity(engine) for service, engine in engines.items()}
         self.loads_per_s = sum(engine.loads_per_s for engine in engines.values())
@@ -43,7 +43,7 @@
     def _add(self, name: str, item: dict[str, Any], now: timedelta) -> set[str]:
         changed = {name}
         for other in self.servers.values():
-            if other.address == item["address"]:  # a new server took the address of one that is still listed
+            if other.address == item["address"]:  # a new server has the address of one that is still listed
                 other.is_replaced = True
                 changed.add(other.name)
         self.servers[name] = EngineServer(name, item["service"], now)
@@ -56,11 +56,11 @@
         server.is_draining = bool(item["leaving"]) or item["area"] in evacuated
         if server.is_draining:
             server.reserved_for = ""
-            if server.order is not None:  # it is not sent again there; a later report says what became of it
+            if server.order is not None:  # the order is not polled any more; a later report shows its outcome
                 server.invalidate(now + CALLS.report_lag * 3)
 
 
 def _engines(catalogue: Any) -> dict[str, Any]:
-    """The engines of a catalogue by service."""
+    """Returns {service: engine} for the services of a catalogue that run an engine."""
     services = getattr(catalogue, "services", ()) if catalogue is not None else ()
     return {service.name: service.engine for service in services if service.engine is not None}
--- a/tests/placement/test_inventory_reader.py
+++ b/tests/placement/test_inventory_reader.py
@@ -71,7 +71,7 @@
         set(servers) == {"s0", "s1", "s2", "s3", "s4"} and servers["s1"]["leaving"] and servers["s3"]["memory"] == 8.0
     )
     assert not servers["s2"]["leaving"] and any(
-        "odd entries" in effect.text for effect in out if isinstance(effect, Log)
+        "invalid entries" in effect.text for effect in out if isinstance(effect, Log)
     )
 
 
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -148,9 +148,9 @@
     deployment = settled(28)
     doc = {"models": [{"name": "no-weights", "memory": 3.0, "decodeRate": 80.0}]}
     assert deployment.ask("core-1", "POST", "/operator/apply", {"request": "go", "doc": doc, "part": True})[0] == 200
-    before = sum("not taken" in line[4] for line in deployment.logs)
+    before = sum("not accepted" in line[4] for line in deployment.logs)
     deployment.run(60)
-    refused = sum("not taken" in line[4] for line in deployment.logs) - before
+    refused = sum("not accepted" in line[4] for line in deployment.logs) - before
     assert 2 <= refused <= 10
 
 
@@ -328,5 +328,9 @@
 def test_a_server_is_given_one_order_at_a_time():
     """Rule 10. Given an empty fleet that is to load everything, no server is sent two orders in one moment."""
     deployment = settled(89)
-    sent = [(at, note["server"]) for at, _, _, part, text, note in deployment.logs if text == "Order goes out."]
+    sent = [
+        (at, note["server"])
+        for at, _, _, part, text, note in deployment.logs
+        if text == "Sending an order to a model server."
+    ]
     assert len(sent) > 60 and len(set(sent)) == len(sent)
