--- a/harness/experiments/scale/meter.py
+++ b/harness/experiments/scale/meter.py
@@ -38,7 +38,7 @@
 from sumachook.placement.call_ids import INVENTORY_READER
 from sumachook.placement.inventory_reader import InventoryReader
 from sumachook.placement.placer import Placer
-from sumachook.placement.places import Places
+from sumachook.placement.places import PlacementView
 from sumachook.placement.provisioner import Provisioner
 from sumachook.placement.publisher import PlacementPublisher
 from sumachook.quotas.lease_issuer import QuotaLeaseIssuer
@@ -75,7 +75,7 @@
     (PlacementPublisher, "publish", PLACES),
     (PlacementPublisher, "open", PLACES),
     (PlacementPublisher, "update_edges", PLACES),
-    (Places, "take", PLACES),
+    (PlacementView, "take", PLACES),
     (ProxyPipeline, "take", REQUESTS),
     (InferencePipeline, "take", REQUESTS),
     (Core, "take", NODE),
--- a/harness/mutations/placement.py
+++ b/harness/mutations/placement.py
@@ -9,7 +9,7 @@
     Mutation(
         10,
         "adapters hold the room of a planned model",
-        "            self._unload_adapter_asked_for_less(server, model)\n            return",
+        "            self._evict_adapter_with_less_demand(server, model)\n            return",
         "            return",
         "tests/placement/test_orders.py",
         "adapter_gives_way",
@@ -236,7 +236,7 @@
         "and update.number == self.number + (1 if update.servers else 0):",
         "and update.number > self.number:",
         "sumachook/placement/places.py",
-        "Places",
+        "PlacementView",
     ),
     Mutation(
         "NEWS",
--- a/sumachook/nodes/edge.py
+++ b/sumachook/nodes/edge.py
@@ -29,7 +29,7 @@
 from sumachook.nodes.state_file import FILE, StateFile
 from sumachook.nodes.tick_intervals import IDLE_TICK, IN_HAND_TICK, TICK
 from sumachook.nodes.usage_report import UsageReport
-from sumachook.placement.places import Places
+from sumachook.placement.places import PlacementView
 from sumachook.quotas.rate_limiter import RateLimiter
 from sumachook.requests.events import DrainStarted
 from sumachook.retry_budget.budget import RetryBudget, share_of_savings
@@ -102,7 +102,7 @@
         self.retry_budget = RetryBudget(settings.resend_ratio)
         self.ledger_writer = LedgerWriter(settings.data is not None, records.get("spool", ()), now)
         self.rate_limiter = RateLimiter(self.state, restart_epoch, now)
-        self.places = Places()
+        self.places = PlacementView()
         self._create_pipelines(random, request_port)
         self.usage_report = UsageReport(now)
         self.shutdown = EdgeShutdown(timedelta(seconds=settings.grace), now)
--- a/sumachook/placement/candidates.py
+++ b/sumachook/placement/candidates.py
@@ -12,7 +12,7 @@
 from sumachook.placement.policy import SCORING
 
 UNUSED_GRACE = timedelta(seconds=2)  # keeps a fresh load until the requests it is for arrive
-JUST_USED = timedelta(seconds=1)
+RECENT_USE = timedelta(seconds=1)
 MAX_BLOCKED_RATE = 20.0  # requests per second; caps the cost of blocking a busy server
 
 
@@ -27,7 +27,7 @@
     """A server to load a model on, and the models and adapters to unload there first."""
 
     server: EngineServer
-    names: tuple[str, ...]
+    evictions: tuple[str, ...]
 
 
 class AdapterCandidate(NamedTuple):
@@ -136,7 +136,7 @@
         duration = timedelta(milliseconds=load_ms)
         if is_on_disk:
             kind = OrderKind(self.service, Verb.LOAD, False, False, load_ms)
-            duration = self.load_times.learnt(kind, duration * SCORING.disk_part)
+            duration = self.load_times.estimate_or(kind, duration * SCORING.disk_load_fraction)
         return duration.total_seconds()
 
     def acceptable_cost(self, model: str, waiting: int, age: timedelta) -> float:
@@ -178,9 +178,9 @@
             cost += self._catalogue_worth(model)
         if model in self.predicted and replicas == 1:
             cost += load * SCORING.predicted_loads
-        last_begun = self.demand.last_begun.get((self.service, model))
-        if last_begun is not None and self.now - last_begun < JUST_USED:
-            cost += SCORING.just_used
+        last_started = self.demand.last_started.get((self.service, model))
+        if last_started is not None and self.now - last_started < RECENT_USE:
+            cost += SCORING.eviction_of_recently_used
         return cost
 
     def _was_loaded_for_somebody(self, server: EngineServer, model: str) -> bool:
@@ -193,7 +193,7 @@
 
     def _catalogue_worth(self, model: str) -> float:
         """Returns a cost that favours models early in the catalogue, and fades as demand data accumulate."""
-        if self.demand_age >= SCORING.catalogue_order_for:
+        if self.demand_age >= SCORING.catalogue_order_decay:
             return 0.0
         if not self._positions:
             self._positions = {name: position for position, name in enumerate(self.capacity.models)}
@@ -201,7 +201,7 @@
             SCORING.catalogue_order_loads
             * self.load_seconds(model)
             * (1 - self._positions[model] / len(self._positions))
-            * (1 - self.demand_age / SCORING.catalogue_order_for)
+            * (1 - self.demand_age / SCORING.catalogue_order_decay)
         )
 
     # evictions -----------------------------------------------------------------------
@@ -255,22 +255,22 @@
                     or self.now - server.unused_since.get(name, self.now - UNUSED_GRACE) < UNUSED_GRACE
                 ):
                     continue
-                last_begun = self.demand.last_begun.get((self.service, name), timedelta(0))
+                last_started = self.demand.last_started.get((self.service, name), timedelta(0))
                 loaded_at = server.loaded_at.get(name, timedelta(0))
-                found.append((bool(self.running(name)), max(last_begun, loaded_at), name))
+                found.append((bool(self.running(name)), max(last_started, loaded_at), name))
         return [name for _, _, name in sorted(found)]
 
     # choices -------------------------------------------------------------------------
 
     def best_server(
-        self, model: str, may_use_store: bool, is_spare: bool = False, max_cost: float = float("inf")
+        self, model: str, may_use_store: bool, is_optional: bool = False, max_cost: float = float("inf")
     ) -> Candidate | None:
         """Returns the server with the lowest cost for another replica of `model`, or None if no server is suitable now.
 
         Parameters
         ----------
         may_use_store : whether the weight store's rate limit admits a load now
-        is_spare : whether the replica is optional, so that no replica in use may be evicted for it
+        is_optional : whether the replica is optional, so that no replica in use may be evicted for it
         max_cost : highest acceptable eviction cost
         """
         per_zone: dict[str, int] = {}
@@ -286,32 +286,32 @@
             if not is_on_disk and not may_use_store:
                 continue
             eviction = self.cheapest_eviction(server, model)
-            if eviction is None or not self._is_acceptable(model, eviction, is_spare, max_cost):
+            if eviction is None or not self._is_acceptable(model, eviction, is_optional, max_cost):
                 continue
-            cost = self._total_cost(server, model, eviction, is_spare, per_zone.get(server.zone, 0))
+            cost = self._total_cost(server, model, eviction, is_optional, per_zone.get(server.zone, 0))
             if best is None or (cost, server.name) < best:
                 best = (cost, server.name)
                 chosen = Candidate(server, eviction.names)
         return chosen
 
-    def _is_acceptable(self, model: str, eviction: Eviction, is_spare: bool, max_cost: float) -> bool:
+    def _is_acceptable(self, model: str, eviction: Eviction, is_optional: bool, max_cost: float) -> bool:
         if eviction.cost > max_cost:
             return False
-        return not is_spare or not any(self._is_needed(name, self.rate(model)) for name in eviction.names)
+        return not is_optional or not any(self._is_needed(name, self.rate(model)) for name in eviction.names)
 
     def _total_cost(
-        self, server: EngineServer, model: str, eviction: Eviction, is_spare: bool, replicas_in_zone: int
+        self, server: EngineServer, model: str, eviction: Eviction, is_optional: bool, replicas_in_zone: int
     ) -> float:
         cost, names = eviction
         rate = self.rate(model)
-        if not is_spare:
+        if not is_optional:
             cost += sum(
-                SCORING.eviction_of_more_asked
+                SCORING.eviction_of_busier
                 for name in names
                 if self.replicas.get(name, 0) == 1 and self.rate(name) > rate
             )
         cost += self.load_seconds(model, model in server.on_disk) + SCORING.per_eviction * len(names)
-        cost += SCORING.same_zone * replicas_in_zone * min(1.0, rate)
+        cost += SCORING.replica_in_same_zone * replicas_in_zone * min(1.0, rate)
         cost += SCORING.load_on_server * self.load_on(server) + SCORING.blocked_adapters * min(
             MAX_BLOCKED_RATE, self.adapter_load_on(server)
         )
--- a/sumachook/placement/demand.py
+++ b/sumachook/placement/demand.py
@@ -34,7 +34,7 @@
     1
     """
 
-    __slots__ = ("rates", "running", "edges", "last_begun", "is_by_server", "first_at")
+    __slots__ = ("rates", "running", "edges", "last_started", "has_server_counts", "first_at")
 
     TREND_WEIGHT = 1.5  # multiplies the difference of the fast and slow rates: about the change during one load
     EDGE_TIMEOUT = timedelta(seconds=2)  # edges report several times within this period
@@ -43,8 +43,8 @@
         self.rates: dict[Key, Rates] = {}
         self.running: dict[Key, int] = {}
         self.edges: dict[str, tuple[timedelta, dict[Key, int]]] = {}
-        self.last_begun: dict[Key, timedelta] = {}
-        self.is_by_server = False  # whether any edge reports running requests per server
+        self.last_started: dict[Key, timedelta] = {}
+        self.has_server_counts = False  # whether any edge reports running requests per server
         self.first_at: timedelta | None = None
 
     def record(self, edge: str, usage: UsageByService, now: timedelta) -> None:
@@ -56,14 +56,14 @@
         for service, names in usage.items():
             for name, (begun, running, *by_server) in names.items():
                 if by_server:
-                    self.is_by_server = True
+                    self.has_server_counts = True
                     self._add_by_server(running_here, service, name, by_server[0])
                 keys: set[Key] = {(service, name), (service, model_of(name))}
                 for key in keys:
                     if running:
                         running_here[key] = running_here.get(key, 0) + running
                     if begun:
-                        self.last_begun[key] = now
+                        self.last_started[key] = now
                         self.rates[key] = self._decayed(key, now, begun)
         for key, count in running_here.items():
             self.running[key] = self.running.get(key, 0) + count
@@ -86,14 +86,14 @@
         """Returns how many requests of a model run at a server, or None if no edge reports counts per server."""
         if (service, model) not in self.running:
             return 0
-        return self.running.get((service, model, server), 0) if self.is_by_server else None
+        return self.running.get((service, model, server), 0) if self.has_server_counts else None
 
     def expire(self, now: timedelta) -> None:
         """Drops edges that stopped reporting, and rates of models without recent requests."""
         for edge in [edge for edge, (at, _) in self.edges.items() if now - at > self.EDGE_TIMEOUT]:
             self._drop(edge)
         self.rates = {key: rates for key, rates in self.rates.items() if now - rates.at < FORGET_AFTER}
-        self.last_begun = {key: at for key, at in self.last_begun.items() if now - at < FORGET_AFTER}
+        self.last_started = {key: at for key, at in self.last_started.items() if now - at < FORGET_AFTER}
 
     def _decayed(self, key: Key, now: timedelta, begun: int = 0) -> Rates:
         fast, slow, at = self.rates.get(key, (0.0, 0.0, now))
@@ -114,7 +114,7 @@
         fast, slow, _ = self._decayed((service, name), now)
         return max(fast, slow) if fast * 4 >= slow else fast + slow / 4
 
-    def first_asked_at(self, now: timedelta) -> timedelta:
+    def first_request_at(self, now: timedelta) -> timedelta:
         """Returns when the first request for any model was reported, or `now` if none was."""
         return now if self.first_at is None else self.first_at
 
--- a/sumachook/placement/demand_prediction.py
+++ b/sumachook/placement/demand_prediction.py
@@ -22,9 +22,9 @@
 
     __slots__ = ("last_popular", "confirmed", "contradicted")
 
-    RECENT = timedelta(seconds=20)  # a model that was popular within this time may precede a newly popular one
-    REACH = 2  # list positions that demand may advance by in one step
-    PART = 4  # popular models per predicted model
+    RECENT_WINDOW = timedelta(seconds=20)  # a model that was popular within this time may precede a newly popular one
+    MAX_STEP = 2  # list positions that demand may advance by in one step
+    POPULAR_PER_PREDICTED = 4  # popular models per predicted model
 
     def __init__(self) -> None:
         self.last_popular: dict[str, timedelta] = {}
@@ -45,18 +45,18 @@
             return ()
         last = max(position_of[model] for model in popular if model in position_of)
         following = [model for model in listed[last + 1 :] if model not in popular]
-        return tuple(following[: ceil(len(popular) / self.PART)])
+        return tuple(following[: ceil(len(popular) / self.POPULAR_PER_PREDICTED)])
 
     def _learn(
         self, listed: Sequence[str], position_of: dict[str, int], popular: Collection[str], now: timedelta
     ) -> None:
-        recent = {model for model, at in self.last_popular.items() if now - at < self.RECENT}
+        recent = {model for model, at in self.last_popular.items() if now - at < self.RECENT_WINDOW}
         if self.last_popular:
             for model in set(popular) - set(self.last_popular):
                 position = position_of.get(model, 0)
-                if recent & set(listed[max(0, position - self.REACH) : position]):
+                if recent & set(listed[max(0, position - self.MAX_STEP) : position]):
                     self.confirmed += 1
                 else:
                     self.contradicted += 1
-        kept = {model: at for model, at in self.last_popular.items() if now - at < self.RECENT * 2}
+        kept = {model: at for model, at in self.last_popular.items() if now - at < self.RECENT_WINDOW * 2}
         self.last_popular = kept | dict.fromkeys(popular, now)
--- a/sumachook/placement/inventory_reader.py
+++ b/sumachook/placement/inventory_reader.py
@@ -61,7 +61,7 @@
     invalid: tuple[str, ...]
 
 
-class Believed(NamedTuple):
+class AcceptedServers(NamedTuple):
     """The servers to propose, and those among them that are kept although the list lacks them."""
 
     servers: dict[str, Server]
@@ -94,14 +94,14 @@
         "fresh_at",
         "failures",
         "last_read",
-        "shrunken_since",
+        "mass_removal_since",
         "invalid",
         "pages",
     )
 
     INTERVAL = timedelta(seconds=0.5)  # a leaving server must be noticed well within three seconds
     CALL_TIMEOUT = INTERVAL * 4  # polls may overlap: a slow response is better than none
-    SHRUNKEN_FOR = timedelta(seconds=10)  # a list that lacks more than half of the servers is accepted after this time
+    MASS_REMOVAL_DELAY = timedelta(seconds=10)  # until a list that lacks more than half is accepted
     LEADERLESS_AFTER = timedelta(seconds=1.5)  # without a leader for this long all cores poll
     MAX_PAGES = 40  # per poll; a list that never ends is cut off there
     MAX_READINGS = 8  # polls whose pages are kept; a later page of an older poll starts a new list
@@ -118,7 +118,7 @@
         self.fresh_at = now
         self.failures = 0
         self.last_read: dict[str, Server] | None = None
-        self.shrunken_since: timedelta | None = None
+        self.mass_removal_since: timedelta | None = None
         self.invalid: tuple[str, ...] = ()
         self.pages: dict[int, list[list[Any]]] = {}
 
@@ -177,8 +177,8 @@
         """Compares a complete list with the control state; notifies edges and proposes the difference."""
         inventory = self._read_inventory(items)
         effects = self._log_invalid(inventory.invalid)
-        servers, kept = self._believe(inventory.servers, now)
-        if kept and self.shrunken_since == now:
+        servers, kept = self._accept_servers(inventory.servers, now)
+        if kept and self.mass_removal_since == now:
             text = "The platform's server list lacks more than half of the known servers; keeping them for now."
             effects.append(Log("warning", COMPONENT, text, {"kept": sorted(kept)}))
         leaving = self._newly_leaving(servers)
@@ -244,8 +244,8 @@
                 is_leaving = known["leaving"] if name in servers else False
                 servers[name] = {**known, "leaving": is_leaving or item.get("leaving") is True}
 
-    def _believe(self, listed: dict[str, Server], now: timedelta) -> Believed:
-        """Keeps missing servers while a list lacks more than half of a kind or service, for up to `SHRUNKEN_FOR`."""
+    def _accept_servers(self, listed: dict[str, Server], now: timedelta) -> AcceptedServers:
+        """Keeps missing servers if a list lacks more than half of a kind or service, for up to `MASS_REMOVAL_DELAY`."""
         kept: dict[str, Server] = {}
         for group in {_group_of(server) for server in self.state.servers.values()}:
             known = {
@@ -257,12 +257,12 @@
             if len(missing) * 2 > len(known):
                 kept |= missing
         if not kept:
-            self.shrunken_since = None
-            return Believed(listed, {})
-        self.shrunken_since = self.shrunken_since or now
-        if now - self.shrunken_since < self.SHRUNKEN_FOR:
-            return Believed({**kept, **listed}, kept)
-        return Believed(listed, {})
+            self.mass_removal_since = None
+            return AcceptedServers(listed, {})
+        self.mass_removal_since = self.mass_removal_since or now
+        if now - self.mass_removal_since < self.MASS_REMOVAL_DELAY:
+            return AcceptedServers({**kept, **listed}, kept)
+        return AcceptedServers(listed, {})
 
 
 def _group_of(server: Server) -> tuple[str, str]:
--- a/sumachook/placement/load_scheduler.py
+++ b/sumachook/placement/load_scheduler.py
@@ -58,7 +58,7 @@
                 desired=self.targets.desired.get(service, {}),
                 now=now,
                 predicted=self.targets.predicted.get(service, ()),
-                demand_age=now - self.demand.first_asked_at(now),
+                demand_age=now - self.demand.first_request_at(now),
                 load_times=self.executor.load_times,
             )
             for service, capacity in self.registry.capacities.items()
@@ -69,17 +69,17 @@
         scoring: CandidateScoring,
         model: str,
         now: timedelta,
-        is_spare: bool = False,
+        is_optional: bool = False,
         max_cost: float = float("inf"),
     ) -> list[Effect]:
         """Starts another replica of a model on the cheapest server; returns no effects if no server is suitable now."""
-        candidate = scoring.best_server(model, self.executor.store.tokens >= 1.0, is_spare, max_cost)
+        candidate = scoring.best_server(model, self.executor.store.tokens >= 1.0, is_optional, max_cost)
         if candidate is None:
             return []
         server = candidate.server
-        if candidate.names:
+        if candidate.evictions:
             server.reserved_for = model
-            evicted, adapter = split_name(candidate.names[0])
+            evicted, adapter = split_name(candidate.evictions[0])
             return [self.executor.start(server, Verb.UNLOAD, evicted, adapter, now)]
         server.reserved_for = ""
         return [self.executor.start(server, Verb.LOAD, model, "", now)]
--- a/sumachook/placement/load_times.py
+++ b/sumachook/placement/load_times.py
@@ -46,7 +46,7 @@
         """Returns the estimate for a kind of order; the first call stores `first` as the initial estimate."""
         return self.estimates.setdefault(kind, first)
 
-    def learnt(self, kind: Hashable, default: timedelta) -> timedelta:
+    def estimate_or(self, kind: Hashable, default: timedelta) -> timedelta:
         """Returns the estimate for a kind of order, or `default` without storing it."""
         return self.estimates.get(kind, default)
 
--- a/sumachook/placement/order_executor.py
+++ b/sumachook/placement/order_executor.py
@@ -59,7 +59,7 @@
         """Requests a report of the models that a server holds."""
         return self.calls.request_report(server, now)
 
-    def call_due(self, now: timedelta) -> list[Effect]:
+    def send_due_calls(self, now: timedelta) -> list[Effect]:
         """Requests the reports that are due, and polls the orders that should be complete by now."""
         effects: list[Effect] = []
         for server in self.registry.servers.values():
@@ -95,7 +95,7 @@
         server.failures += 1
         order = server.order
         if order is not None and not order.is_accepted:
-            self._give_back_unsent(order, is_unsent)
+            self._refund_unsent(order, is_unsent)
         is_first = server.failures < 2
         if is_first and order is not None and order.is_accepted:
             server.poll_at = now + LEASE.tick_interval
@@ -108,16 +108,16 @@
         server.is_unreachable = True
         return [Log("warning", COMPONENT, "Engine server is unreachable.", {"server": server.name, "reason": reason})]
 
-    def _give_back_unsent(self, order: Order, is_unsent: bool) -> None:
+    def _refund_unsent(self, order: Order, is_unsent: bool) -> None:
         """Refunds the store token of a load that cannot have begun; a load that may have begun stays counted."""
         if order.is_from_store and order.attempts == 1 and is_unsent:
-            self.store.give_back()
+            self.store.refund()
 
     def on_report(self, server: EngineServer, report: ServerReport | None, now: timedelta) -> list[Effect]:
         """Handles the response to a report request; `report` is None if the response is malformed."""
         if report is None:
             return self._on_no_answer(server, UNREADABLE_REPORT, False, now)
-        self._note_answer(server)
+        self._record_response(server)
         if report.is_busy:
             if not server.is_known:
                 server.report_due_at = now + CALLS.report_retry_busy
@@ -140,7 +140,7 @@
 
     def on_answer(self, server: EngineServer, answer: OrderAnswer, now: timedelta) -> list[Effect]:
         """Handles a server's answer to its order in flight."""
-        self._note_answer(server)
+        self._record_response(server)
         order = server.order
         if order is None:
             return []
@@ -154,7 +154,7 @@
         return self._on_refused(server, order, answer, now)
 
     @staticmethod
-    def _note_answer(server: EngineServer) -> None:
+    def _record_response(server: EngineServer) -> None:
         server.failures = 0
         server.is_unreachable = False
 
@@ -189,7 +189,7 @@
         self.publisher.mark_changed(server.name)
         if not order.is_accepted and order.verb == Verb.LOAD:  # it held the model already: ask for a report
             if order.is_from_store:
-                self.store.give_back()
+                self.store.refund()
             server.invalidate(now)
             return []
         if order.is_accepted:
@@ -201,7 +201,7 @@
 
     def _on_refused(self, server: EngineServer, order: Order, answer: OrderAnswer, now: timedelta) -> list[Effect]:
         if order.is_from_store and not order.is_accepted:
-            self.store.give_back()
+            self.store.refund()
         if answer == OrderAnswer.FENCED:
             self.is_superseded = True
             details = {"server": server.name, "fence": self.calls.fence}
@@ -221,7 +221,7 @@
         if order.verb == Verb.UNLOAD or order.adapter:
             return self.load_times.estimate(kind, CALLS.first_unload_estimate)
         load = MS * kind.load_ms if self._is_configured(server, order) else UNCONFIGURED_LOAD
-        first = load + CALLS.store_overhead if order.is_from_store else load * CALLS.disk_part
+        first = load + CALLS.store_overhead if order.is_from_store else load * CALLS.disk_load_fraction
         return self.load_times.estimate(kind, first)
 
     def _is_configured(self, server: EngineServer, order: Order) -> bool:
--- a/sumachook/placement/orders.py
+++ b/sumachook/placement/orders.py
@@ -41,7 +41,7 @@
     actual: Mapping[str, Mapping[str, str]],
     in_flight: Mapping[ItemAtServer, str],
     budget: float,
-    not_now: Collection[ItemAtServer] = frozenset(),
+    backing_off: Collection[ItemAtServer] = frozenset(),
 ) -> PlannedOrders:
     """Returns the orders that bring the contents of the servers closer to the plan.
 
@@ -51,9 +51,9 @@
     actual : {server: {item: status}} as last polled from the servers
     in_flight : {(server, item): verb} of orders sent since; memory is counted for both loads and unloads
     budget : gigabytes that may be loaded from the weight store now
-    not_now : (server, item) whose last order was refused and whose backoff has not expired
+    backing_off : (server, item) whose last order was refused and whose backoff has not expired
     """
-    planner = _OrderPlanner(catalogue, servers, pairs, demand, actual, in_flight, budget, not_now)
+    planner = _OrderPlanner(catalogue, servers, pairs, demand, actual, in_flight, budget, backing_off)
     planner.unload_unknown()
     planner.load_models()
     planner.load_adapters()
@@ -72,7 +72,7 @@
         actual: Mapping[str, Mapping[str, str]],
         in_flight: Mapping[ItemAtServer, str],
         budget: float,
-        not_now: Collection[ItemAtServer],
+        backing_off: Collection[ItemAtServer],
     ):
         self.servers = servers
         self.pairs = pairs
@@ -80,7 +80,7 @@
         self.actual = actual
         self.in_flight = dict(in_flight)
         self.budget = budget
-        self.not_now = not_now
+        self.backing_off = backing_off
         self.sizes: dict[str, float] = {model.name: model.memory for model in catalogue.models}
         self.adapters = {adapter.name: adapter for adapter in catalogue.adapters}
         self.evict: Any = compile_policy("evict", catalogue.policies.evict)
@@ -178,7 +178,7 @@
             (position, -self._demand_of(model), model, server)
             for model, pair in self.pairs.items()
             for position, server in enumerate(pair)
-            if server in self.held and model not in self.held[server] and (server, model) not in self.not_now
+            if server in self.held and model not in self.held[server] and (server, model) not in self.backing_off
         ]
         return [(server, model) for _, _, model, server in sorted(missing)]
 
@@ -188,13 +188,13 @@
             return
         scores = self._eviction_scores(server, model)
         if not scores:
-            self._unload_adapter_asked_for_less(server, model)
+            self._evict_adapter_with_less_demand(server, model)
             return
         evicted = min(scores, key=lambda item: (-scores[item], self._demand_of(item), -self.sizes[item], item))
         self._unload(server, MODEL, evicted, self.sizes[evicted])
         self.replicas[evicted] = self.replicas.get(evicted, 1) - 1
 
-    def _unload_adapter_asked_for_less(self, server: str, model: str) -> None:
+    def _evict_adapter_with_less_demand(self, server: str, model: str) -> None:
         """Evicts an adapter with less demand than `model`: adapters may occupy memory that the plan counts on."""
         demand = self._demand_of(model)
         adapters = [
@@ -244,7 +244,7 @@
         base = self.adapters[name].model
         return (
             name not in self.held[server]
-            and (server, name) not in self.not_now
+            and (server, name) not in self.backing_off
             and self._is_ready(server, base)
             and not self._is_unloading(server, base)
             and self._demand_of(name) >= self.waiting_demand.get(server, 0.0)
--- a/sumachook/placement/placer.py
+++ b/sumachook/placement/placer.py
@@ -21,11 +21,11 @@
 
 POLL_TIMEOUT = timedelta(seconds=1.5)  # longer than the poll interval: a slow response still counts
 DEMAND_HALF_LIFE = timedelta(seconds=60)  # long enough that the plan does not follow short bursts
-FORGOTTEN_DEMAND = 0.05  # decayed counts below this are dropped
+MIN_DEMAND = 0.05  # decayed counts below this are dropped
 MODELS = "models"
 ADAPTERS = "adapters"
 ORDER = "order"
-WARM = "warm"  # status of an item that became ready less than `WARM_FOR` ago
+WARM = "warm"  # status of an item that became ready less than `WARM_UP_TIME` ago
 COMPONENT = "placement"
 
 Items = dict[str, str]  # {model or adapter: status} of one server
@@ -90,9 +90,9 @@
 
     POLL_INTERVAL = timedelta(seconds=0.8)
     PLAN_INTERVAL = timedelta(seconds=4)  # replans at this interval even without changes, to follow demand
-    WARM_FOR = timedelta(seconds=6)  # edges limit requests to items that became ready more recently than this
+    WARM_UP_TIME = timedelta(seconds=6)  # edges limit requests to items that became ready more recently than this
     RESEND_INTERVAL = timedelta(seconds=1)  # for proposals, which may be lost; refused orders back off from it
-    UNCONFIRMED_FOR = timedelta(seconds=30)  # longer than any load takes
+    UNCONFIRMED_TIMEOUT = timedelta(seconds=30)  # longer than any load takes
     MAX_READS = 5  # polls without the effect of an order, after which it counts as lost
     MAX_BACKOFF = timedelta(seconds=60)
     UNREACHABLE_AFTER = 3  # consecutive failed polls
@@ -106,8 +106,8 @@
         self.demand_at = now
         self.needs_plan = True
         self.state_changes: Subject[Any] = Subject()
-        outlines = self.state_changes.pipe(ops.map(_outline))
-        outlines.pipe(ops.distinct_until_changed()).subscribe(self._request_plan)
+        plan_inputs = self.state_changes.pipe(ops.map(_plan_inputs))
+        plan_inputs.pipe(ops.distinct_until_changed()).subscribe(self._request_plan)
         self._start_lease(now)
 
     def _request_plan(self, _: Any) -> None:
@@ -155,7 +155,7 @@
         if now - self.demand_at <= timedelta(seconds=1):
             return
         factor = 0.5 ** ((now - self.demand_at) / DEMAND_HALF_LIFE)
-        self.demand = {name: count * factor for name, count in self.demand.items() if count * factor > FORGOTTEN_DEMAND}
+        self.demand = {name: count * factor for name, count in self.demand.items() if count * factor > MIN_DEMAND}
         self.demand_at = now
 
     # ticks ---------------------------------------------------------------------------
@@ -172,7 +172,7 @@
         if now >= self.next_poll_at:
             self.next_poll_at = now + self.POLL_INTERVAL
             effects += self._poll()
-        return effects + self._propose_held(now) + self._propose_pairs(now) + self._send_orders(now)
+        return effects + self._propose_loaded_models(now) + self._propose_pairs(now) + self._send_orders(now)
 
     def _fill_budget(self, now: timedelta) -> None:
         """Refills the budget of gigabytes to load from the store; loads that may be running reduce the burst."""
@@ -180,7 +180,7 @@
         self.unconfirmed = {
             name: load
             for name, load in self.unconfirmed.items()
-            if now - load.failed_at < self.UNCONFIRMED_FOR and name in self.state.servers
+            if now - load.failed_at < self.UNCONFIRMED_TIMEOUT and name in self.state.servers
         }
         taken = sum(self.unanswered.values()) + sum(load.gigabytes for load in self.unconfirmed.values())
         earned = store.pace * (now - self.budget_at).total_seconds()
@@ -217,7 +217,7 @@
         if call_id.server in self.unreachable:
             self.unreachable.discard(call_id.server)
             self.needs_plan = True
-        self._learn_items(call_id.server, {**self.models.get(call_id.server, {}), **items}, now)
+        self._record_items(call_id.server, {**self.models.get(call_id.server, {}), **items}, now)
         return []
 
     def _read_items(self, kind: str, event: ResponseReceived | CallFailed) -> Items | None:
@@ -236,7 +236,7 @@
         self.needs_plan = True
         return [Log("warning", COMPONENT, "Model server is unreachable.", {"server": name})]
 
-    def _learn_items(self, name: str, items: Items, now: timedelta) -> None:
+    def _record_items(self, name: str, items: Items, now: timedelta) -> None:
         """Records a server's contents, and drops orders whose effect they show or that `MAX_READS` polls did not show.
 
         Polls are counted rather than seconds, because a frozen server has had no time to carry out anything.
@@ -247,8 +247,8 @@
         for (server, item), sent in list(self.in_flight.items()):
             if server != name:
                 continue
-            is_shown = (sent.verb == LOAD) == (item in items)
-            if is_shown or sent.reads >= self.MAX_READS:
+            has_taken_effect = (sent.verb == LOAD) == (item in items)
+            if has_taken_effect or sent.reads >= self.MAX_READS:
                 del self.in_flight[(server, item)]
             else:
                 self.in_flight[(server, item)] = SentOrder(sent.verb, sent.reads + 1)
@@ -258,7 +258,7 @@
 
     # proposals -----------------------------------------------------------------------
 
-    def _propose_held(self, now: timedelta) -> list[Effect]:
+    def _propose_loaded_models(self, now: timedelta) -> list[Effect]:
         """Proposes the contents of servers that differ from the control state."""
         if now - self.held_proposed_at < self.RESEND_INTERVAL / 4:
             return []
@@ -278,8 +278,8 @@
         return [ProposeChange(UpdateLoadedModels(self.fence, changed))]
 
     def _status_of(self, name: str, item: str, status: str, now: timedelta) -> str:
-        ready_since = self.ready_since.get((name, item), -self.WARM_FOR)
-        return WARM if status == READY and now - ready_since < self.WARM_FOR else status
+        ready_since = self.ready_since.get((name, item), -self.WARM_UP_TIME)
+        return WARM if status == READY and now - ready_since < self.WARM_UP_TIME else status
 
     def _propose_pairs(self, now: timedelta) -> list[Effect]:
         """Proposes a changed plan; does not plan before every server was polled or found unreachable."""
@@ -320,7 +320,7 @@
             actual={name: self.actual[name] for name in servers},
             in_flight={key: sent.verb for key, sent in self.in_flight.items()},
             budget=self.budget,
-            not_now={key for key, backoff in self.refused.items() if now < backoff.until},
+            backing_off={key for key, backoff in self.refused.items() if now < backoff.until},
         )
         self.budget -= planned.gigabytes
         effects: list[Effect] = []
@@ -379,7 +379,7 @@
     return Fetch(call_id, method, f"http://{server['address']}{path}", headers, body, timeout, timeout, "whole")
 
 
-def _outline(state: Any) -> tuple[Any, ...]:
+def _plan_inputs(state: Any) -> tuple[Any, ...]:
     """Returns the parts of the control state that a plan depends on, to detect changes."""
     servers = sorted((name, item["area"], item["leaving"], item["memory"]) for name, item in state.servers.items())
     return state.generation, state.evacuated, tuple(servers)
--- a/sumachook/placement/places.py
+++ b/sumachook/placement/places.py
@@ -16,10 +16,10 @@
     incarnation: int
 
 
-class Places:
+class PlacementView:
     """Applies the placement updates of the lease holder, and requests a snapshot if it missed one.
 
-    >>> places, holder = Places(), ("core-1", "127.0.0.1:1")
+    >>> places, holder = PlacementView(), ("core-1", "127.0.0.1:1")
     >>> places.take(MessageReceived(*holder, PlacementUpdate(1, 9, 4, False, {})), None)
     [Send(address='127.0.0.1:1', message=PlacementSnapshotRequest(number=0))]
     >>> snapshot = {"i-1": {"m": ("a1",)}, "i-2": {"m": ()}}
--- a/sumachook/placement/plan.py
+++ b/sumachook/placement/plan.py
@@ -14,9 +14,9 @@
 SECONDARY = 1
 
 # A server's score for a model is a hash of both, from 0 to 1, plus or minus these terms and the operator's policy.
-STAY = 1.0  # added for the server in the current plan, and for one that holds the model: a move costs a load
-CROWDED = 0.6  # twice this times the used share of memory is subtracted, which spreads models evenly
-KEEP = 1.5  # demand factor of models with two replicas: one is given up only for clearly higher demand
+STAY_BONUS = 1.0  # added for the server in the current plan, and for one that holds the model: a move costs a load
+CROWDING_PENALTY = 0.6  # twice this times the used share of memory is subtracted, which spreads models evenly
+SECOND_REPLICA_WEIGHT = 1.5  # demand factor of models with two replicas: one is given up only for clearly higher demand
 
 
 def _affinity(model: str, server: str) -> float:
@@ -24,7 +24,9 @@
     return crc32(f"{model}@{server}".encode()) / 0xFFFFFFFF
 
 
-def usable(servers: Servers, evacuated: Collection[str], unreachable: Collection[str]) -> dict[str, Mapping[str, Any]]:
+def usable_servers(
+    servers: Servers, evacuated: Collection[str], unreachable: Collection[str]
+) -> dict[str, Mapping[str, Any]]:
     """Returns the model servers that replicas may be placed on: reachable, not leaving, and in an open zone."""
     return {
         name: server
@@ -56,7 +58,7 @@
     pairs : the current plan
     held : {server: {model: status}} of the present contents
     """
-    open_servers = usable(servers, evacuated, unreachable)
+    open_servers = usable_servers(servers, evacuated, unreachable)
     planner = _PairPlanner(
         open_servers=open_servers,
         score_by_policy=compile_policy("place", catalogue.policies.place),
@@ -70,8 +72,8 @@
 
 
 def _by_demand(catalogue: Any, demand: Mapping[str, float], pairs: Mapping[str, Pair]) -> list[Any]:
-    """Returns all models by descending demand, where models with two replicas are weighted by `KEEP`."""
-    factors = {model: KEEP if pair[SECONDARY] else 1.0 for model, pair in pairs.items()}
+    """Returns all models by descending demand, where the demand of models with two replicas weighs more."""
+    factors = {model: SECOND_REPLICA_WEIGHT if pair[SECONDARY] else 1.0 for model, pair in pairs.items()}
     return sorted(
         catalogue.models, key=lambda model: (-demand.get(model.name, 0.0) * factors.get(model.name, 1.0), model.name)
     )
@@ -106,17 +108,17 @@
         wanted = [model for model in rare if self.demand.get(model.name, 0.0) > 0]
         result: dict[str, Pair] = {}
         for model in busy + wanted:
-            result[model.name] = (self.choose(model, "", PRIMARY), "")
+            result[model.name] = (self.choose_server(model, "", PRIMARY), "")
         for model in busy:
             primary = result[model.name][PRIMARY]
             if primary:
-                result[model.name] = (primary, self.choose(model, primary, SECONDARY))
+                result[model.name] = (primary, self.choose_server(model, primary, SECONDARY))
         for model in rare:
             if model not in wanted:
-                result[model.name] = (self.choose(model, "", PRIMARY), "")
+                result[model.name] = (self.choose_server(model, "", PRIMARY), "")
         return result
 
-    def choose(self, model: Any, primary: str, position: int) -> str:
+    def choose_server(self, model: Any, primary: str, position: int) -> str:
         """Returns the server with the best score and enough memory, or ""; prefers another zone than the primary's."""
         best: tuple[bool, float, str] | None = None
         for name, server in self.open_servers.items():
@@ -135,8 +137,8 @@
     def _score(self, model: Any, name: str, server: Mapping[str, Any], position: int) -> float:
         is_held = model.name in self.held.get(name, {})
         is_present = self.pairs.get(model.name, NO_PAIR)[position] == name
-        score = _affinity(model.name, name) - CROWDED * (1 - self.free[name] / max(1.0, server["memory"])) * 2
-        score += STAY * is_present + STAY * is_held
+        score = _affinity(model.name, name) - CROWDING_PENALTY * (1 - self.free[name] / max(1.0, server["memory"])) * 2
+        score += STAY_BONUS * is_present + STAY_BONUS * is_held
         score += self.score_by_policy(
             {
                 "area": server["area"],
--- a/sumachook/placement/policy.py
+++ b/sumachook/placement/policy.py
@@ -56,7 +56,7 @@
     """Initial estimate of the duration of an unload or an adapter order."""
     store_overhead: timedelta = MS * 4
     """Added to the configured load time for the initial estimate of a load from the weight store."""
-    disk_part: float = 0.5
+    disk_load_fraction: float = 0.5
     """Fraction of the configured load time that is the initial estimate of a load from the server's own disk."""
 
 
@@ -66,13 +66,13 @@
 
     eviction_of_running: float = 1.5
     """Cost of evicting a model with running requests, as the unload waits for them."""
-    eviction_of_more_asked: float = 5.0
+    eviction_of_busier: float = 5.0
     """Cost of evicting the only replica of a model with a higher request rate than the one to load."""
     only_replica_loads: float = 3.3
     """Cost of evicting a model's only replica, multiplied by its load time and request rate."""
     shared_replica_loads: float = 0.67
     """Cost of evicting one of several replicas, times load time and request rate, divided by the replica count."""
-    disk_part: float = 0.42
+    disk_load_fraction: float = 0.42
     """Fraction of the configured load time that a load from local disk takes, until one has been observed."""
     adapter_eviction: float = 0.1
     """Cost of evicting one adapter, which can be reloaded within a few milliseconds."""
@@ -86,15 +86,15 @@
     """Request rate, per second, that one waiting request counts as."""
     catalogue_order_loads: float = 0.8
     """Value of the catalogue's first model at startup, in load times: operators list the busiest models first."""
-    catalogue_order_for: timedelta = timedelta(seconds=20)
+    catalogue_order_decay: timedelta = timedelta(seconds=20)
     """Time after the first request over which the weight of the catalogue order decays to zero."""
     predicted_loads: float = 2.0
     """Cost of evicting the only replica of a model that is likely to be requested next, in load times."""
-    just_used: float = 0.2
+    eviction_of_recently_used: float = 0.2
     """Cost of evicting a model that was requested within the last second."""
     blocked_adapters: float = 0.05
     """Cost per request per second of the server's models with adapters: a load blocks adapter loads there."""
-    same_zone: float = 0.3
+    replica_in_same_zone: float = 0.3
     """Cost per other replica in the same zone, as a whole zone may fail."""
     load_on_server: float = 0.02
     """Cost per request per second that the server already handles."""
@@ -108,21 +108,21 @@
 
     rate_per_replica: float = 22.0
     """Requests per second that one replica is meant to handle."""
-    slots_part: float = 0.5
+    slots_fraction: float = 0.5
     """Fraction of an engine's concurrent requests; this many of one model justify one replica."""
     busy_rate: float = 1.0
     """Requests per second below which a model never counts as busy."""
     busy_share: float = 0.04
     """Share of all requests from which a model counts as busy."""
-    kept_rate: float = 0.3
+    min_replica_rate: float = 0.3
     """Requests per second from which a model should have at least one replica."""
     overloaded_share: float = 0.1
     """Share of all requests from which a model should not depend on a single replica."""
-    rising: float = 1.2
+    rising_ratio: float = 1.2
     """Ratio of predicted to present request rate above which demand counts as rising."""
     popular_share: float = 0.02
     """Share of all requests from which a model counts as popular when predicting the next ones."""
-    busiest_part: float = 0.3
+    busiest_fraction: float = 0.3
     """Fraction of all model slots; this many of the busiest models may have a second replica."""
     predicted_cost_loads: float = 1.3
     """Acceptable eviction cost for a replica of a model that is likely to be requested next, in load times."""
--- a/sumachook/placement/provisioner.py
+++ b/sumachook/placement/provisioner.py
@@ -100,9 +100,9 @@
         if not self._holds_lease(now) or (isinstance(event, MessageReceived) and not self.has_new_request):
             return effects
         self.has_new_request = False
-        effects += self._act(now)
+        effects += self._do_due_work(now)
         effects += self.publisher.publish(self.registry.servers, now)
-        return effects + self._wake(now)
+        return effects + self._schedule_wake_up(now)
 
     def _holds_lease(self, now: timedelta) -> bool:
         return bool(self.fence) and not self.executor.is_superseded and now - self.last_tick <= LEASE.lease
@@ -148,12 +148,12 @@
                 self.has_new_request = self.requests.record(sender, requests, now)
             case ModelUsage(usage=usage):
                 self.demand.record(sender, usage, now)
-                self._note_used(usage)
+                self._mark_used(usage)
             case PlacementSnapshotRequest(number=number) if self.fence:
                 return self.publisher.answer(address, number < 0, self.registry.servers)
         return []
 
-    def _note_used(self, usage: UsageByService) -> None:
+    def _mark_used(self, usage: UsageByService) -> None:
         """Clears `unused_since` of used models and adapters, which lifts their protection against eviction."""
         for service, names in usage.items():
             used = {name for name, (begun, running, *_) in names.items() if begun or running}
@@ -179,17 +179,17 @@
 
     # what is due ---------------------------------------------------------------------
 
-    def _act(self, now: timedelta) -> list[Effect]:
+    def _do_due_work(self, now: timedelta) -> list[Effect]:
         """Sends due calls, then loads for waiting requests, then loads of additional replicas."""
         self.executor.store.fill(self.registry.loads_per_s or UNLIMITED_LOADS_PER_S, now)
-        effects = self.executor.call_due(now)
+        effects = self.executor.send_due_calls(now)
         effects += self.request_scheduler.serve(now)
         if now >= self.next_replication_at:
             self.next_replication_at = now + LEASE.replication_interval
             effects += self.replica_scheduler.adjust(self.requests.pending(now), now)
         return effects
 
-    def _wake(self, now: timedelta) -> list[Effect]:
+    def _schedule_wake_up(self, now: timedelta) -> list[Effect]:
         """Schedules a wake-up if a call is due before the next tick."""
         soonest = self.executor.next_call_at()
         if soonest is None or soonest >= self.last_tick + LEASE.tick_interval or now < self.wake_at <= soonest:
--- a/sumachook/placement/replica_counts.py
+++ b/sumachook/placement/replica_counts.py
@@ -14,7 +14,7 @@
     tenths of all memory.
     """
     models = scoring.capacity.models
-    rates = {model: rate for model in models if (rate := scoring.rate(model)) >= REPLICAS.kept_rate}
+    rates = {model: rate for model in models if (rate := scoring.rate(model)) >= REPLICAS.min_replica_rate}
     total = sum(rates.values())
     open_servers = [server for server in scoring.servers if server.is_open]
     if not rates or not open_servers:
@@ -22,7 +22,7 @@
     mean_mb = sum(model.size_mb for model in models.values()) / len(models)
     room = len(open_servers) * int(scoring.capacity.engine.memory_mb // max(mean_mb, 1.0))
     by_rate = sorted(rates, key=lambda model: (-rates[model], model))
-    busiest = by_rate[: int(room * REPLICAS.busiest_part)]
+    busiest = by_rate[: int(room * REPLICAS.busiest_fraction)]
     desired = {}
     for model in rates:
         rate = scoring.predicted_rate(model)
@@ -37,7 +37,7 @@
 
 def running_per_replica(scoring: CandidateScoring) -> float:
     """Returns how many running requests of a model one replica is meant to handle."""
-    return float(max(1.0, REPLICAS.slots_part * scoring.capacity.engine.slots))
+    return float(max(1.0, REPLICAS.slots_fraction * scoring.capacity.engine.slots))
 
 
 def overloaded_models(scoring: CandidateScoring) -> tuple[str, ...]:
@@ -58,7 +58,7 @@
 def _is_overloaded(scoring: CandidateScoring, model: str, total_rate: float) -> bool:
     replicas = scoring.replicas.get(model, 0)
     predicted = scoring.predicted_rate(model)
-    is_rising = predicted > REPLICAS.rising * scoring.rate(model)
+    is_rising = predicted > REPLICAS.rising_ratio * scoring.rate(model)
     share = REPLICAS.busy_share if is_rising else REPLICAS.overloaded_share
     return (
         scoring.running(model) > running_per_replica(scoring) * replicas
--- a/sumachook/placement/replica_scheduler.py
+++ b/sumachook/placement/replica_scheduler.py
@@ -55,14 +55,14 @@
             planned = scoring.planned_replicas(model)
             # an additional replica leaves one store token for models without any
             if planned < desired and (self.scheduler.executor.store.tokens >= 2.0 or not planned):
-                effects = self.scheduler.load_model(scoring, model, now, is_spare=True)
+                effects = self.scheduler.load_model(scoring, model, now, is_optional=True)
                 if effects:
                     return effects
         return []
 
     def _add_adapter_replica(self, scoring: CandidateScoring, now: timedelta) -> list[Effect]:
         demand = self.scheduler.demand
-        names = [key[1] for key in demand.last_begun if key[0] == scoring.service and "/" in key[1]]
+        names = [key[1] for key in demand.last_started if key[0] == scoring.service and "/" in key[1]]
         names.sort(key=lambda name: -scoring.rate(name))
         for name in names[: REPLICAS.adapters_considered]:
             model, adapter = split_name(name)
@@ -91,12 +91,12 @@
         """Returns whether a model or adapter is ready or loading on an open server, or a server is reserved for it."""
         model, adapter = split_name(name)
         return any(
-            server.service == service and server.is_open and _provides(server, model, adapter)
+            server.service == service and server.is_open and _holds_or_loads(server, model, adapter)
             for server in self.scheduler.registry.servers.values()
         )
 
 
-def _provides(server: EngineServer, model: str, adapter: str) -> bool:
+def _holds_or_loads(server: EngineServer, model: str, adapter: str) -> bool:
     if server.reserved_for == model or server.is_loading(model):
         return True
     if adapter and server.is_loading(model, adapter):
--- a/sumachook/placement/store_tokens.py
+++ b/sumachook/placement/store_tokens.py
@@ -34,6 +34,6 @@
         self.tokens -= 1.0
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Returns a token after a load that certainly did not begin."""
         self.tokens = min(self.BURST, self.tokens + 1.0)
--- a/tests/forwarding/forwarding_fixtures.py
+++ b/tests/forwarding/forwarding_fixtures.py
@@ -13,7 +13,7 @@
 from sumachook.host.events import MessageReceived
 from sumachook.ledger.events import RecordDeferred
 from sumachook.placement.messages import PlacementRequest, PlacementUpdate
-from sumachook.placement.places import Places
+from sumachook.placement.places import PlacementView
 from sumachook.requests.events import (
     DrainEnded,
     DrainStarted,
@@ -128,7 +128,7 @@
     def __init__(
         self, doc=None, servers=None, credit=4.0, seed=1, trust=Trust.FRESH, held=("l1", "l2", "l3"), port=None
     ):
-        self.now, self.state, self.trust, self.places = START, State(), FixedTrust(trust), Places()
+        self.now, self.state, self.trust, self.places = START, State(), FixedTrust(trust), PlacementView()
         self.retry_budget = RetryBudget(cap=4.0)
         if doc is not False:
             assert self.state.apply(1, ("configure", "q", doc or catalogue(), {}, False, 0))[0] == "ok"
--- a/tests/placement/provisioning_fixtures.py
+++ b/tests/placement/provisioning_fixtures.py
@@ -13,7 +13,7 @@
 from sumachook.host.events import CallFailed, DelayElapsed, MessageReceived, ResponseReceived
 from sumachook.placement.events import LeaseTick
 from sumachook.placement.messages import ModelUsage, PlacementRequest
-from sumachook.placement.places import Places
+from sumachook.placement.places import PlacementView
 from sumachook.placement.port import ServerPort
 from sumachook.placement.provisioner import Provisioner
 from sumachook.simulation.fake_engine_server import FakeEngineServer
@@ -47,7 +47,7 @@
         self.is_ticking = True
         self.updates = []
         self.logs = []
-        self.edges = {address: Places() for address in EDGES}
+        self.edges = {address: PlacementView() for address in EDGES}
         self.engines = {}
         self.holder = None
         self.fence = 0
--- a/tests/placement/test_provisioning.py
+++ b/tests/placement/test_provisioning.py
@@ -12,7 +12,7 @@
 from sumachook.placement.events import LeaseTick, StateChanged
 from sumachook.placement.messages import PlacementSnapshotRequest, PlacementUpdate
 from sumachook.placement.placement_status import placement_status
-from sumachook.placement.places import Places
+from sumachook.placement.places import PlacementView
 from tests.placement.provisioning_fixtures import EDGES, MS, ProvisionerScene, orders_of
 
 
@@ -209,7 +209,7 @@
     """Given an edge that joins, the next tick sends it one snapshot."""
     scene = ProvisionerScene(held={0: ("m0",)})
     scene.run(timedelta(seconds=1.5))
-    scene.edges["10.0.1.3:7"] = Places()
+    scene.edges["10.0.1.3:7"] = PlacementView()
     sent = [
         effect
         for effect in scene.give(LeaseTick(scene.fence, (*EDGES, "10.0.1.3:7")))
@@ -298,7 +298,7 @@
     """Given an edge that missed updates, it gets a snapshot; updates under older fences change nothing."""
     scene = ProvisionerScene(held={0: ("m0",)})
     scene.run(timedelta(seconds=1))
-    edge = scene.edges[EDGES[0]] = Places()  # this edge starts anew and knows nothing
+    edge = scene.edges[EDGES[0]] = PlacementView()  # this edge starts anew and knows nothing
     scene.run(timedelta(seconds=2))
     assert edge.is_known and edge.holders("m0") == ("i-0",)
     assert edge.take(
@@ -366,7 +366,7 @@
         if "//i-5:" in effect.url
         else arrive(holder, effect)
     )
-    old, blank = scene.edges[EDGES[0]], Places()
+    old, blank = scene.edges[EDGES[0]], PlacementView()
     old.take(MessageReceived("core", "c:1", PlacementUpdate(0, 1, 1, True, {"i-9": {"m9": ()}})), scene.now)
     scene.edges[EDGES[1]] = blank
     scene.run(MS * 100)
