--- a/sumachook/placement/candidates.py
+++ b/sumachook/placement/candidates.py
@@ -11,7 +11,7 @@
 from sumachook.placement.model_names import full_name, model_of
 from sumachook.placement.policy import SCORING
 
-UNUSED_GRACE = timedelta(seconds=2)  # keeps a fresh load until the requests it is for arrive
+UNUSED_GRACE = timedelta(seconds=2)  # protects a new load from eviction until requests use it
 RECENT_USE = timedelta(seconds=1)
 MAX_BLOCKED_RATE = 20.0  # requests per second; caps the cost of blocking a busy server
 
@@ -94,7 +94,7 @@
         self._rates: dict[str, float] = {}
         self._positions: dict[str, int] = {}
 
-    # demand --------------------------------------------------------------------------
+    # request rates and replicas ------------------------------------------------------
 
     def rate(self, name: str) -> float:
         """Returns the request rate of a model or adapter, in requests per second."""
@@ -162,7 +162,7 @@
         """Returns the cost of evicting `model` from a server, in seconds of waiting; None if it must not be evicted."""
         if model not in self.capacity.models:
             return 0.0
-        if model in self.wanted or self._was_loaded_for_somebody(server, model):
+        if model in self.wanted or self._is_protected_load(server, model):
             return None
         replicas = max(1, self.replicas.get(model, 1))
         rate = self.rate(model)
@@ -175,7 +175,7 @@
         if running_here:  # the server finishes running requests before it unloads
             cost += SCORING.eviction_of_running + running_here
         if replicas == 1:
-            cost += self._catalogue_worth(model)
+            cost += self._catalogue_order_cost(model)
         if model in self.predicted and replicas == 1:
             cost += load * SCORING.predicted_loads
         last_started = self.demand.last_started.get((self.service, model))
@@ -183,7 +183,7 @@
             cost += SCORING.eviction_of_recently_used
         return cost
 
-    def _was_loaded_for_somebody(self, server: EngineServer, model: str) -> bool:
+    def _is_protected_load(self, server: EngineServer, model: str) -> bool:
         """Returns whether the model or an adapter of it was loaded within `UNUSED_GRACE` and not used since."""
         return any(model_of(name) == model and self.now - at < UNUSED_GRACE for name, at in server.unused_since.items())
 
@@ -191,7 +191,7 @@
         running_here = self.demand.running_at(self.service, model, server.name)
         return self.running(model) / replicas if running_here is None else running_here
 
-    def _catalogue_worth(self, model: str) -> float:
+    def _catalogue_order_cost(self, model: str) -> float:
         """Returns a cost that favours models early in the catalogue, and fades as demand data accumulate."""
         if self.demand_age >= SCORING.catalogue_order_decay:
             return 0.0
@@ -260,7 +260,7 @@
                 found.append((bool(self.running(name)), max(last_started, loaded_at), name))
         return [name for _, _, name in sorted(found)]
 
-    # choices -------------------------------------------------------------------------
+    # choice of a server --------------------------------------------------------------
 
     def best_server(
         self, model: str, may_use_store: bool, is_optional: bool = False, max_cost: float = float("inf")
@@ -318,7 +318,7 @@
         return cost
 
     def _is_needed(self, name: str, rate: float) -> bool:
-        """Returns whether a model needs its replica more than an optional one of a model with this request rate."""
+        """Returns whether a model needs its replica too much to evict it for an optional one of a model with this rate."""
         replicas = self.replicas.get(name, 0)
         if self.running(name):
             return replicas <= self.desired.get(name, 1)
--- a/sumachook/placement/demand.py
+++ b/sumachook/placement/demand.py
@@ -36,7 +36,7 @@
 
     __slots__ = ("rates", "running", "edges", "last_started", "has_server_counts", "first_at")
 
-    TREND_WEIGHT = 1.5  # multiplies the difference of the fast and slow rates: about the change during one load
+    TREND_WEIGHT = 1.5  # weight of the fast minus the slow rate: about the change during one load
     EDGE_TIMEOUT = timedelta(seconds=2)  # edges report several times within this period
 
     def __init__(self) -> None:
--- a/sumachook/placement/load_times.py
+++ b/sumachook/placement/load_times.py
@@ -35,8 +35,8 @@
 
     __slots__ = ("estimates", "steps")
 
-    FIRST_STEP = MS * 30  # the expected size of the error of an initial estimate
-    MIN_STEP = MS * 2  # each step is half of the last one, down to this, so the estimate keeps following changes
+    FIRST_STEP = MS * 30  # the first step; an initial estimate may be wrong by about this much
+    MIN_STEP = MS * 2  # steps halve down to this, so the estimate keeps following changes of the duration
 
     def __init__(self) -> None:
         self.estimates: dict[Hashable, timedelta] = {}
--- a/sumachook/placement/order_executor.py
+++ b/sumachook/placement/order_executor.py
@@ -42,7 +42,7 @@
         self.store = StoreTokenBucket(now)
         self.is_superseded = False
 
-    # sending -------------------------------------------------------------------------
+    # sending calls -------------------------------------------------------------------
 
     def start(self, server: EngineServer, verb: Verb, model: str, adapter: str, now: timedelta) -> Fetch:
         """Sends an order to an idle server: to load or unload a model, or one of its adapters."""
@@ -84,7 +84,7 @@
                 due.append(server.report_due_at)
         return min((at for at in due if at is not None), default=None)
 
-    # answers -------------------------------------------------------------------------
+    # responses and failures ----------------------------------------------------------
 
     def on_failure(self, server: EngineServer, failure: CallFailure, now: timedelta) -> list[Effect]:
         """Handles a call that failed without a response."""
@@ -187,7 +187,7 @@
 
     def _on_complete(self, server: EngineServer, order: Order, now: timedelta) -> list[Effect]:
         self.publisher.mark_changed(server.name)
-        if not order.is_accepted and order.verb == Verb.LOAD:  # it held the model already: ask for a report
+        if not order.is_accepted and order.verb == Verb.LOAD:  # already loaded: the assumed contents were wrong
             if order.is_from_store:
                 self.store.refund()
             server.invalidate(now)
@@ -213,7 +213,7 @@
         details = {**_details(server, order), "answer": answer.value}
         return [Log("warning", COMPONENT, "Order was not accepted.", details)]
 
-    # durations -----------------------------------------------------------------------
+    # estimated durations -------------------------------------------------------------
 
     def _expected_duration(self, server: EngineServer, order: Order) -> timedelta:
         """Returns the estimated duration of an order, from earlier orders of its kind or from the configuration."""
--- a/sumachook/placement/orders.py
+++ b/sumachook/placement/orders.py
@@ -146,7 +146,7 @@
         self.in_flight[(server, item)] = UNLOAD
         self.held[server].discard(item)
 
-    # the steps -----------------------------------------------------------------------
+    # planning steps ------------------------------------------------------------------
 
     def unload_unknown(self) -> None:
         """Unloads items that the catalogue lacks, and excludes their servers from loads: the items' size is unknown."""
--- a/sumachook/placement/placer.py
+++ b/sumachook/placement/placer.py
@@ -25,7 +25,7 @@
 MODELS = "models"
 ADAPTERS = "adapters"
 ORDER = "order"
-WARM = "warm"  # status of an item that became ready less than `WARM_UP_TIME` ago
+WARM = "warm"  # status of a model or adapter that became ready less than `WARM_UP_TIME` ago
 COMPONENT = "placement"
 
 Items = dict[str, str]  # {model or adapter: status} of one server
@@ -91,11 +91,11 @@
     POLL_INTERVAL = timedelta(seconds=0.8)
     PLAN_INTERVAL = timedelta(seconds=4)  # replans at this interval even without changes, to follow demand
     WARM_UP_TIME = timedelta(seconds=6)  # edges limit requests to items that became ready more recently than this
-    RESEND_INTERVAL = timedelta(seconds=1)  # for proposals, which may be lost; refused orders back off from it
-    UNCONFIRMED_TIMEOUT = timedelta(seconds=30)  # longer than any load takes
+    RESEND_INTERVAL = timedelta(seconds=1)  # resends proposals, which may be lost; base of the orders' backoff
+    UNCONFIRMED_TIMEOUT = timedelta(seconds=30)  # no load takes longer, so it has ended by then
     MAX_READS = 5  # polls without the effect of an order, after which it counts as lost
     MAX_BACKOFF = timedelta(seconds=60)
-    UNREACHABLE_AFTER = 3  # consecutive failed polls
+    UNREACHABLE_AFTER = 3  # consecutive failed polls until a server counts as unreachable
 
     def __init__(self, state: Any, now: timedelta):
         self.state = state
@@ -158,7 +158,7 @@
         self.demand = {name: count * factor for name, count in self.demand.items() if count * factor > MIN_DEMAND}
         self.demand_at = now
 
-    # ticks ---------------------------------------------------------------------------
+    # ticks and the store's budget ----------------------------------------------------
 
     def _handle_tick(self, fence: int, now: timedelta) -> list[Effect]:
         if fence != self.fence:
@@ -190,7 +190,7 @@
     def _servers(self) -> dict[str, dict[str, Any]]:
         return {name: server for name, server in self.state.servers.items() if server["kind"] == "model"}
 
-    # reads ---------------------------------------------------------------------------
+    # polling of the servers ----------------------------------------------------------
 
     def _poll(self) -> list[Effect]:
         return [self._read(MODELS, name, server, self.port.MODELS) for name, server in self._servers().items()]
@@ -256,7 +256,7 @@
             if status == READY and before is not None and before.get(item) != READY:
                 self.ready_since[(name, item)] = now
 
-    # proposals -----------------------------------------------------------------------
+    # proposals to the control state --------------------------------------------------
 
     def _propose_loaded_models(self, now: timedelta) -> list[Effect]:
         """Proposes the contents of servers that differ from the control state."""
@@ -305,7 +305,7 @@
             state.catalogue, state.servers, state.evacuated, self.unreachable, self.demand, state.pairs, self.actual
         )
 
-    # orders --------------------------------------------------------------------------
+    # orders to the servers -----------------------------------------------------------
 
     def _send_orders(self, now: timedelta) -> list[Effect]:
         """Sends the planned orders, with at most one unanswered order per server."""
--- a/sumachook/placement/places.py
+++ b/sumachook/placement/places.py
@@ -60,7 +60,7 @@
             self.number = update.number
             return self._apply(update.servers)
         if epoch == self.epoch and update.number == self.number:
-            return []  # duplicate or heartbeat
+            return []  # duplicate update, or a heartbeat
         return [Send(event.address, PlacementSnapshotRequest(self.number if epoch == self.epoch else 0))]
 
     def _apply(self, servers: PlacementsByServer) -> list[Effect]:
--- a/sumachook/placement/plan.py
+++ b/sumachook/placement/plan.py
@@ -14,8 +14,8 @@
 SECONDARY = 1
 
 # A server's score for a model is a hash of both, from 0 to 1, plus or minus these terms and the operator's policy.
-STAY_BONUS = 1.0  # added for the server in the current plan, and for one that holds the model: a move costs a load
-CROWDING_PENALTY = 0.6  # twice this times the used share of memory is subtracted, which spreads models evenly
+STAY_BONUS = 1.0  # score bonus of a server in the current plan, and of one that holds the model: a move costs a load
+CROWDING_PENALTY = 0.6  # twice this times the used share of memory lowers the score, which spreads models
 SECOND_REPLICA_WEIGHT = 1.5  # demand factor of models with two replicas: one is given up only for clearly higher demand
 
 
--- a/sumachook/placement/provisioner.py
+++ b/sumachook/placement/provisioner.py
@@ -25,7 +25,7 @@
 from sumachook.placement.server_calls import CallKind, ServerCalls
 from sumachook.placement.server_registry import ServerRegistry
 
-UNLIMITED_LOADS_PER_S = 1000.0  # if the configuration sets no rate limit for the weight store
+UNLIMITED_LOADS_PER_S = 1000.0  # used if the configuration sets no rate limit for the weight store
 
 
 class Provisioner:
@@ -177,7 +177,7 @@
     def _update_registry(self, now: timedelta) -> None:
         self.publisher.mark_changed(*self.registry.update(self.state, now))
 
-    # what is due ---------------------------------------------------------------------
+    # due calls and loads -------------------------------------------------------------
 
     def _do_due_work(self, now: timedelta) -> list[Effect]:
         """Sends due calls, then loads for waiting requests, then loads of additional replicas."""
--- a/sumachook/placement/request_scheduler.py
+++ b/sumachook/placement/request_scheduler.py
@@ -99,7 +99,7 @@
             known_since = max(server.loaded_at.get(model, server.report_requested_at), server.report_requested_at)
             if now - known_since > CALLS.recheck_after and (not adapter or adapter in server.ready[model]):
                 effects.append(self.scheduler.executor.request_report(server, now))
-        self.requests.forget(service, full_name(model, adapter))  # an edge repeats it while requests wait
+        self.requests.forget(service, full_name(model, adapter))  # edges repeat requests that are still waiting
         return effects
 
 
