--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -27,7 +27,7 @@
         "if not self.is_leading and not was_seen:",
         "if not self.is_leading:",
         PLACEMENT,
-        "notice_while",
+        "leaving_notice",
     ),
     Mutation(
         4,
@@ -35,7 +35,7 @@
         "effects.append(BroadcastToEdges(ServersLeaving(leaving)))",
         "pass",
         PLACEMENT,
-        "notice_while",
+        "leaving_notice",
     ),
     Mutation(
         4,
@@ -270,7 +270,7 @@
         'self.state.is_open(server["area"])\n            and is_reachable_zone',
         "is_reachable_zone",
         PLACEMENT,
-        "evacuated_area",
+        "evacuated_zone",
         file="requests/request_table.py",
     ),
     Mutation(
@@ -279,7 +279,7 @@
         "if not table.state.is_open(table.zone):\n            return FailureKind.EVACUATED",
         "if False:\n            return FailureKind.EVACUATED",
         PLACEMENT,
-        "evacuated_area",
+        "evacuated_zone",
     ),
     Mutation(
         6,
@@ -287,7 +287,7 @@
         "        request.needs_recheck = self.table.follower.trust(now) is Trust.UNPROVEN\n",
         "",
         PLACEMENT,
-        "woken_edge",
+        "resumed_edge",
     ),
     Mutation(
         6,
@@ -312,7 +312,7 @@
         'if len(present) + len(unloading) < self.servers[server]["places"]:',
         "if True:",
         PLACEMENT,
-        "adapters_asked_for_all_together",
+        "requests_for_all_adapters",
     ),
     Mutation(
         9,
--- a/harness/mutations/placement.py
+++ b/harness/mutations/placement.py
@@ -8,23 +8,23 @@
 PLACEMENT_MUTATIONS = (
     Mutation(
         10,
-        "adapters hold the room of a planned model",
+        "adapters keep the memory of a planned model",
         "            self._evict_adapter_with_less_demand(server, model)\n            return",
         "            return",
         "tests/placement/test_orders.py",
-        "adapter_gives_way",
+        "adapter_is_evicted",
     ),
     Mutation(
         10,
-        "adapters take the room that is made for a model",
+        "adapters use the memory that was freed for a model",
         "            and self._demand_of(name) >= self.waiting_demand.get(server, 0.0)\n",
         "",
         "tests/placement/test_orders.py",
-        "adapter_gives_way",
+        "adapter_is_evicted",
     ),
     Mutation(
         "LIMIT",
-        "room is not counted",
+        "used memory is not counted",
         "free_mb = self.capacity.free_mb(server.models)\n",
         "free_mb = 1e9\n",
         PROVISION,
@@ -32,7 +32,7 @@
     ),
     Mutation(
         "LIMIT",
-        "adapters take no room",
+        "adapters use no memory",
         "item.size_mb + item.adapter_mb * len(adapters) if item",
         "item.size_mb if item",
         "sumachook/placement/free_capacity.py",
@@ -40,7 +40,7 @@
     ),
     Mutation(
         "LIMIT",
-        "several orders go to a server at once",
+        "a server gets several orders at once",
         "self.order is None and not self.pending_call",
         "not self.pending_call",
         PROVISION,
@@ -48,7 +48,7 @@
     ),
     Mutation(
         "LIMIT",
-        "orders do not name the count of orders",
+        "orders carry no sequence number",
         "self.node, self.fence, server.sequence)",
         "self.node, self.fence, None)",
         PROVISION,
@@ -56,7 +56,7 @@
     ),
     Mutation(
         "LIMIT",
-        "a picture in doubt is not read again",
+        "uncertain server contents are not polled again",
         "self.is_known = False\n        self.order = None\n",
         "self.is_known = True\n        self.order = None\n",
         PROVISION,
@@ -64,7 +64,7 @@
     ),
     Mutation(
         "LIMIT",
-        "a new holder orders what it has not read",
+        "a new holder sends orders before it has a report",
         "return self.is_open and self.is_known and",
         "return self.is_open and",
         PROVISION,
@@ -72,7 +72,7 @@
     ),
     Mutation(
         "LIMIT",
-        "adapter places are not counted",
+        "adapter slots are not counted",
         "            and taken < self.engine.adapter_places\n",
         "",
         PROVISION,
@@ -80,7 +80,7 @@
     ),
     Mutation(
         "LIMIT",
-        "an unknown model takes no room",
+        "an unknown model uses no memory",
         'if item else float("inf")',
         "if item else 0.0",
         "sumachook/placement/free_capacity.py",
@@ -88,15 +88,15 @@
     ),
     Mutation(
         "LIMIT",
-        "an order that a server carries out is counted again",
+        "a poll of an order in progress is counted as an order",
         "        if order.is_accepted:  # the same order",
         "        if False:  # the same order",
         PROVISION,
-        "not_counted",
+        "poll_is_not_counted",
     ),
     Mutation(
         "CEILING",
-        "a new holder begins with a full bucket",
+        "a new holder starts with a full token bucket",
         "self.tokens = 0.0\n",
         "self.tokens = self.BURST\n",
         PROVISION,
@@ -104,7 +104,7 @@
     ),
     Mutation(
         "CEILING",
-        "loads from the store are not counted",
+        "loads from the weight store are not counted",
         "        if is_from_store:\n            self.store.spend()",
         "        if False:\n            self.store.spend()",
         PROVISION,
@@ -112,7 +112,7 @@
     ),
     Mutation(
         "CEILING",
-        "an empty bucket stops no load",
+        "an empty token bucket does not stop loads",
         "if not is_on_disk and not may_use_store:",
         "if False:",
         PROVISION,
@@ -120,7 +120,7 @@
     ),
     Mutation(
         "CEILING",
-        "the bucket holds any number",
+        "the token bucket has no upper limit",
         "self.tokens = min(self.BURST, self.tokens + per_second",
         "self.tokens = (self.tokens + per_second",
         PROVISION,
@@ -128,7 +128,7 @@
     ),
     Mutation(
         "CEILING",
-        "a load that may have begun is given back",
+        "the token of a load that may have begun is refunded",
         " and order.attempts == 1 and is_unsent:",
         ":",
         PROVISION,
@@ -136,7 +136,7 @@
     ),
     Mutation(
         "ONE",
-        "orders go out after the lease",
+        "orders are sent after the lease has ended",
         "if not self._holds_lease(now) or (",
         "if not self.fence or (",
         PROVISION,
@@ -144,7 +144,7 @@
     ),
     Mutation(
         "ONE",
-        "orders do not bear the holder's fence",
+        "orders do not carry the holder's fencing token",
         "self.node, self.fence, server.sequence)",
         "self.node, 1, server.sequence)",
         PROVISION,
@@ -152,7 +152,7 @@
     ),
     Mutation(
         "ONE",
-        "a holder that is outdone goes on",
+        "a superseded holder keeps sending orders",
         "            self.is_superseded = True",
         "            self.is_superseded = False",
         PROVISION,
@@ -160,7 +160,7 @@
     ),
     Mutation(
         "ONE",
-        "news of an older holder is believed",
+        "updates of an older holder are applied",
         "if update.fence < self.fence or (epoch",
         "if (epoch",
         PROVISION,
@@ -224,7 +224,7 @@
     ),
     Mutation(
         "NEWS",
-        "news does not bear the incarnation of the holder's process",
+        "updates do not carry the incarnation of the holder's process",
         "        epoch = Epoch(update.fence, update.incarnation)",
         "        epoch = Epoch(update.fence, 0)",
         PROVISION,
@@ -232,7 +232,7 @@
     ),
     Mutation(
         "NEWS",
-        "a gap in the news is not seen",
+        "a gap in the updates is not detected",
         "and update.number == self.number + (1 if update.servers else 0):",
         "and update.number > self.number:",
         "sumachook/placement/places.py",
@@ -240,7 +240,7 @@
     ),
     Mutation(
         "NEWS",
-        "a new edge is told nothing",
+        "a new edge gets no snapshot",
         "new_edges = [address for address in edges if address not in known] if self.is_open else []",
         "new_edges = []",
         PROVISION,
--- a/harness/mutations/requests.py
+++ b/harness/mutations/requests.py
@@ -84,7 +84,7 @@
         "self._allows_slow_start(name, item, is_warming, in_use.get(item, 0), now) and ",
         "",
         PLACEMENT,
-        "just_woke",
+        "just_loaded",
     ),
     Mutation(
         8,
@@ -92,7 +92,7 @@
         "name, WHOLE_SERVER, is_cold, server_window.in_use, now",
         "name, WHOLE_SERVER, False, 0, now",
         PLACEMENT,
-        "comes_up_cold",
+        "restarted_empty",
     ),
     Mutation(
         8,
--- a/sumachook/placement/candidates.py
+++ b/sumachook/placement/candidates.py
@@ -318,7 +318,7 @@
         return cost
 
     def _is_needed(self, name: str, rate: float) -> bool:
-        """Returns whether a model needs its replica too much to evict it for an optional one of a model with this rate."""
+        """Returns whether a replica is too valuable to evict for an optional one of a model with this request rate."""
         replicas = self.replicas.get(name, 0)
         if self.running(name):
             return replicas <= self.desired.get(name, 1)
--- a/tests/placement/plan_fixtures.py
+++ b/tests/placement/plan_fixtures.py
@@ -1,4 +1,4 @@
-"""A catalogue and model servers for the tests of plans and orders."""
+"""Builds a catalogue and model servers for the tests of plans and orders."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 def catalogue_and_servers(count=6, memory=40.0):
-    """Twenty models with an adapter each, and servers in three zones."""
+    """Returns a catalogue of 20 models with one adapter each, and servers spread over three zones."""
     zones = ["a", "b", "c"]
     doc = {
         "name": "c",
--- a/tests/placement/provisioning_fixtures.py
+++ b/tests/placement/provisioning_fixtures.py
@@ -1,4 +1,4 @@
-"""Servers, edges and holders of the placement lease in virtual time, for the tests of placement on demand."""
+"""Simulates engine servers, edges and lease holders in virtual time, for the tests of placement on demand."""
 
 from datetime import timedelta
 from heapq import heappop, heappush
@@ -23,8 +23,9 @@
 EDGES = ("10.0.1.1:7", "10.0.1.2:7")
 
 
-class ProvisionerScene:
-    """Engine servers, and holders of the lease one after another; calls take `delay` each way and are lost by `loss`."""
+class ProvisionerSimulation:
+    """Runs engine servers and successive lease holders; calls take `delay` each way and fail with probability
+    `loss`."""
 
     def __init__(
         self,
@@ -73,10 +74,10 @@
             ),
         )
         for number in range(servers):
-            self.add(f"i-{number}", "abc"[number % 3], (held or {}).get(number, ()))
+            self.add_server(f"i-{number}", "abc"[number % 3], (held or {}).get(number, ()))
         self.take_over()
 
-    def add(self, name, zone, models=()):
+    def add_server(self, name, zone, models=()):
         self.engines[name] = FakeEngineServer(
             name, self.engine_config, dict.fromkeys(models, ()) if not isinstance(models, dict) else models
         )
@@ -90,17 +91,17 @@
         }
 
     def take_over(self):
-        """Another core holds the lease from now on; the calls of the one before go on."""
+        """Gives the lease to another core; calls of the previous holder stay in flight."""
         self.fence += 1
         self.holder = Provisioner(self.state, ServerPort(), f"core-{self.fence}", self.now)
-        self.at(timedelta(0), "tick", self.holder)
+        self.schedule(timedelta(0), "tick", self.holder)
 
     def restart(self):
-        """The holder's process is restarted before its lease ends: the same name and fence, another incarnation."""
+        """Restarts the holder's process before its lease ends: same name and fencing token, next incarnation."""
         self.holder = Provisioner(self.state, ServerPort(), self.holder.node, self.now, self.holder.incarnation + 1)
-        self.at(timedelta(0), "tick", self.holder)
+        self.schedule(timedelta(0), "tick", self.holder)
 
-    def at(self, span, *event):
+    def schedule(self, span, *event):
         heappush(self.queue, (self.now + span, next(self.event_number), *event))
 
     def run(self, span):
@@ -110,21 +111,21 @@
             getattr(self, "_" + event[0])(*event[1:])
         self.now = until
 
-    def give(self, event, holder=None):
-        """Give the holder an event and carry its effects out; returns them."""
+    def handle(self, event, holder=None):
+        """Passes an event to the holder and carries out its effects; returns them."""
         holder = holder or self.holder
         effects = holder.take(event, self.now)
         for effect in effects:
             match effect:
                 case Fetch() if self.random.random() < self.loss / 2:
                     failed = CallFailed(effect.call_id, CallFailure.TIMEOUT)
-                    self.at(effect.total_timeout, "answer", holder, failed)
+                    self.schedule(effect.total_timeout, "answer", holder, failed)
                 case Fetch():
-                    self.at(self.delay(), "arrive", holder, effect)
+                    self.schedule(self.delay(), "arrive", holder, effect)
                 case Send():
-                    self.at(MS, "deliver", effect.address, effect.message)
+                    self.schedule(MS, "deliver", effect.address, effect.message)
                 case WakeAfter():
-                    self.at(effect.delay, "wake", holder)
+                    self.schedule(effect.delay, "wake", holder)
                 case Log():
                     self.logs.append(effect)
                 case _:
@@ -133,53 +134,53 @@
 
     def _tick(self, holder):
         if holder is self.holder and self.is_ticking:
-            self.give(LeaseTick(self.fence, EDGES), holder)
-            self.at(MS * 50, "tick", holder)
+            self.handle(LeaseTick(self.fence, EDGES), holder)
+            self.schedule(MS * 50, "tick", holder)
 
     def _wake(self, holder):
-        self.give(DelayElapsed(), holder)
+        self.handle(DelayElapsed(), holder)
 
     def _arrive(self, holder, effect):
         name, path = effect.url.removeprefix("http://").split(":1", 1)
         if name not in self.engines:
-            self.at(self.delay(), "answer", holder, CallFailed(effect.call_id, CallFailure.REFUSED))
+            self.schedule(self.delay(), "answer", holder, CallFailed(effect.call_id, CallFailure.REFUSED))
             return
         status, answer = self.engines[name].take(effect.method, path, effect.body, self.now)
         if self.random.random() < self.loss / 2:
-            self.at(effect.total_timeout, "answer", holder, CallFailed(effect.call_id, CallFailure.TIMEOUT))
+            self.schedule(effect.total_timeout, "answer", holder, CallFailed(effect.call_id, CallFailure.TIMEOUT))
         else:
-            self.at(self.delay(), "answer", holder, ResponseReceived(effect.call_id, status, {}, answer))
+            self.schedule(self.delay(), "answer", holder, ResponseReceived(effect.call_id, status, {}, answer))
 
     def _answer(self, holder, event):
-        self.give(event, holder)
+        self.handle(event, holder)
 
     def _deliver(self, address, message):
         _, _, _, message = read_frame("c", Codec("c", "core", "10.0.0.1:1", 1).pack(message))
         self.updates.append((self.now, address, message))
         for effect in self.edges[address].take(MessageReceived("core", "10.0.0.1:1", message), self.now):
             if isinstance(effect, Send):
-                self.at(MS, "ask", address, effect.message)
+                self.schedule(MS, "ask", address, effect.message)
 
     def _ask(self, address, message):
-        self.give(MessageReceived(address, address, message))
+        self.handle(MessageReceived(address, address, message))
 
-    # what edges send ------------------------------------------------------------------
+    # messages from edges ------------------------------------------------------------------
 
     def request(self, *names, edge=EDGES[0], left=2000.0):
-        return self.give(MessageReceived(edge, edge, PlacementRequest({"llm": dict.fromkeys(names, (1, left))})))
+        return self.handle(MessageReceived(edge, edge, PlacementRequest({"llm": dict.fromkeys(names, (1, left))})))
 
     def report_usage(self, names, edge=EDGES[0]):
-        return self.give(MessageReceived(edge, edge, ModelUsage({"llm": names})))
+        return self.handle(MessageReceived(edge, edge, ModelUsage({"llm": names})))
 
     def run_with_usage(self, seconds, usage, requested=()):
-        """Half seconds of usage {name: (begun, running)} and of requests."""
+        """Reports usage {name: (started, running)} and repeats placement requests every half second."""
         for _ in range(int(seconds * 2)):
             self.report_usage(usage)
             if requested:
                 self.request(*requested)
             self.run(MS * 500)
 
-    # what came of it -----------------------------------------------------------------
+    # results -----------------------------------------------------------------
 
     def records(self, kind):
         return sorted(
@@ -189,10 +190,10 @@
     def holders(self, model):
         return sorted(name for name, engine in self.engines.items() if model in engine.models)
 
-    def is_store_rate_kept(self):
+    def is_store_rate_limit_kept(self):
         times = [at for at, _, _ in self.records("stored")]
-        most = self.engine_config.loads_per_s * 5 * 1.1 + 3
-        return all(sum(1 for other in times if at <= other < at + timedelta(seconds=5)) <= most for at in times)
+        limit = self.engine_config.loads_per_s * 5 * 1.1 + 3
+        return all(sum(1 for other in times if at <= other < at + timedelta(seconds=5)) <= limit for at in times)
 
 
 def orders_of(effects):
--- a/tests/placement/test_inventory_reader.py
+++ b/tests/placement/test_inventory_reader.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers: what of it is believed, and who proposes it."""
+"""Tests of the inventory reader: what it accepts from the platform's server list, and which core proposes it."""
 
 from datetime import timedelta
 
@@ -17,7 +17,7 @@
 
 
 def _reader_and_items():
-    """A reader that leads, the entries of five servers, and a function that reads a list."""
+    """Returns a reader on the leader, the entries of five servers, and a function that passes a list to the reader."""
     state = State()
     server = {
         "kind": "model",
@@ -40,8 +40,9 @@
     return inventory_reader, [{"name": name, **server} for name in state.servers], read
 
 
-def test_a_shrunken_list_is_believed_only_after_a_while_and_a_leaving_one_at_once():
-    """Given a list that lacks most servers, they are kept for ten seconds; a server that leaves is told and proposed at once."""
+def test_mass_removal_is_accepted_after_a_delay_and_leaving_servers_at_once():
+    """Servers missing from a list that lacks most of them are kept for ten seconds; a leaving server is announced to
+    the edges and proposed at once."""
     inventory_reader, items, read = _reader_and_items()
     second = timedelta(seconds=1)
     assert read(items, second) == []
@@ -54,8 +55,9 @@
     assert read([], second * 12)[-1] == ProposeChange(UpdateServers(1, {}))
 
 
-def test_junk_and_duplicates_change_nothing_but_may_say_leaving():
-    """Given entries that can't be read, the known servers stay as they are, except that one leaves."""
+def test_invalid_and_duplicate_entries_change_nothing_but_may_mark_a_server_as_leaving():
+    """Invalid and duplicate entries leave the known servers unchanged, except that an invalid one may mark its server
+    as leaving."""
     inventory_reader, items, read = _reader_and_items()
     junk = [
         None,
@@ -75,8 +77,8 @@
     )
 
 
-def test_others_leave_a_difference_to_the_leader_for_one_poll_and_an_old_comparison_is_not_proposed():
-    """Given a core that does not lead, it proposes a difference the second time, and none against an older state."""
+def test_follower_proposes_after_two_polls_and_nothing_based_on_an_older_state():
+    """A follower proposes a difference only after two polls show it, and never one based on an older control state."""
     inventory_reader, items, read = _reader_and_items()
     second = timedelta(seconds=1)
     inventory_reader.take(InventoryTick(True, False), second)
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: pairs, loads within room and pace, leaving servers, lost areas."""
+"""Tests of placement in a simulated deployment: replica pairs, load limits, leaving servers and lost zones."""
 
 from datetime import timedelta
 
@@ -11,8 +11,9 @@
     return leader(deployment).state.pairs
 
 
-def test_busy_models_have_a_warm_understudy_in_another_area():
-    """Given a settled town, every busy model's pair lies in two areas and both hold it; nothing was loaded beyond room or pace."""
+def test_busy_models_have_a_loaded_second_replica_in_another_zone():
+    """In a settled deployment, each busy model has two replicas in two zones; loads kept to memory and the store's
+    rate."""
     deployment = settled(21)
     servers = {server["name"]: server for server in deployment.spec.servers}
     pairs = [pair for pair in _pairs(deployment).values() if pair[1]]
@@ -21,8 +22,8 @@
     assert invariant_checker(deployment).faults() == []
 
 
-def test_a_frozen_server_is_owed_one_order_and_its_load_stays_paid_for():
-    """Rule 10. Given servers frozen while loads are due, what they begin on waking stays within the store's pace."""
+def test_loads_of_frozen_servers_stay_counted_against_the_store_rate():
+    """Rule 10. Loads that servers start after being frozen with an order in transit stay within the store's rate."""
     deployment = settled(22, edges=2)
     names = [server["name"] for server in deployment.spec.servers if server["kind"] == "model"]
     for name in names[:3]:
@@ -41,8 +42,9 @@
     assert is_held(deployment)
 
 
-def test_nothing_new_goes_to_a_leaving_server_within_three_seconds():
-    """Rule 4. Given traffic, when the platform says that a server leaves, it is given nothing new from then on but streams end well."""
+def test_leaving_server_gets_no_new_requests_after_three_seconds():
+    """Rule 4. From three seconds after the platform lists a server as leaving, it gets no new request; its streams
+    complete."""
     deployment = settled(23)
     callers = deployment.call_in(2.0)
     deployment.run(5)
@@ -60,8 +62,8 @@
     assert not any(busiest in pair for pair in _pairs(deployment).values())
 
 
-def test_evacuated_area_is_entered_by_nothing_after_five_seconds():
-    """Rule 6. Given traffic, when an area is evacuated, no request enters it from five seconds later until it is restored."""
+def test_evacuated_zone_gets_no_requests_after_five_seconds():
+    """Rule 6. From five seconds after the evacuation of a zone until its restoration, no request enters it."""
     deployment = settled(24, edges=6)
     callers = deployment.call_in(1.5)
     check = invariant_checker(deployment, callers)
@@ -69,7 +71,7 @@
     assert deployment.ask("core-1", "POST", "/operator/evacuate", {"request": "out", "area": "hall-b"})[0] == 200
     start = deployment.now
     deployment.run(5)
-    deployment.kill("stamps-1")  # its callers look for another area's server now
+    deployment.kill("stamps-1")  # its requests must not move to a server in the evacuated zone
     deployment.run(20)
     assert deployment.ask("core-2", "POST", "/operator/restore", {"request": "back", "area": "hall-b"})[0] == 200
     deployment.run(10)
@@ -84,8 +86,9 @@
     assert inside and any(call.fault_class == "evacuated" for call in inside) and inside[-1].outcome == "ok"
 
 
-def test_loss_of_a_whole_area_leaves_the_busy_models_answered():
-    """Given traffic, when all of one area vanishes at once, calls to the rest go on and every busy model is paired again."""
+def test_busy_models_stay_available_after_loss_of_a_zone():
+    """When all machines of a zone vanish at once, calls elsewhere keep succeeding and each busy model gets two replicas
+    again."""
     deployment = settled(25, edges=6)
     callers = deployment.call_in(1.0, edges=["edge-1", "edge-2", "edge-4", "edge-5"])
     deployment.run(3)
@@ -103,8 +106,8 @@
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_rare_models_all_asked_for_together_wake_within_the_pace():
-    """Rules 8 and 10. Given models that no server holds, when all are asked for at once, each is loaded and answered, none is flooded."""
+def test_simultaneous_requests_for_unloaded_models_stay_within_the_store_rate():
+    """Rules 8 and 10. Simultaneous requests for all models, held by no server, load each one without overloading it."""
     deployment = settled(26, edges=5)
     for name in ("model-1", "model-2"):
         deployment.kill(name)
@@ -124,8 +127,9 @@
     }
 
 
-def test_plan_is_what_the_placer_then_does():
-    """Given a change, `plan` names its moves and changes nothing; applied without traffic, exactly those pairs come about."""
+def test_placer_carries_out_the_forecast_plan():
+    """`plan` lists the moves of a change without applying it; applying it without traffic leads to exactly those
+    pairs."""
     deployment = settled(27)
     doc = {"models": [{"name": "refund-01", "memory": 20.0}, {"name": "brand-new", "memory": 3.0, "decodeRate": 80.0}]}
     for server in deployment.machines("model"):
@@ -143,8 +147,9 @@
     assert deployment.run_until(lambda: is_held(deployment), 60)
 
 
-def test_order_that_a_server_refuses_is_repeated_ever_more_rarely():
-    """Given a model whose weights no server finds, the refused load is asked for a few times a minute, not several a second."""
+def test_refused_orders_are_retried_with_backoff():
+    """A load that servers refuse, as the weights are missing, is retried a few times per minute, not several times per
+    second."""
     deployment = settled(28)
     doc = {"models": [{"name": "no-weights", "memory": 3.0, "decodeRate": 80.0}]}
     assert deployment.ask("core-1", "POST", "/operator/apply", {"request": "go", "doc": doc, "part": True})[0] == 200
@@ -154,9 +159,9 @@
     assert 2 <= refused <= 10
 
 
-def test_model_that_just_woke_is_not_flooded_by_those_who_waited():
-    """Rule 8. Given sixty prompts at five edges that wait for a cold model, when it is loaded they come to it a few at a time,
-    doubling, and all are answered."""
+def test_waiting_requests_do_not_overload_a_model_that_was_just_loaded():
+    """Rule 8. Sixty prompts at five edges that wait for a model reach it a few at a time once it is loaded, with a
+    doubling limit, and all are answered."""
     deployment = settled(29, edges=5)
     for server in deployment.machines("model"):
         server.sizes["fresh"], server.rates["fresh"] = 12.0, 200.0
@@ -172,9 +177,9 @@
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_notice_while_its_readers_are_lost_is_heeded_all_the_same():
-    """Rule 4. Given that at the moment of the notice the leader is killed, frozen, split off or cut off from the platform, or two
-    cores are lost, nothing new goes to the leaving servers from three seconds on."""
+def test_leaving_notice_takes_effect_despite_loss_of_its_readers():
+    """Rule 4. Leaving servers get no new requests from three seconds on, even if the leader is killed, frozen,
+    partitioned or cut off from the platform when they are listed as leaving, or if two cores are killed."""
     for place, how in enumerate(("killed", "frozen", "split off", "cut off from the platform", "two killed")):
         deployment = settled(73 + place, edges=3)
         callers = deployment.call_in(2.0)
@@ -206,9 +211,9 @@
 
 
 @pytest.mark.parametrize("away", [0.7, 6.0])
-def test_a_leaving_that_was_listed_while_no_core_was_up_is_known_everywhere_once_the_machines_are_in_touch(away):
-    """Rule 4. Given all cores down, for a moment or for long, when the platform lists servers as leaving meanwhile, every edge has
-    taken them out within the three seconds after the cores' start, when the rule binds it again."""
+def test_servers_listed_as_leaving_while_all_cores_are_down_are_known_to_all_edges_after_restart(away):
+    """Rule 4. If the platform lists servers as leaving while all cores are down, briefly or for long, every edge stops
+    using them within three seconds after the cores' start, from which on the rule applies again."""
     deployment = settled(79, edges=6, list_readers="leader", fenced=True)
     cores, leaving = ("core-1", "core-2", "core-3"), ("stamps-1", "model-1")
     for core in cores:
@@ -224,8 +229,8 @@
     )
 
 
-def test_list_that_lacks_everything_does_not_wipe_the_fleet():
-    """Given a platform whose list is empty, then junk, for eight seconds, every call goes on being answered."""
+def test_empty_server_list_does_not_remove_all_servers():
+    """While the platform's server list is empty and then invalid for eight seconds, every call is still answered."""
     deployment = settled(78)
     callers = deployment.call_in(1.5)
     platform = deployment.boxes["platform"].machine
@@ -242,8 +247,8 @@
     assert any("lacks more than half" in line[4] for line in deployment.logs)
 
 
-def test_server_in_an_area_that_nobody_knows_is_given_nothing_and_a_removed_area_is_closed():
-    """Given a server listed in an unknown area, and an area that a change takes out, neither is entered."""
+def test_unknown_and_removed_zones_get_no_requests():
+    """Neither a server listed in an unknown zone nor a zone removed from the configuration gets requests."""
     deployment = settled(79)
     deployment.boxes["platform"].machine.servers["stamps-1"]["area"] = "nowhere"
     deployment.run(3)
@@ -263,8 +268,9 @@
     assert status == 200 and late == [] and outcomes(callers, outcome="ok")
 
 
-def test_woken_edge_admits_nothing_into_an_area_evacuated_while_it_slept():
-    """Rule 6. Given an edge that is frozen and cut off while its area is evacuated, what was sent to it meanwhile is refused as not run."""
+def test_resumed_edge_refuses_requests_if_its_zone_was_evacuated_meanwhile():
+    """Rule 6. An edge that was frozen and cut off while its zone was evacuated refuses the requests sent to it
+    meanwhile, as not run."""
     deployment = settled(80, edges=4)
     callers = quiet(deployment)
     deployment.freeze("edge-2")
@@ -283,9 +289,9 @@
     assert {(call.fault_class, call.run) for call in calls} == {("evacuated", "no")}
 
 
-def test_server_that_comes_up_cold_is_not_flooded_over_all_its_models():
-    """Rule 8. Given all model servers lost, one of them back empty, a store that is fast, and prompts waiting for every model, it
-    never has more in hand, over all its models together, than the doubling allows."""
+def test_restarted_empty_server_is_not_overloaded_across_its_models():
+    """Rule 8. If all model servers fail and one returns empty with a fast store, while prompts wait for every model,
+    its running requests over all models stay within the doubling limit."""
     deployment = settled(81, edges=6)
     deployment.spec.catalogue["store"] = {"pace": 200.0, "burst": 200.0}
     fast = {"request": "fast", "doc": {"store": deployment.spec.catalogue["store"]}, "part": True}
@@ -297,7 +303,7 @@
     deployment.start(names[0])
     deployment.boxes[names[0]].machine.rates = dict.fromkeys(
         deployment.boxes[names[0]].machine.rates, 30.0
-    )  # what is in hand adds up
+    )  # slow decoding, so that running requests accumulate
     callers = quiet(deployment)
     for model in deployment.spec.catalogue["models"]:
         for _ in range(3):
@@ -310,8 +316,9 @@
     assert deployment.records[names[0]].warm_peak["all models"] >= 1
 
 
-def test_adapters_asked_for_all_together_are_loaded_within_their_places():
-    """Rule 9. Given every adapter asked for at once, each is answered and no server is told to hold more than its places."""
+def test_simultaneous_requests_for_all_adapters_stay_within_adapter_slots():
+    """Rule 9. Simultaneous requests for every adapter are answered, and no server is ordered to exceed its adapter
+    slots."""
     for spec in ("kosice", "central-java"):
         deployment = settled(82, spec, edges=4)
         group = "claims" if spec == "kosice" else "deferred"
@@ -325,8 +332,8 @@
         assert bad == [], bad
 
 
-def test_a_server_is_given_one_order_at_a_time():
-    """Rule 10. Given an empty fleet that is to load everything, no server is sent two orders in one moment."""
+def test_a_server_gets_one_order_at_a_time():
+    """Rule 10. When an empty fleet loads all models, no server is sent two orders at the same time."""
     deployment = settled(89)
     sent = [
         (at, note["server"])
--- a/tests/placement/test_plan.py
+++ b/tests/placement/test_plan.py
@@ -1,11 +1,12 @@
-"""Which model belongs on which servers: pairs in two zones within memory, adapters within their slots."""
+"""Tests of the placement plan: replica pairs in two zones within memory, and adapters within the slots."""
 
 from sumachook.placement.plan import plan_adapters, plan_pairs
 from tests.placement.plan_fixtures import catalogue_and_servers
 
 
-def test_pairs_are_in_two_zones_within_memory_and_stable():
-    """Given six busy models, their replicas lie in two zones and fit; the plan stays as it is until a zone is evacuated."""
+def test_replica_pairs_are_in_two_zones_within_memory_and_stable():
+    """The replicas of six busy models are in two zones and fit in memory; the plan stays unchanged until a zone is
+    evacuated."""
     catalogue, servers = catalogue_and_servers()
     demand = {f"m{place:02}": 20.0 - place for place in range(8)}
     pairs = plan_pairs(catalogue, servers, (), (), demand, {}, {})
@@ -27,7 +28,7 @@
 
 
 def test_adapters_stay_within_the_slots_of_their_servers():
-    """Given an adapter of each model, each server gets at most as many as it has slots, the most asked first."""
+    """Each server gets at most as many adapters as it has slots, in order of demand."""
     catalogue, servers = catalogue_and_servers()
     pairs = plan_pairs(catalogue, servers, (), (), {}, {}, {})
     wanted = plan_adapters(catalogue, servers, pairs, {"x07": 5.0})
