--- a/harness/mutations/quotas.py
+++ b/harness/mutations/quotas.py
@@ -204,7 +204,7 @@
     Mutation(
         13,
         "prompts that yield take all places",
-        "            limit = max(1, limit // 2)  # it runs where room is left\n",
+        "            limit = max(1, limit // 2)  # requests over their tenant's quota get half of the slots\n",
         "            pass\n",
         TOWNS,
         "leave_half",
--- a/sumachook/inference/__init__.py
+++ b/sumachook/inference/__init__.py
@@ -1,1 +1,1 @@
-"""Requests: the table, the retry design, streams."""
+"""The inference pipeline of an edge: admission, queueing, server selection, retries and response streaming."""
--- a/sumachook/inference/admit.py
+++ b/sumachook/inference/admit.py
@@ -1,4 +1,4 @@
-"""The pass that admits prompts and lookups, or refuses them."""
+"""Admission of prompts and lookups: validates a call, authenticates its caller and creates the in-flight request."""
 
 from datetime import timedelta
 from typing import Any
@@ -20,17 +20,17 @@
 
 PROMPT_PATH = "/v1/chat/completions"
 LOOKUP_PREFIX = "/records/"
-# Callers' own texts are cut off at these lengths before they go into records.
+# Strings from callers are truncated to these lengths before they are stored in a record or shown in a reason.
 MAX_REQUEST_ID_LENGTH = 100
 MAX_IDEMPOTENCY_KEY_LENGTH = 200
 MAX_SHOWN_NAME_LENGTH = 80
-MAX_UNSTAMPED_AGE = timedelta(seconds=30)  # a record waits so long for the agreed time, then this node's own is taken
-ALERT_INTERVAL = timedelta(minutes=1)  # a model that is not configured is one mistake: one alert, not a flood
-MAX_ALERT_REASONS = 500  # kept for that
+MAX_UNSTAMPED_AGE = timedelta(seconds=30)  # after this wait for the agreed time, a record gets this node's own time
+ALERT_INTERVAL = timedelta(minutes=1)  # all requests for one unconfigured model share an alert: it is one mistake
+MAX_ALERT_REASONS = 500  # size above which the table of the next alert times is cleared
 
 
 class Admit:
-    """Makes a prompt or a lookup a request in the table, or refuses it."""
+    """Adds a prompt or a lookup to the request table, or refuses it with a reply."""
 
     __slots__ = ("charge", "entry", "refuse", "table")
 
@@ -41,7 +41,9 @@
         self.charge = charge
 
     def take(self, event: HttpRequestReceived, now: timedelta) -> list[Any]:
-        """Claims the tenant's quota for the request, or has its record opened, or refuses it."""
+        """Admits or refuses a call; an admitted request first claims its tenant's quota, or has its record opened if
+        its caller belongs to no tenant.
+        """
         self._read_catalogue()
         client_request_id = event.headers.get("x-request-id", "")[:MAX_REQUEST_ID_LENGTH]
         request = self._admit(event, now)
@@ -59,7 +61,7 @@
         return self.charge.claim(request, request.request_id, now)
 
     def _read_catalogue(self) -> None:
-        """What the catalogue gives for admission, worked out once a generation."""
+        """Rebuilds the maps of callers, tenants and models that admission uses, once per catalogue generation."""
         table = self.table
         if table.generation == table.state.generation and table.callers:
             return
@@ -75,12 +77,12 @@
         table.targets = targets | {route.name: targets[route.target] for route in catalogue.routes}
 
     def _admit(self, event: HttpRequestReceived, now: timedelta) -> InferenceRequest | RequestFailure:
-        """The request, or the failure for which nothing is begun."""
+        """Returns the new request, or the failure for which it is refused before it starts."""
         is_lookup = event.path.startswith(LOOKUP_PREFIX)
         if event.path != PROMPT_PATH and not is_lookup:
             return FailureKind.NOT_FOUND.because("POST /v1/chat/completions or GET /records/ID")
         if event.method != ("GET" if is_lookup else "POST"):
-            return FailureKind.MALFORMED.because(f"method {event.method}")
+            return FailureKind.MALFORMED.because(f"unsupported method {event.method}")
         failure = self._failure_of_node(now)
         if failure is not None:
             return failure
@@ -88,21 +90,23 @@
         if caller is None:
             return FailureKind.UNKNOWN_CALLER.because("Authorization: Bearer KEY")
         if len(self.table.requests) >= MAX_REQUESTS:
-            return FailureKind.OVERLOAD.because("the table is full")
+            return FailureKind.OVERLOAD.because("too many requests in flight at this node")
         request_id = self._next_request_id()
         if is_lookup:
             return self._admit_lookup(request_id, event, caller, now)
         return self._admit_prompt(request_id, event, caller, now)
 
     def _failure_of_node(self, now: timedelta) -> RequestFailure | None:
-        """Why this node admits nothing now, or None."""
+        """Returns the failure for which this node refuses all requests at present, or None."""
         table = self.table
         if table.is_draining:
-            return FailureKind.DRAINING.because("this node is leaving")
+            return FailureKind.DRAINING.because("this node is shutting down")
         if table.follower.trust(now) is Trust.EMPTY or not table.knows_time:
-            return FailureKind.NOT_READY.because("no catalogue yet")
+            return FailureKind.NOT_READY.because("this node has no catalogue yet")
         if not table.state.is_open(table.zone):
-            return FailureKind.EVACUATED.because(f"area {table.zone} is evacuated, use another area's node")
+            return FailureKind.EVACUATED.because(
+                f"area {table.zone} is evacuated, send the request to a node of another area"
+            )
         return None
 
     def _caller(self, headers: Any) -> Any:
@@ -117,7 +121,7 @@
         self, request_id: str, event: HttpRequestReceived, caller: Any, now: timedelta
     ) -> InferenceRequest | RequestFailure:
         if not caller.lookups:
-            return FailureKind.FORBIDDEN.because("this caller may not look up")
+            return FailureKind.FORBIDDEN.because("this caller is not allowed to send lookups")
         patience = timedelta(seconds=caller.lookup_patience)
         request = InferenceRequest(request_id, event.call_id, LOOKUP, caller, now, patience)
         request.path = event.path
@@ -130,19 +134,21 @@
         try:
             document = msgspec.json.decode(event.body)
         except (msgspec.DecodeError, RecursionError):
-            return FailureKind.MALFORMED.because("the body is no JSON")
+            return FailureKind.MALFORMED.because("the body is not valid JSON")
         error = _prompt_error(document)
         if error:
             return FailureKind.MALFORMED.because(error)
         target = self.table.targets.get(document["model"])
         if target is None:
             name = document["model"][:MAX_SHOWN_NAME_LENGTH]
-            return FailureKind.NO_MODEL.because(f"no model, adapter or route {name!r}")
+            return FailureKind.NO_MODEL.because(f"no model, adapter or route is named {name!r}")
         request = InferenceRequest(request_id, event.call_id, PROMPT, caller, now, caller.wait)
         request.model, request.adapter = target
         max_tokens = document.get("max_tokens", request.model.max_tokens)
         if max_tokens > request.model.max_tokens:
-            return FailureKind.MALFORMED.because(f"max_tokens: {max_tokens}, at most {request.model.max_tokens}")
+            return FailureKind.MALFORMED.because(
+                f"max_tokens: {max_tokens} exceeds the maximum of {request.model.max_tokens}"
+            )
         request.idempotency_key = event.headers.get("idempotency-key", "")[:MAX_IDEMPOTENCY_KEY_LENGTH]
         request.is_safe = caller.safe and not request.idempotency_key
         request.is_stream = document.get("stream", False)
@@ -152,7 +158,7 @@
         return request
 
     def _stamp(self, request: InferenceRequest, now: timedelta) -> None:
-        """The catalogue and the time under which it is admitted."""
+        """Sets the catalogue generation, the policies and the time under which the request is admitted."""
         request.generation = self.table.state.generation
         request.policies = self.table.state.catalogue.policies
         request.opened_at = self.table.stamp(now)
@@ -160,7 +166,9 @@
     def _refuse(
         self, event: HttpRequestReceived, failure: RequestFailure, client_request_id: str, now: timedelta
     ) -> list[Any]:
-        """Refused before it was a request. What the caller is not to blame for goes into the day's log all the same."""
+        """Refuses a call that never became a request; a failure that is no fault of the caller is still recorded in the
+        day log.
+        """
         if failure.kind not in RETRYABLE_BY_CALLER and failure.kind is not FailureKind.NO_MODEL:
             return self.refuse.take(event.call_id, failure)
         record = self._record_of_refused(event, failure, client_request_id, now)
@@ -201,7 +209,9 @@
         }
 
     def close_unstamped(self, now: timedelta) -> list[Any]:
-        """Closes what waits for a time stamp, once the cluster agrees on the time or has not for too long."""
+        """Closes the records that wait for a timestamp, once the cluster clock is agreed, the oldest one exceeds
+        `MAX_UNSTAMPED_AGE` or there are too many.
+        """
         records = self.table.unstamped_records
         if not records:
             return []
@@ -215,33 +225,33 @@
         ]
 
     def _alert(self, failure: RequestFailure, now: timedelta) -> list[Any]:
-        """Logs that a model is asked for that is not configured, once in a while."""
+        """Logs a request for an unconfigured model, at most once per `ALERT_INTERVAL` for each model."""
         next_alert_at = self.table.next_alert_at
         if failure.kind is not FailureKind.NO_MODEL or now < next_alert_at.get(failure.reason, now):
             return []
         if len(next_alert_at) > MAX_ALERT_REASONS:
             next_alert_at.clear()
         next_alert_at[failure.reason] = now + ALERT_INTERVAL
-        text = "A model is asked for that is not configured."
+        text = "Received a request for a model that is not configured."
         return [Log("error", INFERENCE, text, {"reason": failure.reason})]
 
 
 def _prompt_error(doc: Any) -> str | None:
-    """What is wrong with a prompt's body, or None.
+    """Returns what is wrong with the JSON body of a prompt, or None if it is valid.
 
     >>> _prompt_error({"model": "m", "messages": [{"role": "user", "content": "x"}]}), _prompt_error({"model": 3})
-    (None, 'model: a text is needed')
+    (None, 'model: a non-empty string is required')
     """
     if not isinstance(doc, dict):
-        return "the body is no object"
+        return "the body is not a JSON object"
     if not isinstance(doc.get("model"), str) or not doc["model"]:
-        return "model: a text is needed"
+        return "model: a non-empty string is required"
     messages = doc.get("messages")
     if not isinstance(messages, list) or not messages or not all(isinstance(item, dict) for item in messages):
-        return "messages: a list of objects is needed"
+        return "messages: a non-empty list of objects is required"
     if not isinstance(doc.get("stream", False), bool):
-        return "stream: true or false"
+        return "stream: must be true or false"
     wanted = doc.get("max_tokens", 1)
     if not isinstance(wanted, int) or isinstance(wanted, bool) or wanted < 1:
-        return "max_tokens: a whole number above 0"
+        return "max_tokens: must be an integer above 0"
     return None
--- a/sumachook/inference/attempt_end.py
+++ b/sumachook/inference/attempt_end.py
@@ -1,4 +1,4 @@
-"""The end of one attempt: its slot is given back, its outcome noted."""
+"""The end of an attempt: releases its slot at the server and records its outcome."""
 
 from datetime import timedelta
 
@@ -7,13 +7,13 @@
 from sumachook.inference.server_window import MAX_LOOKUP_BACKOFF, PROBE_SPACING, ServerWindow
 from sumachook.requests.failures import FailureKind, RequestFailure
 
-# Failures that say nothing against the server: it answered as it should, or the client went away.
+# Failures that do not count against the server: it answered correctly, or the client disconnected.
 BLAMELESS = frozenset({FailureKind.REFUSED, FailureKind.OVERLOAD, FailureKind.HUNG_UP})
-SERVICE_TIME_WEIGHT = 0.1  # of the latest prompt in the moving average of a queue
+SERVICE_TIME_WEIGHT = 0.1  # weight of the latest prompt in the moving average of a queue's service time
 
 
 class EndAttempt:
-    """Gives an attempt's slot back and notes its outcome."""
+    """Releases the slot of an attempt and updates the circuit breaker and the statistics of its server."""
 
     __slots__ = ("table",)
 
@@ -21,7 +21,7 @@
         self.table = table
 
     def take(self, request: InferenceRequest, failure: RequestFailure | None, now: timedelta) -> None:
-        """`failure` is None where the server answered."""
+        """Ends the attempt under way; `failure` is None if the server answered in full."""
         server_window = self.table.server_window(request.server)
         server_window.end(request.item, request.queue)
         self._note_outcome(request, server_window, failure, now)
@@ -62,14 +62,18 @@
 
 
 def _max_backoff(request: InferenceRequest, edges: int) -> timedelta:
-    """Grows with the number of edges, so that the probes of all together stay apart."""
+    """Returns the longest breaker backoff; for prompts it grows with the number of edges, which keeps the probes of all
+    edges `PROBE_SPACING` apart.
+    """
     if request.kind == LOOKUP:
         return MAX_LOOKUP_BACKOFF
     return max(ServerWindow.BACKOFF.max_breaker_backoff, PROBE_SPACING * edges)
 
 
 def _time_to_first_token(request: InferenceRequest) -> float | None:
-    """Seconds from the start of the attempt, or None where the first token came in none or in an earlier one."""
+    """Returns the seconds from the start of the attempt to the first token, or None if no token came or an earlier
+    attempt got the first one.
+    """
     first_token_at: timedelta | None = request.first_token_at
     if not first_token_at or first_token_at < request.attempt_started_at:
         return None
--- a/sumachook/inference/cancel.py
+++ b/sumachook/inference/cancel.py
@@ -1,4 +1,4 @@
-"""Calls an attempt off and settles its request."""
+"""Cancellation of the attempt under way, which ends its request as well."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class Cancel:
-    """Calls an attempt off and settles its request."""
+    """Cancels the HTTP call of an attempt and sends the final answer of its request."""
 
     __slots__ = ("end_attempt", "settle", "table")
 
@@ -22,7 +22,7 @@
         self.settle = settle
 
     def take(self, request: InferenceRequest, failure: RequestFailure, now: timedelta) -> list[Any]:
-        """The attempt under way ends with this failure, and the request with it."""
+        """Ends the attempt under way and its request with this failure."""
         cancel = CancelCall(request.attempt_id)
         self.end_attempt.take(request, failure, now)
         return [cancel, *self.settle.take(request, failure, now)]
--- a/sumachook/inference/close.py
+++ b/sumachook/inference/close.py
@@ -1,4 +1,4 @@
-"""The end of a request: out of the table, into the ledger."""
+"""The end of a request: removes it from the table and closes its ledger record."""
 
 from datetime import timedelta
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class Close:
-    """Takes a request off the table and has its record closed."""
+    """Removes a request from the table, has its record closed, refunds unused quota and logs the outcome."""
 
     __slots__ = ("charge", "table")
 
@@ -26,7 +26,7 @@
     def take(
         self, request: InferenceRequest, outcome: str, status: int, failure_name: str, now: timedelta
     ) -> list[Any]:
-        """`outcome` is "done" or "fault"; `status` is that of the answer."""
+        """Ends the request; `outcome` is "done" or "fault", `status` the HTTP status of the response."""
         request.state = RequestState.SETTLED
         self.table.requests.pop(request.request_id, None)
         self.table.by_call_id.pop(request.call_id, None)
@@ -37,13 +37,13 @@
         return [
             RequestClosed(record),
             *self.charge.settle(request, request.request_id, is_done),
-            Log("info" if is_done else "warning", INFERENCE, "Request settled.", fields),
+            Log("info" if is_done else "warning", INFERENCE, "Request ended.", fields),
         ]
 
     def _closing_record(
         self, request: InferenceRequest, outcome: str, status: int, failure_name: str, now: timedelta
     ) -> dict[str, Any]:
-        """The request as the ledger closes it."""
+        """Returns the final record of the request for the ledger."""
         arrived_at, first_token_at = request.arrived_at, request.first_token_at
         return {
             **self.table.record(request),
--- a/sumachook/inference/deadlines.py
+++ b/sumachook/inference/deadlines.py
@@ -1,4 +1,4 @@
-"""The pass over requests whose time is up."""
+"""Timeouts of requests in flight, checked at each tick."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class Deadlines:
-    """Ends, or sends again, what has waited too long for a first token, an answer, credit or a server."""
+    """Ends or retries each request that has waited too long for a first token, an answer, retry credit or a server."""
 
     __slots__ = ("cancel", "resend", "settle", "table")
 
@@ -23,17 +23,17 @@
         self.settle = settle
 
     def take(self, now: timedelta) -> list[Any]:
-        """Looks at every request in flight."""
+        """Checks the timeouts of every request in flight."""
         effects = []
         for request in list(self.table.requests.values()):
             if request.is_at_server:
                 effects += self._look_at_attempt(request, now)
             elif request.needs_credit and now >= request.credit_by:
-                failure = request.last_failure.kind.because("no credit for a resend")
+                failure = request.last_failure.kind.because("no credit in the retry budget")
                 effects += self.settle.take(request, failure, now)
             elif now >= request.deadline:
                 patience = request.deadline - request.arrived_at
-                failure = FailureKind.DEADLINE.because(f"nothing within {patience}, last: waiting")
+                failure = FailureKind.DEADLINE.because(f"no answer within {patience}, the request was still waiting")
                 effects += self.settle.take(request, failure, now)
         return effects
 
--- a/sumachook/inference/dispatch.py
+++ b/sumachook/inference/dispatch.py
@@ -1,4 +1,4 @@
-"""The pass that sends a request to the server selected for it."""
+"""Dispatch of a request to the server selected for it."""
 
 from datetime import timedelta
 from typing import Any
@@ -10,14 +10,14 @@
 from sumachook.requests.in_flight_request import RequestState
 
 CONNECT_TIMEOUT = timedelta(seconds=2)
-# A lookup is one small read: another server is asked soon.
+# A lookup is one small read, so it is retried at another server after a short timeout.
 LOOKUP_CONNECT_TIMEOUT = timedelta(seconds=0.7)
 LOOKUP_TOTAL_TIMEOUT = timedelta(seconds=1.5)
-DECODE_HEADROOM = 1.5  # times what the longest answer takes at the model's stated rate
+DECODE_HEADROOM = 1.5  # factor on the time that the longest answer takes at the stated decode rate of the model
 
 
 class Dispatch:
-    """Begins an attempt, with its bounds on the connection, the first token and the whole answer."""
+    """Starts an attempt with its timeouts for the connection, the first token and the whole answer."""
 
     __slots__ = ("table",)
 
@@ -25,7 +25,7 @@
         self.table = table
 
     def take(self, request: InferenceRequest, name: str, now: timedelta) -> list[Any]:
-        """Sends the request to the server of this name."""
+        """Starts an attempt of the request at the server of this name."""
         request.attempt += 1
         request.state = RequestState.ATTEMPTING
         request.server = name
@@ -72,7 +72,10 @@
         )
 
     def _first_token_time(self, request: InferenceRequest, name: str, remaining: timedelta) -> timedelta:
-        """The first of several attempts leaves half of the time to the others."""
+        """Returns the first-token timeout.
+
+        The first attempt gets at most half of the remaining time if the request may be retried at another server.
+        """
         holders = self.table.state.pairs.get(request.model.name, ())
         has_other = request.is_safe and any(other != name for other in holders if other)
         bound = remaining / 2 if has_other and request.attempt == 1 else remaining
--- a/sumachook/inference/enqueue.py
+++ b/sumachook/inference/enqueue.py
@@ -1,4 +1,4 @@
-"""The pass over requests whose record is kept, or is not: into their queue, or to their end."""
+"""Queueing of requests once their ledger record is stored, or their end if it could not be stored."""
 
 from datetime import timedelta
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class Enqueue:
-    """Takes the ledger's answers about a request's record."""
+    """Handles the outcome of storing a request's ledger record."""
 
     __slots__ = ("settle", "table")
 
@@ -22,7 +22,7 @@
         self.settle = settle
 
     def take(self, outcome: RecordingOutcome, now: timedelta) -> list[Any]:
-        """Queues the request once it is recorded; ends it where it can't be."""
+        """Queues a recorded request; ends one whose record was not stored or whose idempotency key is in use."""
         request = self.table.requests.get(outcome.request)
         if request is None or request.state is not RequestState.RECORDING:
             return []
@@ -32,10 +32,12 @@
             case Unrecorded(reason=reason):
                 failure = FailureKind.UNRECORDED.because(reason.value)
             case DuplicateKey(first=first):
-                text = f"request {first['request']} is {first['state']}, run {first['run']}"
+                text = (
+                    f"request {first['request']} with the same idempotency key is {first['state']}, run: {first['run']}"
+                )
                 failure = FailureKind.DUPLICATE.because(text)
             case _:
-                raise TypeError(f"no outcome of recording: {outcome!r}")
+                raise TypeError(f"unexpected recording outcome: {outcome!r}")
         return self.settle.take(request, failure, now)
 
     def _enqueue(self, request: InferenceRequest, now: timedelta) -> list[Any]:
@@ -48,10 +50,12 @@
         waiting = self.table.queues.length(request.queue)
         may_wait = self._may_wait_by_policy(request, waiting, bound)
         if waiting >= bound or (waiting and not may_wait):
-            failure = FailureKind.OVERLOAD.because(f"{waiting} wait in line {request.queue}")
+            failure = FailureKind.OVERLOAD.because(f"{waiting} requests already wait in queue {request.queue}")
             return self.settle.take(request, failure, now)
         if self._expected_wait(request) > (request.deadline - now).total_seconds():
-            return self.settle.take(request, FailureKind.OVERLOAD.because("the cutoff cannot be met"), now)
+            return self.settle.take(
+                request, FailureKind.OVERLOAD.because("the expected wait exceeds the time until the deadline"), now
+            )
         self.table.add_to_queue(request)
         return []
 
@@ -70,7 +74,9 @@
         return bool(may_wait)
 
     def _expected_wait(self, request: InferenceRequest) -> float:
-        """Seconds, from those ahead in the queue for the same model and how long its prompts took of late."""
+        """Estimates the wait in seconds from the requests ahead for the same model and the recent service time of the
+        queue.
+        """
         table, model = self.table, request.model.name
         ahead = sum(other.model.name == model for other in table.queues.requests.get(request.queue, ()))
         holders = [name for name in table.state.pairs.get(model, ()) if name in table.state.servers]
--- a/sumachook/inference/entry.py
+++ b/sumachook/inference/entry.py
@@ -1,4 +1,4 @@
-"""The pass that hands an admitted request to the ledger, on its way to its queue."""
+"""Entry of an admitted request into the pipeline: opens its ledger record, after which it is queued."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 class Entry:
-    """From here on a request counts: for retry credit, and for what models are asked for."""
+    """Counts a request for the retry budget and for model demand, and opens its ledger record."""
 
     __slots__ = ("table",)
 
@@ -17,7 +17,7 @@
         self.table = table
 
     def take(self, request: InferenceRequest) -> list[Any]:
-        """Has the request's record opened."""
+        """Enters a request whose quota was granted, or whose caller has no quota."""
         self.table.retry_budget.earn(own_key(request.kind))
         self.table.count("admitted", request.kind)
         if request.kind == PROMPT:
--- a/sumachook/inference/inference_request.py
+++ b/sumachook/inference/inference_request.py
@@ -1,4 +1,4 @@
-"""A prompt or a lookup in flight."""
+"""The state of a prompt or a lookup in flight."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class InferenceRequest(InFlightRequest):
-    """What is known of a prompt or a lookup between its admission and its final answer."""
+    """A prompt or a lookup between its admission and its final answer."""
 
     __slots__ = (
         "_first_token_at",
@@ -51,45 +51,45 @@
         self.queue: str = caller.line
         self.idempotency_key = ""
         self.client_request_id = ""
-        self.is_safe = kind == LOOKUP  # whether running it twice does no harm
+        self.is_safe = kind == LOOKUP  # idempotent: running it twice does no harm
         self.policies: Any = None
         self.opened_at = ""
-        # what it asks for
+        # the requested model or record
         self.model: Any = None
         self.adapter = ""
         self.body: dict[str, Any] = {}
         self.path = ""
         self.model_ready_by = self.deadline
         self.wake_retries = 0
-        # the answer as it comes
+        # progress of the answer
         self.total_by = self.deadline
         self.has_response = False
         self.tokens = 0
         self.finish_reason: str | None = None
         self.buffered_parts: list[Any] = []
-        self.resume_from: str | None = None  # the event id after which a resumed stream must go on
+        self.resume_from: str | None = None  # event id after which a resumed stream must continue
 
     def forget_first_token(self) -> None:
-        """The answer begins anew with another attempt."""
+        """Clears the time of the first token when a new attempt restarts the answer."""
         self._first_token_at = None
 
     @property
     def run_status(self) -> RunStatus:
-        """What is known about whether it has run; a lookup that failed has changed nothing, so it counts as not run."""
+        """Whether the request has run, as far as known; a failed lookup counts as not run, since it changes nothing."""
         is_harmless = self.kind == LOOKUP and self.run_history.status is RunStatus.MAY_HAVE_RUN
         return RunStatus.NOT_RUN if is_harmless else self.run_history.status
 
     @property
     def was_sent(self) -> bool:
-        """Whether the attempt under way may have reached its server."""
+        """Whether the request of the current attempt may have reached its server."""
         return self.run_history.attempt_may_have_run
 
     @property
     def name(self) -> str:
-        """What it asks for: an adapter or a model."""
+        """The name of the requested adapter or model; `records` for a lookup."""
         return self.adapter or (self.model.name if self.model else "records")
 
     @property
     def item(self) -> str:
-        """What it is counted under at its server."""
+        """The key under which the server window counts the request: the base model, or `records` for a lookup."""
         return self.name if self.kind == LOOKUP else str(self.model.name)
--- a/sumachook/inference/pipeline.py
+++ b/sumachook/inference/pipeline.py
@@ -1,4 +1,4 @@
-"""The path of prompts and lookups through an edge: one table and the passes over it."""
+"""The inference pipeline of an edge: one request table and the stages that process it."""
 
 from datetime import timedelta
 from random import Random
@@ -29,11 +29,11 @@
 
 
 class InferencePipeline:
-    """Takes events and runs the passes: admit, enqueue, select a server, dispatch, relay the answer, settle.
+    """Runs the stages of a request: admit, enqueue, select a server, dispatch, relay the answer, settle.
 
-    Beside the events of `requests/events.py` and of the host it takes the `RecordingOutcome`s of the ledger and the
-    `AdmissionDecision`s of the rate limiter. Beside effects of the host it gives `RequestOpened` and `RequestClosed`
-    for the ledger, and `AdmissionRequested` and `UsageSettled` for the rate limiter.
+    Input: events of the host and of `requests/events.py`, `RecordingOutcome` from the ledger and `AdmissionDecision`
+    from the rate limiter. Output: effects of the host, `RequestOpened` and `RequestClosed` for the ledger, and
+    `AdmissionRequested` and `UsageSettled` for the rate limiter.
     """
 
     __slots__ = (
@@ -79,7 +79,7 @@
         self.deadlines = Deadlines(table, resend, self.cancel, self.settle)
 
     def take(self, event: Any, now: timedelta) -> list[Any]:
-        """The effects of one event."""
+        """Handles one event, then dispatches waiting requests; returns the effects."""
         match event:
             case DrainStarted():
                 self.table.is_draining = True
@@ -109,10 +109,10 @@
                 for server_window in self.table.server_windows.values():
                     server_window.reopen(now)
                 return []
-        raise TypeError(f"the inference pipeline takes no such event: {event!r}")
+        raise TypeError(f"unhandled event in the inference pipeline: {event!r}")
 
     def _handle_disconnect(self, event: ClientDisconnected, now: timedelta) -> list[Any]:
-        """The caller hung up: its attempt is called off."""
+        """Cancels the attempt of a request whose client disconnected, and closes the request."""
         request = self.table.requests.get(self.table.by_call_id.get(event.call_id))
         if request is None:
             return []
@@ -125,9 +125,9 @@
         return effects + self.close.take(request, "fault", failure.status, failure.name, now)
 
     def _finish_all(self, now: timedelta) -> list[Any]:
-        """The node leaves: what is still in flight gets its final answer."""
+        """Ends every request that is still in flight when the drain time of a shutdown is over."""
         effects = []
-        failure = FailureKind.DRAINING.because("this node is leaving")
+        failure = FailureKind.DRAINING.because("this node is shutting down")
         for request in list(self.table.requests.values()):
             end = self.cancel if request.attempt_id is not None else self.settle
             effects += end.take(request, failure, now)
--- a/sumachook/inference/queues.py
+++ b/sumachook/inference/queues.py
@@ -1,15 +1,15 @@
-"""The queues in which prompts wait for a server."""
+"""Weighted fair queues in which prompts wait for a server."""
 
 from collections.abc import Iterator
 from typing import Any
 
-# An idle queue saves up at most this many turns of weight one.
+# Upper bound on the turns (of weight one) that a queue accumulates while it is idle.
 MAX_SAVED_TURNS = 2.0
-REBASE_AT = 1e6  # served turns, far below what a float counts exactly
+REBASE_AT = 1e6  # turns served; far below the limit up to which a float counts exactly
 
 
 class Queues:
-    """Weighted fair queuing; the requests of one queue keep their order.
+    """Weighted fair queueing; requests within one queue stay in FIFO order.
 
     >>> queues = Queues()
     >>> for request in "abcdef": queues.push("counter" if request < "d" else "audit", request)
@@ -22,23 +22,26 @@
 
     def __init__(self) -> None:
         self.requests: dict[str, list[Any]] = {}  # by queue
-        self.served: dict[str, float] = {}  # turns that each queue has had, divided by its weight
+        self.served: dict[str, float] = {}  # turns served, divided by the weight, by queue
 
     def push(self, queue: str, request: Any) -> None:
-        """Puts a request at the end of its queue."""
+        """Appends a request to its queue."""
         self.requests.setdefault(queue, []).append(request)
 
     def remove(self, queue: str, request: Any) -> None:
-        """Takes a request out, if it is there."""
+        """Removes a request from its queue; does nothing if it is not queued."""
         if request in self.requests.get(queue, ()):
             self.requests[queue].remove(request)
 
     def length(self, queue: str) -> int:
-        """How many requests wait there."""
+        """Returns the number of requests that wait in a queue."""
         return len(self.requests.get(queue, ()))
 
     def turns(self, weights: dict[str, int]) -> Iterator[tuple[str, Any]]:
-        """Every waiting request once, queues interleaved by weight; `charge_turn` says which were served."""
+        """Yields every waiting request once, with the queues interleaved by weight.
+
+        Charges nothing: the caller reports each request that it sends with `charge_turn`.
+        """
         positions = {queue: 0 for queue, requests in self.requests.items() if requests}
         requests = {queue: list(self.requests[queue]) for queue in positions}
         served = {queue: self.served.get(queue, 0.0) for queue in positions}
@@ -51,7 +54,7 @@
                 del positions[queue]
 
     def charge_turn(self, queue: str, weights: dict[str, int]) -> None:
-        """Counts a turn that a queue has had; an idle queue saves up next to nothing."""
+        """Counts a served turn; an idle queue accumulates at most `MAX_SAVED_TURNS` over the busiest one."""
         busiest = max(self.served.values(), default=0.0)
         floor = busiest - MAX_SAVED_TURNS
         self.served[queue] = max(self.served.get(queue, 0.0), floor) + 1 / weights.get(queue, 1)
--- a/sumachook/inference/refuse.py
+++ b/sumachook/inference/refuse.py
@@ -1,4 +1,4 @@
-"""What a caller is told who is refused, and when to come back."""
+"""Error replies to callers, with a `Retry-After` header where a retry may succeed."""
 
 from typing import Any
 
@@ -9,13 +9,13 @@
 from sumachook.requests.failures import RETRYABLE_BY_CALLER, RequestFailure
 
 JSON = {"Content-Type": "application/json"}
-# Seconds after which a caller may come back where no server has stated it; spread, so that not all come at once.
+# Default Retry-After in seconds where no server stated one; randomized so that callers do not all retry at once.
 MIN_RETRY_AFTER_S = 1
 RETRY_AFTER_SPREAD_S = 2
 
 
 class Refuse:
-    """Answers a request with the failure that ended it."""
+    """Replies to a request with the failure that ended it."""
 
     __slots__ = ("table",)
 
@@ -31,7 +31,7 @@
         run: str = "no",
         retry_after: float | None = None,
     ) -> list[Any]:
-        """The reply; `run` says whether the request may have run, `retry_after` is in seconds."""
+        """Returns the error reply; `run` states whether the request may have run, `retry_after` is in seconds."""
         self.table.count("refused", failure.name)
         headers = dict(JSON)
         body = {"class": failure.name, "reason": failure.reason, "tries": tries, "run": run, "request": request_id}
--- a/sumachook/inference/request_table.py
+++ b/sumachook/inference/request_table.py
@@ -1,4 +1,4 @@
-"""The prompts and lookups that an edge has in flight, and what the passes over them share."""
+"""The prompts and lookups in flight at an edge, and the state that the pipeline stages share."""
 
 from datetime import timedelta
 from random import Random
@@ -13,7 +13,7 @@
 
 
 class RequestTable(request_table.RequestTable):
-    """Requests by id, queues, windows of servers, and what is known of the other edges."""
+    """Requests by id, their queues, the server windows, and the other edges that share the servers."""
 
     __slots__ = (
         "callers",
@@ -49,39 +49,42 @@
         )
         self.queues = Queues()
         self.waiting_lookups: list[InferenceRequest] = []
-        self.demand: dict[str, float] = {}  # requests by model or adapter since the last report
-        self.service_time: dict[str, float] = {}  # seconds that a prompt takes, by queue; a moving average
-        # other edges
-        self.edges: tuple[str, ...] = (node,)  # the live ones
-        self.peers: tuple[str, ...] = (node,)  # those that were so within the last minute
-        self.knows_edges = False  # until the first list of members has come
-        self.knows_time = False  # until the members' clocks have come
-        # of the catalogue
-        self.callers: dict[str, Any] = {}  # by API key
+        self.demand: dict[str, float] = {}  # requests by model or adapter since the last demand report
+        self.service_time: dict[str, float] = {}  # moving average of the seconds per prompt, by queue
+        # membership of the edges
+        self.edges: tuple[str, ...] = (node,)  # names of the live edges
+        self.peers: tuple[str, ...] = (node,)  # names of the edges that were live within the last minute
+        self.knows_edges = False  # False until the first member list is received
+        self.knows_time = False  # False until the clocks of the members are received
+        # derived from the catalogue
+        self.callers: dict[str, Any] = {}  # callers by API key
         self.targets: dict[str, tuple[Any, str]] = {}  # model and adapter by the name that callers use
-        self.next_alert_at: dict[str, timedelta] = {}  # by the reason of a misconfiguration
-        # records of requests refused before this node knew the time, with the moment
+        self.next_alert_at: dict[str, timedelta] = {}  # when a misconfiguration may be logged again, by failure reason
+        # records of requests that were refused before the cluster clock was agreed, with the local time of each
         self.unstamped_records: list[tuple[timedelta, dict[str, Any]]] = []
 
     def stamp(self, now: timedelta) -> str:
-        """The agreed time of a moment, as the ledger writes it."""
+        """Converts a monotonic time to the ISO 8601 cluster time that the ledger stores."""
         return str(self.cluster_clock.time(now).isoformat())
 
     def queue_settings(self, request: InferenceRequest) -> Any:
-        """The request's queue as the catalogue has it now, or None if it was taken out."""
+        """Returns the settings of the request's queue in the current catalogue, or None if the queue was removed."""
         return next((queue for queue in self.state.catalogue.lines if queue.name == request.queue), None)
 
     def limit(self, server: dict[str, Any]) -> int:
-        """This edge's share of a server's slots: half again the even one, so that uneven load finds room."""
+        """Returns the slots of a server that this edge may use: 1.5 times an even share, to allow for uneven load."""
         return int(max(1, -(-3 * server["slots"] // (2 * len(self.edges)))))
 
     def rank(self, salt: str) -> tuple[int, int]:
-        """This edge's place, and how many edges there are, in an order that differs from server to server."""
+        """Returns the index of this edge among the recently live edges, and their number.
+
+        The order depends on `salt`, the server's name, so that the first place differs from server to server.
+        """
         order = sorted(self.peers, key=lambda edge: hash_of(edge, salt))
         return (order.index(self.node) if self.node in order else 0), max(1, len(order))
 
     def record(self, request: InferenceRequest) -> dict[str, Any]:
-        """The request as the ledger opens it."""
+        """Returns the opening record of the request for the ledger."""
         return {
             "request": request.request_id,
             "caller": request.caller.name,
@@ -98,14 +101,14 @@
         }
 
     def add_to_queue(self, request: InferenceRequest) -> None:
-        """Lets the request wait for a server."""
+        """Queues the request until a server is selected for it."""
         if request.kind == PROMPT:
             self.queues.push(request.queue, request)
         else:
             self.waiting_lookups.append(request)
 
     def remove_from_queue(self, request: InferenceRequest) -> None:
-        """Takes the request out of its queue, if it waits in one."""
+        """Removes the request from its queue; does nothing if it is not queued."""
         if request.kind == PROMPT:
             self.queues.remove(request.queue, request)
         elif request in self.waiting_lookups:
@@ -113,5 +116,5 @@
 
 
 def hash_of(*words: str) -> int:
-    """A hash that is the same in every process."""
+    """Returns a hash that is the same in every process, unlike `hash`."""
     return crc32("|".join(words).encode())
--- a/sumachook/inference/resend.py
+++ b/sumachook/inference/resend.py
@@ -1,4 +1,4 @@
-"""The pass over failed attempts: sent again, resumed or settled."""
+"""Handling of failed attempts: the request is retried, its stream is resumed, or it is settled."""
 
 from datetime import timedelta
 from typing import Any
@@ -17,12 +17,12 @@
 
 MAX_ATTEMPTS = 4
 MAX_RESUMES = 2
-CREDIT_WAIT = timedelta(seconds=3)  # that a resend waits for retry credit
+CREDIT_WAIT = timedelta(seconds=3)  # longest wait of a retry for retry credit, after its backoff
 RESUMABLE = frozenset({FailureKind.CUT, FailureKind.RESET, FailureKind.UNREACHABLE})
 
 
 class Resend:
-    """Decides by the kind of a failure, before anything is sent again."""
+    """Decides by the kind of a failure, the policy and the deadline whether a request is sent again."""
 
     __slots__ = ("end_attempt", "settle", "table")
 
@@ -32,7 +32,7 @@
         self.settle = settle
 
     def take(self, request: InferenceRequest, failure: RequestFailure, now: timedelta) -> list[Any]:
-        """Ends the attempt under way; the request waits for another one, or gets its final answer."""
+        """Ends the failed attempt; requeues the request for a retry, resumes its stream, or sends the final answer."""
         effects = [CancelCall(request.attempt_id)]
         self.end_attempt.take(request, failure, now)
         request.last_failure = failure
@@ -55,7 +55,7 @@
         return effects
 
     def _discard_answer(self, request: InferenceRequest) -> None:
-        """Tokens came but none reached the caller: nothing of them is kept."""
+        """Drops tokens of the failed attempt, of which none reached the caller."""
         request.buffered_parts = []
         request.tokens = 0
         request.finish_reason = None
@@ -91,7 +91,7 @@
         return delay
 
     def _resume(self, request: InferenceRequest, failure: RequestFailure, now: timedelta) -> list[Any]:
-        """After the first token: the same server, by event id, through a GET; or the end."""
+        """Resumes a stream that has reached the client, at the same server by event id (a GET), or settles it."""
         server = self.table.state.servers.get(request.server)
         can_resume = failure.kind in RESUMABLE and request.last_event_id and request.resumes < MAX_RESUMES
         may_enter = server is not None and self.table.is_usable(
--- a/sumachook/inference/response_relay.py
+++ b/sumachook/inference/response_relay.py
@@ -1,4 +1,4 @@
-"""The pass over what servers answer."""
+"""Relay of server responses to callers."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -29,12 +29,12 @@
 from sumachook.requests.model_server_api import ChatDelta
 
 EVENT_STREAM = {"Content-Type": "text/event-stream", "Cache-Control": "no-store"}
-LAST_EVENT = "[DONE]"  # the data of the event that ends a chat completion
-MAX_RETRY_AFTER_S = 60.0  # that a server may state
+LAST_EVENT = "[DONE]"  # data of the event that ends a chat completion stream
+MAX_RETRY_AFTER_S = 60.0  # upper bound on the Retry-After that a server may state
 
 
 class ResponseRelay:
-    """Passes tokens on as they come, and records once they are complete."""
+    """Streams tokens to the caller as they arrive; relays the response to a lookup once it is complete."""
 
     __slots__ = ("_handlers", "cancel", "close", "end_attempt", "resend", "table")
 
@@ -56,7 +56,7 @@
         }
 
     def take(self, event: Any, now: timedelta) -> list[Any]:
-        """An event of a call; one of an attempt that was given up is dropped."""
+        """Handles an event of an HTTP call to a server; drops events of attempts that have already ended."""
         request = self.table.requests.get(event.call_id.request)
         if request is None or request.attempt_id != event.call_id or not request.is_at_server:
             return []
@@ -85,11 +85,13 @@
         if event.status == 200 and event.headers.get("content-type", "").startswith("text/event-stream"):
             return []
         if request.resume_from is not None:
-            return self.resend.take(request, FailureKind.CUT.because(f"no resume, status {event.status}"), now)
+            return self.resend.take(
+                request, FailureKind.CUT.because(f"the server did not resume the stream, status {event.status}"), now
+            )
         return self.resend.take(request, _failure_of_status(event, request), now)
 
     def _handle_response(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:
-        """A complete answer: to a lookup its record, to a prompt a refusal."""
+        """Handles a complete, unstreamed response: the record for a lookup, a refusal for a prompt."""
         if request.kind == PROMPT:
             return self._handle_head(request, event, now)
         if event.status not in (200, 404):
@@ -103,19 +105,25 @@
         return [reply, *self.close.take(request, "done", event.status, failure_name, now)]
 
     def _handle_end(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:
-        return self.resend.take(request, FailureKind.CUT.because("the stream ended early"), now)
+        return self.resend.take(request, FailureKind.CUT.because("the response stream ended early"), now)
 
     def _handle_event(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:
         if event.data == LAST_EVENT:
             if request.finish_reason is None:
-                return self.resend.take(request, FailureKind.CUT.because("ended without a finish reason"), now)
+                return self.resend.take(
+                    request, FailureKind.CUT.because("the response stream ended without a finish reason"), now
+                )
             return self._finish(request, now)
         delta = self.table.port.read_event(event.data)
         if delta is None:
-            return self.resend.take(request, FailureKind.CUT.because("an event that cannot be read"), now)
+            return self.resend.take(
+                request, FailureKind.CUT.because("the server sent an event that cannot be parsed"), now
+            )
         if request.resume_from is not None:
             if not event.event_id or next_id(request.resume_from) != event.event_id:
-                return self.resend.take(request, FailureKind.CUT.because("the resume does not continue"), now)
+                return self.resend.take(
+                    request, FailureKind.CUT.because("the resumed stream does not continue at the next event id"), now
+                )
             request.resume_from = None
         self._note_delta(request, delta, event.event_id, now)
         if not request.is_stream:
@@ -124,7 +132,7 @@
         chunk = send(Event(data=event.data, id=event.event_id or None))
         if request.reached_client:
             return [SendChunk(request.call_id, chunk)]
-        request.buffered_parts.append(chunk)  # what precedes the first token goes out with it
+        request.buffered_parts.append(chunk)  # events before the first token are sent together with it
         return self._open_stream(request) if delta.text else []
 
     def _note_delta(self, request: InferenceRequest, delta: ChatDelta, event_id: str | None, now: timedelta) -> None:
@@ -158,7 +166,7 @@
 
 
 def _completion(request: InferenceRequest) -> dict[str, Any]:
-    """The document of a chat completion that was not streamed."""
+    """Returns the response body of a chat completion that is not streamed."""
     choice = {
         "index": 0,
         "message": {"role": "assistant", "content": "".join(request.buffered_parts)},
@@ -174,7 +182,7 @@
 
 
 def next_id(event_id: str) -> str | None:
-    """The id that must follow, for ids that end in a number after a colon.
+    """Returns the event id that must follow, or None unless the id ends in a colon and a number.
 
     >>> next_id("r1:41"), next_id("abc")
     ('r1:42', None)
@@ -184,8 +192,8 @@
 
 
 def _failure_of_status(event: Any, request: InferenceRequest) -> RequestFailure:
-    """The failure that an answer with a bad status means; notes when an overloaded server may be asked again."""
-    reason = f"the server said {event.status}"
+    """Maps an error status to a failure; sets `retry_after` from the Retry-After header of an overloaded server."""
+    reason = f"the server answered with status {event.status}"
     if event.status in (429, 503):
         stated = event.headers.get("retry-after", "")
         request.retry_after = min(MAX_RETRY_AFTER_S, float(stated)) if stated.isdigit() else None
--- a/sumachook/inference/server_selection.py
+++ b/sumachook/inference/server_selection.py
@@ -1,4 +1,4 @@
-"""The pass that selects servers for the requests that wait."""
+"""Selection of a server for each waiting request."""
 
 from datetime import timedelta
 from typing import Any
@@ -13,12 +13,14 @@
 from sumachook.requests.in_flight_request import RequestState
 from sumachook.retry_budget.budget import own_key
 
-MIN_RETRY_AFTER_S = 1.0  # that a caller is told where all breakers are open
+MIN_RETRY_AFTER_S = 1.0  # smallest Retry-After sent while the breakers of all servers of a model are open
 RECORD_SERVER = "records"  # the kind of the servers that answer lookups
 
 
 class ServerSelection:
-    """Lookups go to the record server with the least in flight, prompts to a holder of their model with room."""
+    """Sends lookups to the record server with the fewest requests in flight, and prompts to a server that has their
+    model loaded and a free slot.
+    """
 
     __slots__ = ("dispatch", "settle", "table")
 
@@ -28,7 +30,7 @@
         self.settle = settle
 
     def take(self, now: timedelta) -> list[Any]:
-        """Sends what can be sent."""
+        """Dispatches every waiting request for which a server is available."""
         table = self.table
         if not table.waiting_lookups and not any(table.queues.requests.values()):
             return []
@@ -37,14 +39,16 @@
         return effects + self._send_lookups(trust, now) + self._send_prompts(trust, now)
 
     def _recheck_zone(self, now: timedelta) -> list[Any]:
-        """What came while this edge had just woken was admitted unchecked: its zone may have been evacuated since."""
+        """Ends requests that were admitted before this edge had current state, if its zone is now evacuated."""
         table = self.table
         if table.state.is_open(table.zone):
             for request in self._waiting():
                 request.needs_recheck = False
             return []
         effects = []
-        failure = FailureKind.EVACUATED.because(f"area {table.zone} is evacuated, use another area's node")
+        failure = FailureKind.EVACUATED.because(
+            f"area {table.zone} is evacuated, send the request to a node of another area"
+        )
         for request in self._waiting():
             if request.needs_recheck:
                 request.needs_recheck = False
@@ -65,7 +69,7 @@
             if servers and self._may_send(request):
                 self.table.waiting_lookups.remove(request)
                 effects += self.dispatch.take(request, self._select_record_server(request, servers, now), now)
-                servers = None  # what was sent may be the probe of an open breaker
+                servers = None  # recompute: the request just sent may be the probe of an open breaker
         return effects
 
     def _send_prompts(self, trust: Trust, now: timedelta) -> list[Any]:
@@ -86,7 +90,7 @@
         return effects
 
     def _may_send(self, request: InferenceRequest) -> bool:
-        """A resend costs a credit; without one the request waits within its deadline."""
+        """Spends retry credit if the request is a retry; without credit it stays queued until `credit_by`."""
         if request.needs_credit and not self.table.retry_budget.spend(own_key(request.kind)):
             return False
         request.needs_credit = False
@@ -115,7 +119,7 @@
         return min(names, key=preference)
 
     def _select_server(self, request: InferenceRequest, trust: Trust, now: timedelta) -> str | RequestFailure | None:
-        """A server's name, None to wait on, or a failure."""
+        """Returns the name of a server, None if the request must keep waiting, or a failure that ends it."""
         if trust in (Trust.EMPTY, Trust.UNPROVEN):
             return None
         table = self.table
@@ -127,12 +131,14 @@
         if not ready:
             soonest = min(table.server_window(name).breaker_open_until for name in open_breakers)
             request.retry_after = max(MIN_RETRY_AFTER_S, (soonest - now).total_seconds())
-            return FailureKind.UNREACHABLE.because("the breaker is open")
+            return FailureKind.UNREACHABLE.because("the circuit breakers of all servers of the model are open")
         ready.sort(key=lambda item: (_failure_rank(request, item[0]), table.server_window(item[0]).is_overloaded(now)))
         return next((name for name, is_warming in ready if self._has_room(request, name, is_warming, now)), None)
 
     def _holders(self, request: InferenceRequest, trust: Trust, now: timedelta) -> list[tuple[str, bool]]:
-        """(name, whether it became ready of late) of the usable servers that hold the model, and the adapter if any."""
+        """Returns the usable servers that have the model loaded, and the adapter if one is requested, each as (name,
+        whether one of the two became ready recently).
+        """
         state = self.table.state
         holders = []
         for name in state.pairs.get(request.model.name, ()):
@@ -148,11 +154,11 @@
         return holders
 
     def _wait_for_model(self, request: InferenceRequest, now: timedelta) -> RequestFailure | None:
-        """A waking model is one that is placed but not held yet: one delayed retry, then the end."""
+        """Waits for a model that no usable server has loaded: one delayed retry at `model_ready_by`, then a failure."""
         if now < request.model_ready_by:
             return None
         if request.wake_retries:
-            return FailureKind.WAKE_TIMEOUT.because(f"{request.name} was not ready in time")
+            return FailureKind.WAKE_TIMEOUT.because(f"{request.name} was not loaded by any server in time")
         request.wake_retries = 1
         request.finished_attempts.append({"server": "", "class": FailureKind.WAKE_TIMEOUT.value})
         request.not_before = now + self.table.retry_delay(request)
@@ -166,7 +172,7 @@
         queue = table.queue_settings(request)
         queue_limit = max(1, int(limit * queue.share)) if queue else 1
         if request.is_yielding:
-            limit = max(1, limit // 2)  # it runs where room is left
+            limit = max(1, limit // 2)  # requests over their tenant's quota get half of the slots
         if server_window.in_use >= limit or server_window.in_use_by_queue.get(request.queue, 0) >= queue_limit:
             return False
         is_cold = "ready" not in table.state.held.get(name, {}).values()
@@ -176,18 +182,18 @@
         )
 
     def _allows_slow_start(self, name: str, item: str, is_warming: bool, in_use: int, now: timedelta) -> bool:
-        """Whether an item, or the whole server, that became ready of late may get one more request of this edge."""
+        """Returns whether the slow start of a model, or of the whole server, admits one more request from this edge."""
         server_window = self.table.server_window(name)
         if not is_warming:
             server_window.warming_since.pop(item, None)
             return True
         if not self.table.knows_edges:
-            return False  # it would take itself for the only one, and all of the share
+            return False  # this edge would count as the only one and use the whole limit
         rank, edges = self.table.rank(name)
         slots = self.table.state.servers[name]["slots"]
         return bool(in_use < server_window.slow_start_limit(item, slots, rank, edges, now))
 
 
 def _failure_rank(request: InferenceRequest, name: str) -> int:
-    """0 for a server that has not failed this request, else higher the later it did."""
+    """Ranks a server by its failures of this request: 0 for none, higher for a more recent failure."""
     return request.failed_servers.index(name) + 1 if name in request.failed_servers else 0
--- a/sumachook/inference/server_window.py
+++ b/sumachook/inference/server_window.py
@@ -1,21 +1,21 @@
-"""What an edge has in flight at one model server, with the slow start of a server that wakes."""
+"""Requests in flight from one edge at one server, with circuit breaker and slow start."""
 
 from datetime import timedelta
 
 from sumachook.requests import server_window
 from sumachook.requests.server_window import BackoffPolicy
 
-# Probes of all edges together come no closer than this, so that a server that comes back isn't asked by all at once.
+# Minimum interval between breaker probes of all edges together, so that they do not hit a recovering server at once.
 PROBE_SPACING = timedelta(seconds=0.5)
-# After a failed lookup, whatever the number of edges.
+# Longest breaker backoff after failed lookups, for any number of edges.
 MAX_LOOKUP_BACKOFF = timedelta(seconds=2)
-SLOW_START_STEP = timedelta(seconds=1.5)  # in which the number of requests that a waking server gets doubles
-MAX_DOUBLINGS = 16  # far above any number of slots; keeps the shift small after a long slow start
-WHOLE_SERVER = ""  # in place of an item: the server as a whole, where nothing it holds is older than its slow start
+SLOW_START_STEP = timedelta(seconds=1.5)  # the limit on requests to a warming server doubles in each step
+MAX_DOUBLINGS = 16  # 2 << 16 is far above any number of slots; bounds the shift after a long slow start
+WHOLE_SERVER = ""  # item key for the slow start of a server on which no model is past its own slow start
 
 
 class ServerWindow(server_window.ServerWindow):
-    """Requests in flight by item and queue, breaker and slow start of one server, as one edge sees them.
+    """Tracks requests in flight by item and queue, the breaker and the slow start of one server, as seen by one edge.
 
     >>> window = ServerWindow()
     >>> for _ in range(ServerWindow.BACKOFF.failures_to_open): window.record_failure(timedelta(0))
@@ -27,7 +27,7 @@
 
     __slots__ = ("in_use_by_item", "in_use_by_queue", "warming_since")
 
-    # Prompts are long: more failures than at a service before a server is left alone, and longer backoffs.
+    # Prompts run long, so the breaker opens after more failures than for a proxied service, with longer backoffs.
     BACKOFF = BackoffPolicy(
         failures_to_open=4,
         min_breaker_backoff=timedelta(seconds=2),
@@ -40,37 +40,39 @@
         super().__init__()
         self.in_use_by_item: dict[str, int] = {}
         self.in_use_by_queue: dict[str, int] = {}
-        self.warming_since: dict[str, timedelta] = {}  # by item
+        self.warming_since: dict[str, timedelta] = {}  # when the slow start of each item began
 
     def begin(self, item: str, queue: str) -> None:
-        """An attempt of a request for this item, of this queue, begins."""
+        """Counts the start of an attempt for this item (a model, or `records`) and queue."""
         self.count_attempt()
         self.in_use_by_item[item] = self.in_use_by_item.get(item, 0) + 1
         self.in_use_by_queue[queue] = self.in_use_by_queue.get(queue, 0) + 1
 
     def end(self, item: str, queue: str) -> None:
-        """An attempt that began has ended."""
+        """Counts the end of an attempt."""
         self.in_use -= 1
         self.in_use_by_item[item] -= 1
         self.in_use_by_queue[queue] -= 1
 
     def reopen(self, now: timedelta) -> None:
-        """Asks the server now, with one probe: failures seen while this edge itself was cut off say nothing of it."""
+        """Lets one probe through an open breaker at once: failures seen while this edge was cut off say nothing
+        about the server.
+        """
         if self.breaker_open_until is not None:
             self.breaker_backoff = self.BACKOFF.min_breaker_backoff
             self.breaker_open_until = min(now, self.breaker_open_until)
 
     def slow_start_limit(self, item: str, slots: int, rank: int, edges: int, now: timedelta) -> int:
-        """How many requests the edge of this rank may have in flight there for an item that became ready of late.
+        """Returns how many requests the edge of this rank may have in flight for an item in slow start.
 
-        All edges together begin with two and double with each step that went well.
+        The limit of all edges together starts at two and doubles with each step without a failure.
         """
         since = self.warming_since.setdefault(item, now)
         total = min(slots, 2 << min(MAX_DOUBLINGS, int((now - since) / SLOW_START_STEP)))
         return total // edges + (rank < total % edges)
 
     def restart_slow_start(self, item: str, now: timedelta) -> None:
-        """A failure during the slow start begins it anew."""
+        """Restarts the slow start of the item and of the server after a failure."""
         for warming in (item, WHOLE_SERVER):
             if warming in self.warming_since:
                 self.warming_since[warming] = now
--- a/sumachook/inference/settle.py
+++ b/sumachook/inference/settle.py
@@ -1,4 +1,4 @@
-"""The pass that gives a failed request its final answer, at once."""
+"""The final answer to a failed request."""
 
 from datetime import timedelta
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class Settle:
-    """Answers at once, and honestly about what may have run."""
+    """Answers a failed request at once and states whether it may have run."""
 
     __slots__ = ("close", "refuse", "table")
 
@@ -25,7 +25,7 @@
         self.close = close
 
     def take(self, request: InferenceRequest, failure: RequestFailure, now: timedelta) -> list[Any]:
-        """Ends the request with an answer that tells this failure."""
+        """Ends the request with this failure: an error reply, or an error event if the response stream has begun."""
         self.table.remove_from_queue(request)
         tries = len(request.finished_attempts)
         if request.reached_client:
@@ -37,7 +37,7 @@
         return effects + self.close.take(request, "fault", failure.status, failure.name, now)
 
     def _end_stream(self, request: InferenceRequest, failure: RequestFailure, tries: int) -> list[Any]:
-        request.run_history.note_complete_answer()  # a token reached the caller
+        request.run_history.note_complete_answer()  # a token has reached the caller
         self.table.count("refused", failure.name)
         body = {
             "class": failure.name,
--- a/sumachook/outliers/__init__.py
+++ b/sumachook/outliers/__init__.py
@@ -1,1 +1,1 @@
-"""Outlier detection: servers that fail far more than others, by what all edges see of them together."""
+"""Outlier detection: ejects servers that fail far more than others, by the combined reports of all edges."""
--- a/sumachook/outliers/detector.py
+++ b/sumachook/outliers/detector.py
@@ -1,4 +1,4 @@
-"""Decides which servers all edges should keep away from for a while."""
+"""Detection of servers that all edges should stop using for a limited time."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -9,34 +9,34 @@
 from sumachook.outliers.effects import ServersEjected
 from sumachook.outliers.events import Tick
 
-# of an outcome's weight: a failing server shows within a fraction of a second, and old trouble is soon forgotten
+# of the weight of an outcome: detects a failing server within a fraction of a second, discounts old failures soon
 HALF_LIFE = timedelta(seconds=1)
-MIN_FAILURES = 2.0  # decayed; one failed attempt, or two, may happen at any server
-MIN_FAILURE_RATE = 0.2  # of the attempts at a server
-MIN_RATE_RATIO = 3.0  # of a server's failure rate to that of all others of its service
-FIRST_EJECTION = timedelta(seconds=2)  # each further one is twice as long
+MIN_FAILURES = 2.0  # decayed count; one or two failed attempts may happen at any server
+MIN_FAILURE_RATE = 0.2  # share of failed attempts at a server
+MIN_RATE_RATIO = 3.0  # of the failure rate of a server to that of all others of its service
+FIRST_EJECTION = timedelta(seconds=2)  # each further ejection lasts twice as long
 MAX_EJECTION = timedelta(seconds=8)
-FORGET_AFTER = timedelta(seconds=20)  # without an outcome, or since the end of an ejection
-SERVERS_PER_EJECTION = 3  # at most one in so many servers of a service is ejected at a time
+FORGET_AFTER = timedelta(seconds=20)  # after the last outcome of a server, or the end of its ejection
+SERVERS_PER_EJECTION = 3  # at most one of this many servers of a service is ejected at a time
 
 _MILLISECOND = timedelta(milliseconds=1)
 
 
 class DecayedOutcomes(NamedTuple):
-    """Attempts that ended well and badly, as they count at the moment `as_of`."""
+    """Successful and failed attempts, weighted by exponential decay as of the time `as_of`."""
 
     successes: float
     failures: float
     as_of: timedelta
 
     def decayed(self, now: timedelta) -> "DecayedOutcomes":
-        """The same as it counts now."""
+        """Returns the counts decayed to `now`."""
         weight = 0.5 ** ((now - self.as_of) / HALF_LIFE)
         return DecayedOutcomes(self.successes * weight, self.failures * weight, now)
 
 
 class Ejection(NamedTuple):
-    """A server is ejected until then; the next time it is for `next_duration`."""
+    """The end of a server's ejection, and the duration of a further one."""
 
     until: timedelta
     next_duration: timedelta
@@ -45,8 +45,8 @@
 class OutlierDetector:
     """Adds up the outcomes that edges report, and ejects servers that fail far more than the others of their service.
 
-    Takes `Tick` and `MessageReceived` of an `OutcomeReport`; gives `ServersEjected` and `Log`, only where the tick says
-    that this core has the placer lease. A server's name is that of one run of it, so outcomes do not pass to its next.
+    Handles `Tick` and `MessageReceived` with an `OutcomeReport`; returns `ServersEjected` and `Log`, only if the tick
+    states that this core has the placer lease. A server gets a new name at each restart, so outcomes do not carry over.
     """
 
     __slots__ = ("_state", "_outcomes", "_ejections", "_has_new_failures")
@@ -58,14 +58,14 @@
         self._has_new_failures = False
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """What follows from an event at the monotonic time `now`."""
+        """Handles an event at the monotonic time `now`; returns the effects."""
         match event:
             case Tick():
                 return self._detect(now) if event.fence and self._has_new_failures else []
             case MessageReceived():
                 self._record(event.message.counts, now)
                 return []
-        raise TypeError(f"outlier detection takes no such event: {event!r}")
+        raise TypeError(f"unhandled event in outlier detection: {event!r}")
 
     def _record(self, counts: Mapping[str, tuple[int, int]], now: timedelta) -> None:
         for server, (successes, failures) in counts.items():
@@ -83,7 +83,7 @@
         }
         if not durations_ms:
             return []
-        text = "Servers fail more than others and are kept off."
+        text = "Ejected servers that fail more often than others."
         return [Log("warning", "outliers", text, {"servers": durations_ms}), ServersEjected(durations_ms)]
 
     def _outcomes_by_service(self, now: timedelta) -> dict[str, dict[str, DecayedOutcomes]]:
@@ -94,7 +94,7 @@
         return by_service
 
     def _outliers(self, service: str, outcomes: Mapping[str, DecayedOutcomes], now: timedelta) -> list[str]:
-        """Servers that fail far more than the others, the worst first, as many as may be ejected."""
+        """Returns the outliers of a service, the worst first, limited to the number that may still be ejected."""
         of_service = [name for name, server in self._state.servers.items() if server.get("service", "") == service]
         ejected_count = sum(self._is_ejected(name, now) for name in of_service)
         candidates = [
@@ -107,7 +107,9 @@
         return server in self._ejections and now < self._ejections[server].until
 
     def _eject(self, server: str, now: timedelta) -> int:
-        """Milliseconds for which it is ejected; afterwards it begins anew, and longer if it is ejected again."""
+        """Ejects a server and resets its outcomes; returns the duration in milliseconds, which doubles each time up
+        to `MAX_EJECTION`.
+        """
         duration = self._ejections[server].next_duration if server in self._ejections else FIRST_EJECTION
         self._ejections[server] = Ejection(now + duration, min(duration * 2, MAX_EJECTION))
         del self._outcomes[server]
--- a/sumachook/outliers/effects.py
+++ b/sumachook/outliers/effects.py
@@ -1,9 +1,9 @@
-"""What the outlier detector tells its core."""
+"""Effects that the outlier detector returns to its core."""
 
 from sumachook.host.effects import Effect
 
 
 class ServersEjected(Effect, frozen=True):
-    """All edges are to send nothing to these servers for so many milliseconds."""
+    """Ejects servers at all edges; durations in milliseconds by server."""
 
     durations_ms: dict[str, int]
--- a/sumachook/outliers/events.py
+++ b/sumachook/outliers/events.py
@@ -1,9 +1,9 @@
-"""What a core tells its outlier detector, beside the events of the host."""
+"""Events that a core sends to its outlier detector, in addition to those of the host."""
 
 from sumachook.host.events import Event
 
 
 class Tick(Event, frozen=True):
-    """Time has passed; `fence` is that of the placer lease, or 0 where this core does not have the lease."""
+    """A tick; `fence` is the fencing token of the placer lease, or 0 if this core does not have the lease."""
 
     fence: int
--- a/sumachook/outliers/outcome_counts.py
+++ b/sumachook/outliers/outcome_counts.py
@@ -1,16 +1,16 @@
-"""What one edge saw of its servers since its last report."""
+"""Counts of attempt outcomes at one edge since its last report."""
 
 from datetime import timedelta
 
 REPORT_INTERVAL = timedelta(seconds=1)
-FAILURE_REPORT_INTERVAL = timedelta(seconds=0.1)  # so that an outlier is ejected before many requests meet it
+FAILURE_REPORT_INTERVAL = timedelta(seconds=0.1)  # short, so that an outlier is ejected before it fails many requests
 
 
 class OutcomeCounts:
-    """Counts the attempts that ended well or badly, by server.
+    """Counts successful and failed attempts by server.
 
-    `due(now)` gives {server: (successes, failures)} once it is time to report, and begins anew: soon where an attempt
-    ended badly, else each second.
+    `due(now)` returns {server: (successes, failures)} when a report is due, and resets the counts. The interval between
+    reports is 0.1 seconds if an attempt failed, else one second.
 
     >>> outcome_counts, second = OutcomeCounts(timedelta(0)), timedelta(seconds=1)
     >>> outcome_counts.note("i-1", True); outcome_counts.note("i-1", False); outcome_counts.note("i-2", True)
@@ -26,7 +26,7 @@
         self.reported_at = now
 
     def note(self, server: str, is_success: bool) -> None:
-        """Counts an attempt that ended at this server."""
+        """Counts the outcome of an attempt at a server."""
         successes, failures = self._counts.get(server, (0, 0))
         if is_success:
             self._counts[server] = (successes + 1, failures)
@@ -35,7 +35,7 @@
             self._has_failures = True
 
     def due(self, now: timedelta) -> dict[str, tuple[int, int]] | None:
-        """What is to be reported now, or None."""
+        """Returns and resets the counts if a report is due, else None."""
         interval = FAILURE_REPORT_INTERVAL if self._has_failures else REPORT_INTERVAL
         if not self._counts or now - self.reported_at < interval:
             return None
--- a/sumachook/policies/__init__.py
+++ b/sumachook/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Policies: small expressions, compiled to a bytecode with a step limit."""
+"""Operator-defined policies: small expressions, compiled to bytecode that runs with a step limit."""
--- a/sumachook/policies/errors.py
+++ b/sumachook/policies/errors.py
@@ -1,19 +1,19 @@
-"""What can be wrong with a policy."""
+"""Errors of compiling and running policies."""
 
 from sumachook.exceptions import SumachookError
 
 
 class PolicyError(SumachookError):
-    """Base of what can be wrong with a policy."""
+    """Base class of all policy errors."""
 
 
 class InvalidPolicyError(PolicyError):
-    """The text is no policy; the message begins with line and column."""
+    """The text is not a valid policy; the message begins with line and column."""
 
 
 class StepLimitError(PolicyError):
-    """The policy takes more steps than are allowed."""
+    """Running the policy exceeds the limit on steps."""
 
 
 class EvaluationError(PolicyError):
-    """The policy has no value for these names."""
+    """The policy cannot be evaluated with the given values, as after a division by zero or a missing name."""
--- a/sumachook/policies/policy.py
+++ b/sumachook/policies/policy.py
@@ -1,4 +1,4 @@
-"""One policy: text, checked types, bytecode, and the machine that runs it."""
+"""The policy language: a type-checking compiler from text to bytecode, and the interpreter that runs it."""
 
 import ast
 from collections.abc import Callable, Mapping
@@ -18,7 +18,7 @@
 
 
 class ValueType(StrEnum):
-    """The types of the language."""
+    """The value types of the policy language."""
 
     TEXT = "text"
     NUMBER = "number"
@@ -26,7 +26,7 @@
 
 
 class Role(NamedTuple):
-    """What a policy is for: the names that it may use, the type of its result, and the result where it fails."""
+    """A kind of policy: the names that it may use, the type of its result, and the default result if it fails."""
 
     names: Mapping[str, ValueType]
     result_type: ValueType
@@ -81,7 +81,7 @@
 
 
 class Code(IntEnum):
-    """The instructions; each has one operand, or None."""
+    """The opcodes of the bytecode; each instruction has one operand or None."""
 
     PUSH = 0
     NAME = 1
@@ -98,7 +98,7 @@
 
 
 class Instruction(NamedTuple):
-    """One step of a program."""
+    """An opcode and its operand; the interpreter counts each one executed as a step."""
 
     code: Code
     operand: Any = None
@@ -123,7 +123,7 @@
 
 
 class Program:
-    """Bytecode; `run` never runs long (docs/design/policies.md).
+    """A compiled policy; the step limit bounds the time of `run` (docs/design/policies.md).
 
     >>> program = compile_policy("retry", "attempt < 3 and fault != 'overload'")
     >>> program.run({"attempt": 1, "fault": "reset"}), program.run({"attempt": 3, "fault": "reset"})
@@ -141,7 +141,7 @@
         self.codes = codes
 
     def run(self, names: Mapping[str, Any]) -> Any:
-        """The result; raises `StepLimitError` or `EvaluationError`."""
+        """Evaluates the policy; raises `StepLimitError` or `EvaluationError`."""
         try:
             return self._run(names)
         except (ArithmeticError, KeyError, TypeError) as error:
@@ -154,7 +154,7 @@
         while position < len(codes):
             steps += 1
             if steps > STEP_LIMIT:
-                raise StepLimitError(f"{steps} steps, at most {STEP_LIMIT}")
+                raise StepLimitError(f"{steps} steps exceed the limit of {STEP_LIMIT}")
             code, operand = codes[position]
             position += 1
             if code is Code.PUSH:
@@ -172,7 +172,7 @@
         return stack[-1]
 
     def __call__(self, names: Mapping[str, Any]) -> Any:
-        """The result, or the role's safe default where there is none."""
+        """Evaluates the policy; returns the safe default of its role if the evaluation fails."""
         try:
             return self.run(names)
         except PolicyError:
@@ -180,7 +180,7 @@
 
 
 def _operate(code: Code, operand: Any, stack: list[Any]) -> None:
-    """Carries out an instruction on the values on top of the stack."""
+    """Executes an instruction other than a jump or a push on the values on top of the stack."""
     if code is Code.BINARY or code is Code.COMPARE:
         right = stack.pop()
         stack[-1] = operand(stack[-1], right)
@@ -199,7 +199,7 @@
 
 @cached(LRUCache(CACHED_PROGRAMS))
 def compile_policy(role: str, text: str) -> Program:
-    """The program of a text; raises `InvalidPolicyError` with line and column.
+    """Compiles a policy; raises `InvalidPolicyError` with line and column. An empty text yields the role's default.
 
     >>> compile_policy("hold", "patience < < 3")
     Traceback (most recent call last):
@@ -214,9 +214,9 @@
     if not text.strip():
         return Program(role, text, (Instruction(Code.PUSH, ROLES[role].default),))
     if len(text) > MAX_CHARACTERS:
-        raise InvalidPolicyError(f"line 1, column 1: {len(text)} characters, at most {MAX_CHARACTERS}")
+        raise InvalidPolicyError(f"line 1, column 1: {len(text)} characters exceed the limit of {MAX_CHARACTERS}")
     try:
-        tree = ast.parse(f"(\n{text}\n)", mode="eval").body  # so that a program may have several lines
+        tree = ast.parse(f"(\n{text}\n)", mode="eval").body  # parentheses allow an expression to span several lines
         return Program(role, text, Compiler(role).compile(tree))
     except SyntaxError as error:
         line, column = max(1, (error.lineno or 2) - 1), max(1, error.offset or 1)
@@ -230,7 +230,7 @@
 
 
 class Compiler:
-    """Turns the syntax tree of one policy into instructions, and checks its types on the way."""
+    """Compiles the syntax tree of one policy to bytecode and checks its types."""
 
     __slots__ = ("role", "names", "codes")
 
@@ -240,16 +240,16 @@
         self.codes: list[Instruction] = []
 
     def compile(self, tree: ast.expr) -> tuple[Instruction, ...]:
-        """The instructions of a policy; raises `InvalidPolicyError`."""
+        """Returns the instructions of a policy; raises `InvalidPolicyError`."""
         found, wanted = self._emit(tree), ROLES[self.role].result_type
         if found != wanted:
             _refuse(tree, f"gives {found}, a {self.role} policy gives {wanted}")
         if len(self.codes) > STEP_LIMIT:
-            _refuse(tree, f"{len(self.codes)} steps, at most {STEP_LIMIT}")
+            _refuse(tree, f"{len(self.codes)} steps exceed the limit of {STEP_LIMIT}")
         return tuple(self.codes)
 
     def _emit(self, node: ast.expr) -> ValueType:
-        """Appends the instructions of a node, and gives the type of its value."""
+        """Appends the instructions of a syntax node and returns the type of its value."""
         match node:
             case ast.Constant():
                 return self._emit_constant(node)
@@ -270,7 +270,7 @@
                 return self._emit_compare(node)
             case ast.Call():
                 return self._emit_call(node)
-        _refuse(node, f"{type(node).__name__} is not part of the language")
+        _refuse(node, f"{type(node).__name__} is not part of the policy language")
 
     def _need(self, node: ast.expr, wanted: ValueType) -> None:
         found = self._emit(node)
@@ -285,7 +285,7 @@
             return NUMBER
         if isinstance(node.value, str):
             return TEXT
-        _refuse(node, "constants are numbers, texts, True or False")
+        _refuse(node, "a constant must be a number, a text, True or False")
 
     def _emit_name(self, node: ast.Name) -> ValueType:
         if node.id not in self.names:
@@ -325,7 +325,7 @@
         return found
 
     def _reserve(self) -> int:
-        """The position of a jump whose target is not known yet."""
+        """Appends a jump whose target is not known yet, and returns its position."""
         self.codes.append(Instruction(Code.JUMP))
         return len(self.codes) - 1
 
@@ -335,7 +335,7 @@
         if isinstance(operation, ast.In | ast.NotIn):
             return self._emit_among(operation, right)
         if type(operation) not in _COMPARE:
-            _refuse(node, "this comparison is not part of the language")
+            _refuse(node, "this comparison operator is not part of the policy language")
         other = self._emit(right)
         if left != other:
             _refuse(node, f"{left} and {other} cannot be compared")
@@ -344,10 +344,10 @@
 
     def _emit_among(self, operation: ast.In | ast.NotIn, values: ast.expr) -> ValueType:
         if not isinstance(values, ast.Tuple | ast.List):
-            _refuse(values, "in needs a list of constants")
+            _refuse(values, "the right side of in must be a list of constants")
         constants = [item.value for item in values.elts if isinstance(item, ast.Constant)]
         if len(constants) < len(values.elts):
-            _refuse(values, "in needs a list of constants")
+            _refuse(values, "the right side of in must be a list of constants")
         self.codes.append(Instruction(Code.AMONG, frozenset(constants)))
         if isinstance(operation, ast.NotIn):
             self.codes.append(Instruction(Code.NOT))
@@ -358,7 +358,7 @@
             _refuse(node, "only min, max and abs can be called")
         function, count = _CALLS[node.func.id]
         if len(node.args) != count:
-            _refuse(node, f"{node.func.id} takes {count}")
+            _refuse(node, f"{node.func.id} has the wrong number of arguments, expected {count}")
         for argument in node.args:
             self._need(argument, NUMBER)
         self.codes.append(Instruction(Code.CALL, (function, count)))
--- a/sumachook/retry_budget/__init__.py
+++ b/sumachook/retry_budget/__init__.py
@@ -1,1 +1,1 @@
-"""The retry budget that all edges share: what bounds retries, and how credit moves between edges."""
+"""The retry budget of the fleet: limits retries per service, and transfers retry credit between edges."""
--- a/sumachook/retry_budget/broker.py
+++ b/sumachook/retry_budget/broker.py
@@ -1,4 +1,7 @@
-"""Moves retry credit from edges that have some to spare to edges that want it; runs where the accountant lease is."""
+"""The broker of retry credit: matches edges that lack credit with edges that can lend it.
+
+Runs at the core that has the accountant lease.
+"""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -8,13 +11,13 @@
 from sumachook.retry_budget.events import BrokerTick
 from sumachook.retry_budget.messages import LendCredit
 
-ROUND_INTERVAL = timedelta(seconds=0.5)  # as often as edges report
-REPORT_LIFETIME = timedelta(seconds=2)  # an edge that is silent for longer takes part no more
-MIN_LOAN = 1.0  # the price of a retry; less than that helps nobody
+ROUND_INTERVAL = timedelta(seconds=0.5)  # equals the interval at which edges report
+REPORT_LIFETIME = timedelta(seconds=2)  # an edge without a report for longer is left out of the rounds
+MIN_LOAN = 1.0  # credits; one retry costs one credit, so a smaller loan is useless
 
 
 class EdgeCredit(NamedTuple):
-    """An edge's last report: its address, (balance, retries without credit) by service key, and when it came."""
+    """The last report of an edge: its address, (balance, denied retries) by service key, and when it was received."""
 
     address: str
     balances: dict[str, tuple[float, int]]
@@ -22,16 +25,16 @@
 
 
 class ServiceCredit(NamedTuple):
-    """What one edge has, and lacks, for one service."""
+    """The credit balance and the unmet demand of one edge for one service."""
 
     edge: str
     address: str
     balance: float
-    wanted: int  # retries that found no credit
+    wanted: int  # retries denied for lack of credit since the last report
 
 
 class RetryBudgetBroker:
-    """Asks edges with credit to spare to lend to those that want it, service by service."""
+    """Arranges loans between edges, per service, from the balances and the demand that they report."""
 
     __slots__ = ("_reports", "_next_round_at", "_loan_count")
 
@@ -41,14 +44,14 @@
         self._loan_count = 0
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """A `BrokerTick` begins a round, where its fence is not 0; a `CreditReport` is kept for the rounds to come."""
+        """Starts a round of loans on a `BrokerTick` with a nonzero fence; stores a `CreditReport` for later rounds."""
         match event:
             case BrokerTick():
                 return self._begin_round(event.fence, now)
             case MessageReceived():
                 self._reports[event.sender] = EdgeCredit(event.address, event.message.balances, now)
                 return []
-        raise TypeError(f"the broker of retry credit takes no such event: {event!r}")
+        raise TypeError(f"unhandled event in the retry credit broker: {event!r}")
 
     def _begin_round(self, fence: int, now: timedelta) -> list[Effect]:
         if not fence or now < self._next_round_at:
@@ -63,7 +66,7 @@
         return [effect for key in sorted(wanted_keys) for effect in self._arrange_loans(key, fence)]
 
     def _arrange_loans(self, service_key: str, fence: int) -> list[Effect]:
-        """One loan for each edge that wants credit for this service, from those that have most of it."""
+        """Arranges at most one loan per edge that lacks credit for this service, from the edges with the most."""
         offers = [
             ServiceCredit(edge, report.address, *report.balances[service_key])
             for edge, report in self._reports.items()
@@ -75,7 +78,7 @@
         donors.sort(key=lambda credit: (-credit.balance, credit.edge, credit.address))
         return [
             self._loan(service_key, fence, donor, receiver)
-            for donor, receiver in zip(donors, receivers, strict=False)  # who is left over waits for the next round
+            for donor, receiver in zip(donors, receivers, strict=False)  # unmatched edges wait for the next round
         ]
 
     def _loan(self, service_key: str, fence: int, donor: ServiceCredit, receiver: ServiceCredit) -> Send:
--- a/sumachook/retry_budget/budget.py
+++ b/sumachook/retry_budget/budget.py
@@ -1,4 +1,4 @@
-"""The part of the fleet's retry budget that one edge has."""
+"""One edge's share of the retry budget of the fleet."""
 
 import math
 from datetime import timedelta
@@ -8,31 +8,31 @@
 from sumachook.retry_budget.events import BudgetTick
 from sumachook.retry_budget.messages import CreditReport, CreditTransfer, LendCredit
 
-DEFAULT_RATIO = 0.2  # credit for each first attempt: retries are at most a fifth of the requests
-DEFAULT_CAP = 2.0  # credit that may be saved up for one service, where no slack is configured
-ROUNDING = 0.001  # sums of fractions of a credit may fall short of a whole one by this
+DEFAULT_RATIO = 0.2  # credits earned per first attempt, which limits retries to a fifth of the requests
+DEFAULT_CAP = 2.0  # maximum balance per service where no slack is configured
+ROUNDING = 0.001  # tolerance: a sum of fractions may be this much below a whole credit
 REPORT_INTERVAL = timedelta(seconds=0.5)
 LOG_INTERVAL = timedelta(seconds=2)
-SAVED_SHARE = 0.8  # of the slack; the rest is for edges that don't know each other yet
-LOAN_LIFETIME = timedelta(seconds=1)  # credit above what an edge may save up is for a request that waits now
-RETENTION = timedelta(minutes=1)  # of a loan after its use, and of a bucket after its last request
+SAVED_SHARE = 0.8  # of the slack; the rest covers edges that do not know each other yet
+LOAN_LIFETIME = timedelta(seconds=1)  # a borrowed balance above the cap expires after this: it is for waiting requests
+RETENTION = timedelta(minutes=1)  # of a loan id after its use, and of a bucket after its last request
 
 
 def service_key(service: str) -> str:
-    """The key of a service that the operator's routes lead to."""
+    """Returns the budget key of a service of the operator's HTTP routes."""
     return "s:" + service
 
 
 def own_key(kind: str) -> str:
-    """The key of a kind of inference request at the edge's own HTTP address."""
+    """Returns the budget key of a kind of inference request (prompt or lookup)."""
     return "o:" + kind
 
 
 def share_of_savings(slack: float, rank: int, edges: int) -> float:
-    """Credits that the edge of this rank (from 0) among so many may save up for a service.
+    """Returns the maximum balance per service for the edge of this rank (from 0) among `edges`.
 
-    All shares together are at most eight tenths of the slack. They are even, but where they would be less than the
-    whole credit that a retry costs, the first edges have one each and the others none: those live on loans.
+    The shares add up to at most eight tenths of the slack. They are equal, unless that would be less than the one
+    credit that a retry costs: then the first edges get one credit each and the others none, and rely on loans.
 
     >>> share_of_savings(50.0, 3, 10)
     4.0
@@ -46,10 +46,10 @@
 
 
 class RetryBucket:
-    """The credit for retries at one service.
+    """The retry credit for one service.
 
-    `balance` is what may be spent now, `wanted` how many retries found none since the last report; `earned` (credits),
-    `spent` and `denied` (retries) count since the start.
+    `balance` is the credit available now, `wanted` the number of retries denied since the last report; `earned`
+    (credits), `spent` and `denied` (retries) are totals since the start.
     """
 
     __slots__ = ("balance", "wanted", "earned", "spent", "denied", "is_used", "borrowed_until")
@@ -60,15 +60,15 @@
         self.earned = 0.0
         self.spent = 0
         self.denied = 0
-        self.is_used = True  # since the last sweep
+        self.is_used = True  # whether the bucket was used since the last sweep
         self.borrowed_until = timedelta(0)
 
 
 class RetryBudget:
-    """A fifth of a credit for each first attempt at a service, one for each retry there; none to start with.
+    """A token bucket per service: a first attempt earns a fifth of a credit, a retry costs one; buckets start empty.
 
-    Each service has a bucket of its own: requests for one never pay for retries at another. How edges share the budget
-    is in docs/design.md, "Retry budget".
+    Requests for one service never pay for retries at another. docs/design.md, "Retry budget", describes how edges
+    share the budget.
 
     >>> budget = RetryBudget()
     >>> for _ in range(5): budget.earn("s:chat")
@@ -100,21 +100,21 @@
         self._logged_totals: dict[str, tuple[int, int]] = {}
 
     def bucket(self, key: str) -> RetryBucket:
-        """The bucket of the service of this key, which is empty at first."""
+        """Returns the bucket of a service key, which it creates empty if needed, and marks it as used."""
         if key not in self._buckets:
             self._buckets[key] = RetryBucket()
         self._buckets[key].is_used = True
         return self._buckets[key]
 
     def earn(self, key: str) -> None:
-        """Counts a first attempt at the service of this key."""
+        """Adds the credit of a first attempt to the bucket of a service key, up to the cap."""
         bucket = self.bucket(key)
         bucket.earned += self.ratio
         if bucket.balance < self.cap:
             bucket.balance = min(self.cap, bucket.balance + self.ratio)
 
     def spend(self, key: str) -> bool:
-        """Whether a retry at the service of this key is paid for, now."""
+        """Deducts one credit for a retry; returns False, and counts the denial, if the balance is too low."""
         bucket = self.bucket(key)
         if bucket.balance < 1 - ROUNDING:
             bucket.denied += 1
@@ -125,11 +125,11 @@
         return True
 
     def balance_of(self, key: str) -> float:
-        """Credit that retries at the service of this key may use."""
+        """Returns the available credit for a service key."""
         return self._buckets[key].balance if key in self._buckets else 0.0
 
     def metrics(self) -> dict[str, dict[str, float]]:
-        """What `GET /metrics` shows of each bucket."""
+        """Returns the values of each bucket for `GET /metrics`."""
         return {
             key: {
                 "balance": round(bucket.balance, 2),
@@ -141,7 +141,7 @@
         }
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """A `BudgetTick` reports to the brokers; a loan and a transfer move credit, never making any."""
+        """Reports to the brokers on a `BudgetTick`; on messages transfers credit between edges without creating any."""
         match event:
             case BudgetTick():
                 self._sweep(now)
@@ -149,10 +149,10 @@
                 return self._log(now) + self._report(event.broker_addresses, now)
             case MessageReceived():
                 return self._handle_message(event.message, now)
-        raise TypeError(f"the retry budget takes no such event: {event!r}")
+        raise TypeError(f"unhandled event in the retry budget: {event!r}")
 
     def _handle_message(self, message: LendCredit | CreditTransfer, now: timedelta) -> list[Effect]:
-        if message.loan_id in self._used_loans:  # the message came twice
+        if message.loan_id in self._used_loans:  # duplicate message
             return []
         match message:
             case LendCredit():
@@ -176,13 +176,13 @@
         bucket.borrowed_until = now + LOAN_LIFETIME
 
     def _trim(self, now: timedelta) -> None:
-        """Takes away what is above the cap: it was borrowed and not used, or the cap came down."""
+        """Cuts balances down to the cap once their loan has expired; also applies when the cap was lowered."""
         for bucket in self._buckets.values():
             if bucket.balance > self.cap and now >= bucket.borrowed_until:
                 bucket.balance = self.cap
 
     def _report(self, broker_addresses: tuple[str, ...], now: timedelta) -> list[Effect]:
-        """Reports what is to spare and what is wanted; an edge that has neither says nothing."""
+        """Reports the balances of at least one credit and the denied retries; sends nothing if there are none."""
         if now < self._next_report_at:
             return []
         self._next_report_at = now + REPORT_INTERVAL
@@ -195,7 +195,7 @@
         return [Send(address, CreditReport(balances)) for address in broker_addresses] if balances else []
 
     def _log(self, now: timedelta) -> list[Effect]:
-        """One line for the retries since the last one, if there were any, by the service that paid for them."""
+        """Logs the retries paid for and denied since the last line, by service; logs nothing if there were none."""
         if now < self._next_log_at:
             return []
         self._next_log_at = now + LOG_INTERVAL
@@ -211,10 +211,12 @@
                     "earnedInAll": round(bucket.earned, 1),
                     "balance": round(bucket.balance, 2),
                 }
-        return [Log("info", "retry-budget", "Resends paid for and denied.", fields)] if fields else []
+        return (
+            [Log("info", "retry-budget", "Retries paid for and denied by the retry budget.", fields)] if fields else []
+        )
 
     def _sweep(self, now: timedelta) -> None:
-        """Drops loans that no late copy can repeat any more, and buckets of services that are asked for no longer."""
+        """Drops the ids of loans that no late duplicate can repeat any more, and the buckets of unused services."""
         if now < self._next_sweep_at:
             return
         self._next_sweep_at = now + RETENTION
--- a/sumachook/retry_budget/messages.py
+++ b/sumachook/retry_budget/messages.py
@@ -1,16 +1,16 @@
-"""The messages by which retry credit moves between edges."""
+"""Messages that report retry credit and transfer it between edges."""
 
 from sumachook.transport.node_message import NodeMessage
 
 
 class CreditReport(NodeMessage, frozen=True, tag="retry_credit"):
-    """An edge to the broker: (balance, retries that found no credit since the last report) by service key."""
+    """Edge to broker: (balance, retries denied since the last report) by service key."""
 
     balances: dict[str, tuple[float, int]]
 
 
 class LendCredit(NodeMessage, frozen=True, tag="retry_lend"):
-    """The broker to an edge with credit to spare: transfer up to `amount` to the edge at `receiver_address`."""
+    """Broker to lending edge: requests a transfer of up to `amount` credits to the edge at `receiver_address`."""
 
     service_key: str
     loan_id: str
@@ -19,7 +19,7 @@
 
 
 class CreditTransfer(NodeMessage, frozen=True, tag="retry_gift"):
-    """The lending edge to the receiving one: this much credit is yours now."""
+    """Lending edge to receiving edge: transfers `amount` credits, already deducted from the lender's balance."""
 
     service_key: str
     loan_id: str
