--- a/sumachook/inference/admit.py
+++ b/sumachook/inference/admit.py
@@ -24,8 +24,8 @@
 MAX_REQUEST_ID_LENGTH = 100
 MAX_IDEMPOTENCY_KEY_LENGTH = 200
 MAX_SHOWN_NAME_LENGTH = 80
-MAX_UNSTAMPED_AGE = timedelta(seconds=30)  # after this wait for the agreed time, a record gets this node's own time
-ALERT_INTERVAL = timedelta(minutes=1)  # all requests for one unconfigured model share an alert: it is one mistake
+MAX_UNSTAMPED_AGE = timedelta(seconds=30)  # a record that waits longer for the cluster time gets this node's own time
+ALERT_INTERVAL = timedelta(minutes=1)  # requests for an unconfigured model are one mistake, so one alert per interval
 MAX_ALERT_REASONS = 500  # size above which the table of the next alert times is cleared
 
 
--- a/sumachook/inference/entry.py
+++ b/sumachook/inference/entry.py
@@ -17,7 +17,7 @@
         self.table = table
 
     def take(self, request: InferenceRequest) -> list[Any]:
-        """Enters a request whose quota was granted, or whose caller has no quota."""
+        """Counts the request and opens its record; called at once, or after the quota of its tenant was granted."""
         self.table.retry_budget.earn(own_key(request.kind))
         self.table.count("admitted", request.kind)
         if request.kind == PROMPT:
--- a/sumachook/inference/inference_request.py
+++ b/sumachook/inference/inference_request.py
@@ -61,7 +61,7 @@
         self.path = ""
         self.model_ready_by = self.deadline
         self.wake_retries = 0
-        # progress of the answer
+        # the answer received so far
         self.total_by = self.deadline
         self.has_response = False
         self.tokens = 0
--- a/sumachook/inference/queues.py
+++ b/sumachook/inference/queues.py
@@ -5,7 +5,7 @@
 
 # Upper bound on the turns (of weight one) that a queue accumulates while it is idle.
 MAX_SAVED_TURNS = 2.0
-REBASE_AT = 1e6  # turns served; far below the limit up to which a float counts exactly
+REBASE_AT = 1e6  # counters are rebased at this many turns, far below the limit up to which a float counts exactly
 
 
 class Queues:
@@ -54,7 +54,7 @@
                 del positions[queue]
 
     def charge_turn(self, queue: str, weights: dict[str, int]) -> None:
-        """Counts a served turn; an idle queue accumulates at most `MAX_SAVED_TURNS` over the busiest one."""
+        """Counts a served turn; a queue that was idle lags behind the busiest one by at most `MAX_SAVED_TURNS`."""
         busiest = max(self.served.values(), default=0.0)
         floor = busiest - MAX_SAVED_TURNS
         self.served[queue] = max(self.served.get(queue, 0.0), floor) + 1 / weights.get(queue, 1)
--- a/sumachook/inference/request_table.py
+++ b/sumachook/inference/request_table.py
@@ -116,5 +116,5 @@
 
 
 def hash_of(*words: str) -> int:
-    """Returns a hash that is the same in every process, unlike `hash`."""
+    """Returns a hash that is the same in every process, unlike the built-in `hash`."""
     return crc32("|".join(words).encode())
--- a/sumachook/inference/settle.py
+++ b/sumachook/inference/settle.py
@@ -1,4 +1,4 @@
-"""The final answer to a failed request."""
+"""Final answers to failed requests."""
 
 from datetime import timedelta
 from typing import Any
--- a/sumachook/outliers/detector.py
+++ b/sumachook/outliers/detector.py
@@ -9,14 +9,15 @@
 from sumachook.outliers.effects import ServersEjected
 from sumachook.outliers.events import Tick
 
-# of the weight of an outcome: detects a failing server within a fraction of a second, discounts old failures soon
+# Half-life of the weight of an outcome: a failing server shows within a fraction of a second, old failures fade soon.
 HALF_LIFE = timedelta(seconds=1)
 MIN_FAILURES = 2.0  # decayed count; one or two failed attempts may happen at any server
-MIN_FAILURE_RATE = 0.2  # share of failed attempts at a server
-MIN_RATE_RATIO = 3.0  # of the failure rate of a server to that of all others of its service
-FIRST_EJECTION = timedelta(seconds=2)  # each further ejection lasts twice as long
+MIN_FAILURE_RATE = 0.2  # minimum share of failed attempts of an outlier
+MIN_RATE_RATIO = 3.0  # minimum ratio of the failure rate of an outlier to that of the other servers of its service
+FIRST_EJECTION = timedelta(seconds=2)  # for a server; each further ejection lasts twice as long
 MAX_EJECTION = timedelta(seconds=8)
-FORGET_AFTER = timedelta(seconds=20)  # after the last outcome of a server, or the end of its ejection
+# The state of a server is dropped this long after its last outcome or the end of its ejection.
+FORGET_AFTER = timedelta(seconds=20)
 SERVERS_PER_EJECTION = 3  # at most one of this many servers of a service is ejected at a time
 
 _MILLISECOND = timedelta(milliseconds=1)
--- a/sumachook/retry_budget/broker.py
+++ b/sumachook/retry_budget/broker.py
@@ -11,7 +11,7 @@
 from sumachook.retry_budget.events import BrokerTick
 from sumachook.retry_budget.messages import LendCredit
 
-ROUND_INTERVAL = timedelta(seconds=0.5)  # equals the interval at which edges report
+ROUND_INTERVAL = timedelta(seconds=0.5)  # rounds are as frequent as the reports of the edges
 REPORT_LIFETIME = timedelta(seconds=2)  # an edge without a report for longer is left out of the rounds
 MIN_LOAN = 1.0  # credits; one retry costs one credit, so a smaller loan is useless
 
--- a/sumachook/retry_budget/budget.py
+++ b/sumachook/retry_budget/budget.py
@@ -13,9 +13,10 @@
 ROUNDING = 0.001  # tolerance: a sum of fractions may be this much below a whole credit
 REPORT_INTERVAL = timedelta(seconds=0.5)
 LOG_INTERVAL = timedelta(seconds=2)
-SAVED_SHARE = 0.8  # of the slack; the rest covers edges that do not know each other yet
-LOAN_LIFETIME = timedelta(seconds=1)  # a borrowed balance above the cap expires after this: it is for waiting requests
-RETENTION = timedelta(minutes=1)  # of a loan id after its use, and of a bucket after its last request
+# Share of the slack that all balances may add up to; the rest covers edges that do not know each other yet.
+SAVED_SHARE = 0.8
+LOAN_LIFETIME = timedelta(seconds=1)  # borrowed credit above the cap is for requests that wait now, so it expires
+RETENTION = timedelta(minutes=1)  # of loan ids after their use, and of buckets after their last request
 
 
 def service_key(service: str) -> str:
