--- a/sumachook/policies/policy.py
+++ b/sumachook/policies/policy.py
@@ -104,14 +104,14 @@
     operand: Any = None
 
 
-_BINARY: dict[type[ast.operator], Callable[[Any, Any], Any]] = {
+_BINARY_OPERATORS: dict[type[ast.operator], Callable[[Any, Any], Any]] = {
     ast.Add: add,
     ast.Sub: sub,
     ast.Mult: mul,
     ast.Div: truediv,
     ast.Mod: mod,
 }
-_COMPARE: dict[type[ast.cmpop], Callable[[Any, Any], Any]] = {
+_COMPARISONS: dict[type[ast.cmpop], Callable[[Any, Any], Any]] = {
     ast.Lt: lt,
     ast.LtE: le,
     ast.Gt: gt,
@@ -119,7 +119,7 @@
     ast.Eq: eq,
     ast.NotEq: ne,
 }
-_CALLS: dict[str, tuple[Callable[..., Any], int]] = {"min": (min, 2), "max": (max, 2), "abs": (abs, 1)}
+_FUNCTIONS: dict[str, tuple[Callable[..., Any], int]] = {"min": (min, 2), "max": (max, 2), "abs": (abs, 1)}
 
 
 class Program:
@@ -168,7 +168,7 @@
             elif code is Code.JUMP_TRUE:
                 position = operand if stack[-1] else position
             else:
-                _operate(code, operand, stack)
+                _execute(code, operand, stack)
         return stack[-1]
 
     def __call__(self, names: Mapping[str, Any]) -> Any:
@@ -179,7 +179,7 @@
             return ROLES[self.role].default
 
 
-def _operate(code: Code, operand: Any, stack: list[Any]) -> None:
+def _execute(code: Code, operand: Any, stack: list[Any]) -> None:
     """Executes an instruction other than a jump or a push on the values on top of the stack."""
     if code is Code.BINARY or code is Code.COMPARE:
         right = stack.pop()
@@ -193,8 +193,8 @@
     elif code is Code.AMONG:
         stack[-1] = stack[-1] in operand
     else:
-        function, count = operand
-        stack[-count:] = [function(*stack[-count:])]
+        function, argument_count = operand
+        stack[-argument_count:] = [function(*stack[-argument_count:])]
 
 
 @cached(LRUCache(CACHED_PROGRAMS))
@@ -225,7 +225,7 @@
         raise InvalidPolicyError(f"line 1, column 1: {error}") from error
 
 
-def _refuse(node: ast.expr, reason: str) -> NoReturn:
+def _reject(node: ast.expr, reason: str) -> NoReturn:
     raise InvalidPolicyError(f"line {node.lineno - 1}, column {node.col_offset + 1}: {reason}")
 
 
@@ -241,11 +241,11 @@
 
     def compile(self, tree: ast.expr) -> tuple[Instruction, ...]:
         """Returns the instructions of a policy; raises `InvalidPolicyError`."""
-        found, wanted = self._emit(tree), ROLES[self.role].result_type
-        if found != wanted:
-            _refuse(tree, f"gives {found}, a {self.role} policy gives {wanted}")
+        actual, expected = self._emit(tree), ROLES[self.role].result_type
+        if actual != expected:
+            _reject(tree, f"gives {actual}, a {self.role} policy gives {expected}")
         if len(self.codes) > STEP_LIMIT:
-            _refuse(tree, f"{len(self.codes)} steps exceed the limit of {STEP_LIMIT}")
+            _reject(tree, f"{len(self.codes)} steps exceed the limit of {STEP_LIMIT}")
         return tuple(self.codes)
 
     def _emit(self, node: ast.expr) -> ValueType:
@@ -255,27 +255,27 @@
                 return self._emit_constant(node)
             case ast.Name():
                 return self._emit_name(node)
-            case ast.BinOp() if type(node.op) in _BINARY:
-                self._need(node.left, NUMBER)
-                self._need(node.right, NUMBER)
-                self.codes.append(Instruction(Code.BINARY, _BINARY[type(node.op)]))
+            case ast.BinOp() if type(node.op) in _BINARY_OPERATORS:
+                self._require_type(node.left, NUMBER)
+                self._require_type(node.right, NUMBER)
+                self.codes.append(Instruction(Code.BINARY, _BINARY_OPERATORS[type(node.op)]))
                 return NUMBER
             case ast.UnaryOp() if isinstance(node.op, ast.USub | ast.Not):
                 return self._emit_unary(node)
             case ast.BoolOp():
-                return self._emit_logic(node)
+                return self._emit_bool_op(node)
             case ast.IfExp():
                 return self._emit_if(node)
             case ast.Compare() if len(node.ops) == 1:
                 return self._emit_compare(node)
             case ast.Call():
                 return self._emit_call(node)
-        _refuse(node, f"{type(node).__name__} is not part of the policy language")
+        _reject(node, f"{type(node).__name__} is not part of the policy language")
 
-    def _need(self, node: ast.expr, wanted: ValueType) -> None:
-        found = self._emit(node)
-        if found != wanted:
-            _refuse(node, f"gives {found}, needs {wanted}")
+    def _require_type(self, node: ast.expr, expected: ValueType) -> None:
+        actual = self._emit(node)
+        if actual != expected:
+            _reject(node, f"gives {actual}, needs {expected}")
 
     def _emit_constant(self, node: ast.Constant) -> ValueType:
         self.codes.append(Instruction(Code.PUSH, node.value))
@@ -285,81 +285,81 @@
             return NUMBER
         if isinstance(node.value, str):
             return TEXT
-        _refuse(node, "a constant must be a number, a text, True or False")
+        _reject(node, "a constant must be a number, a text, True or False")
 
     def _emit_name(self, node: ast.Name) -> ValueType:
         if node.id not in self.names:
-            _refuse(node, f"no name {node.id!r}; there are {', '.join(sorted(self.names))}")
+            _reject(node, f"no name {node.id!r}; there are {', '.join(sorted(self.names))}")
         self.codes.append(Instruction(Code.NAME, node.id))
         return self.names[node.id]
 
     def _emit_unary(self, node: ast.UnaryOp) -> ValueType:
         is_not = isinstance(node.op, ast.Not)
         operand_type = TRUTH if is_not else NUMBER
-        self._need(node.operand, operand_type)
+        self._require_type(node.operand, operand_type)
         self.codes.append(Instruction(Code.NOT if is_not else Code.NEGATE))
         return operand_type
 
-    def _emit_logic(self, node: ast.BoolOp) -> ValueType:
+    def _emit_bool_op(self, node: ast.BoolOp) -> ValueType:
         jump = Code.JUMP_FALSE if isinstance(node.op, ast.And) else Code.JUMP_TRUE
         jumps = []
         for index, value in enumerate(node.values):
-            self._need(value, TRUTH)
+            self._require_type(value, TRUTH)
             if index < len(node.values) - 1:
-                jumps.append(self._reserve())
+                jumps.append(self._emit_pending_jump())
                 self.codes.append(Instruction(Code.POP))
         for position in jumps:
             self.codes[position] = Instruction(jump, len(self.codes))
         return TRUTH
 
     def _emit_if(self, node: ast.IfExp) -> ValueType:
-        self._need(node.test, TRUTH)
-        to_else = self._reserve()
+        self._require_type(node.test, TRUTH)
+        to_else = self._emit_pending_jump()
         self.codes.append(Instruction(Code.POP))
-        found = self._emit(node.body)
-        to_end = self._reserve()
+        body_type = self._emit(node.body)
+        to_end = self._emit_pending_jump()
         self.codes[to_else] = Instruction(Code.JUMP_FALSE, len(self.codes))
         self.codes.append(Instruction(Code.POP))
-        self._need(node.orelse, found)
+        self._require_type(node.orelse, body_type)
         self.codes[to_end] = Instruction(Code.JUMP, len(self.codes))
-        return found
+        return body_type
 
-    def _reserve(self) -> int:
+    def _emit_pending_jump(self) -> int:
         """Appends a jump whose target is not known yet, and returns its position."""
         self.codes.append(Instruction(Code.JUMP))
         return len(self.codes) - 1
 
     def _emit_compare(self, node: ast.Compare) -> ValueType:
         operation, right = node.ops[0], node.comparators[0]
-        left = self._emit(node.left)
+        left_type = self._emit(node.left)
         if isinstance(operation, ast.In | ast.NotIn):
-            return self._emit_among(operation, right)
-        if type(operation) not in _COMPARE:
-            _refuse(node, "this comparison operator is not part of the policy language")
-        other = self._emit(right)
-        if left != other:
-            _refuse(node, f"{left} and {other} cannot be compared")
-        self.codes.append(Instruction(Code.COMPARE, _COMPARE[type(operation)]))
+            return self._emit_membership(operation, right)
+        if type(operation) not in _COMPARISONS:
+            _reject(node, "this comparison operator is not part of the policy language")
+        right_type = self._emit(right)
+        if left_type != right_type:
+            _reject(node, f"{left_type} and {right_type} cannot be compared")
+        self.codes.append(Instruction(Code.COMPARE, _COMPARISONS[type(operation)]))
         return TRUTH
 
-    def _emit_among(self, operation: ast.In | ast.NotIn, values: ast.expr) -> ValueType:
+    def _emit_membership(self, operation: ast.In | ast.NotIn, values: ast.expr) -> ValueType:
         if not isinstance(values, ast.Tuple | ast.List):
-            _refuse(values, "the right side of in must be a list of constants")
+            _reject(values, "the right side of in must be a list of constants")
         constants = [item.value for item in values.elts if isinstance(item, ast.Constant)]
         if len(constants) < len(values.elts):
-            _refuse(values, "the right side of in must be a list of constants")
+            _reject(values, "the right side of in must be a list of constants")
         self.codes.append(Instruction(Code.AMONG, frozenset(constants)))
         if isinstance(operation, ast.NotIn):
             self.codes.append(Instruction(Code.NOT))
         return TRUTH
 
     def _emit_call(self, node: ast.Call) -> ValueType:
-        if not isinstance(node.func, ast.Name) or node.func.id not in _CALLS or node.keywords:
-            _refuse(node, "only min, max and abs can be called")
-        function, count = _CALLS[node.func.id]
-        if len(node.args) != count:
-            _refuse(node, f"{node.func.id} has the wrong number of arguments, expected {count}")
+        if not isinstance(node.func, ast.Name) or node.func.id not in _FUNCTIONS or node.keywords:
+            _reject(node, "only min, max and abs can be called")
+        function, argument_count = _FUNCTIONS[node.func.id]
+        if len(node.args) != argument_count:
+            _reject(node, f"{node.func.id} has the wrong number of arguments, expected {argument_count}")
         for argument in node.args:
-            self._need(argument, NUMBER)
-        self.codes.append(Instruction(Code.CALL, (function, count)))
+            self._require_type(argument, NUMBER)
+        self.codes.append(Instruction(Code.CALL, (function, argument_count)))
         return NUMBER
