--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -157,8 +157,8 @@
     Mutation(
         "BUDGET",
         "an edge that was cut off for long keeps its part of the savings",
-        "return 0.0 if is_isolated else share_of_savings(slack, rank, edge_count)",
-        "return share_of_savings(slack, rank, edge_count)",
+        "return 0.0 if is_isolated else share_of_slack(slack, rank, edge_count)",
+        "return share_of_slack(slack, rank, edge_count)",
         BUDGETS,
         "long_split",
     ),
@@ -342,7 +342,7 @@
     Mutation(
         "OUTLIER",
         "any number of servers is ejected at once",
-        "candidates[: max(0, len(of_service) // SERVERS_PER_EJECTION - ejected_count)]",
+        "candidates[: max(0, len(service_servers) // SERVERS_PER_EJECTION - ejected_count)]",
         "candidates",
         OUTLIERS,
         "more_than_a_third",
--- a/sumachook/inference/entry.py
+++ b/sumachook/inference/entry.py
@@ -5,7 +5,7 @@
 from sumachook.inference.inference_request import PROMPT, InferenceRequest
 from sumachook.inference.request_table import RequestTable
 from sumachook.ledger.events import RequestOpened
-from sumachook.retry_budget.budget import own_key
+from sumachook.retry_budget.budget import inference_key
 
 
 class Entry:
@@ -18,7 +18,7 @@
 
     def take(self, request: InferenceRequest) -> list[Any]:
         """Counts the request and opens its record; called at once, or after the quota of its tenant was granted."""
-        self.table.retry_budget.earn(own_key(request.kind))
+        self.table.retry_budget.earn(inference_key(request.kind))
         self.table.count("admitted", request.kind)
         if request.kind == PROMPT:
             for name in dict.fromkeys((request.name, request.model.name)):
--- a/sumachook/inference/resend.py
+++ b/sumachook/inference/resend.py
@@ -13,7 +13,7 @@
 from sumachook.requests.call_ids import AttemptId
 from sumachook.requests.failures import RESENDABLE, FailureKind, RequestFailure
 from sumachook.requests.in_flight_request import RequestState
-from sumachook.retry_budget.budget import own_key
+from sumachook.retry_budget.budget import inference_key
 
 MAX_ATTEMPTS = 4
 MAX_RESUMES = 2
@@ -60,7 +60,7 @@
         request.tokens = 0
         request.finish_reason = None
         request.last_event_id = None
-        request.forget_first_token()
+        request.clear_first_token()
 
     def _may_resend(self, request: InferenceRequest, failure: RequestFailure) -> bool:
         may_repeat = request.run_history.may_send_again(request.is_safe)
@@ -77,7 +77,7 @@
                 "model": request.name,
                 "left": (request.deadline - now).total_seconds(),
                 "tokens": request.body.get("max_tokens", 0),
-                "credit": self.table.retry_budget.balance_of(own_key(request.kind)),
+                "credit": self.table.retry_budget.balance_of(inference_key(request.kind)),
             }
         )
         return bool(is_allowed)
--- a/sumachook/inference/server_selection.py
+++ b/sumachook/inference/server_selection.py
@@ -11,7 +11,7 @@
 from sumachook.inference.settle import Settle
 from sumachook.requests.failures import FailureKind, RequestFailure
 from sumachook.requests.in_flight_request import RequestState
-from sumachook.retry_budget.budget import own_key
+from sumachook.retry_budget.budget import inference_key
 
 MIN_RETRY_AFTER_S = 1.0  # smallest Retry-After sent while the breakers of all servers of a model are open
 RECORD_SERVER = "records"  # the kind of the servers that answer lookups
@@ -42,20 +42,20 @@
         """Ends requests that were admitted before this edge had current state, if its zone is now evacuated."""
         table = self.table
         if table.state.is_open(table.zone):
-            for request in self._waiting():
+            for request in self._waiting_requests():
                 request.needs_recheck = False
             return []
         effects = []
         failure = FailureKind.EVACUATED.because(
             f"area {table.zone} is evacuated, send the request to a node of another area"
         )
-        for request in self._waiting():
+        for request in self._waiting_requests():
             if request.needs_recheck:
                 request.needs_recheck = False
                 effects += self.settle.take(request, failure, now)
         return effects
 
-    def _waiting(self) -> list[InferenceRequest]:
+    def _waiting_requests(self) -> list[InferenceRequest]:
         prompts = (request for requests in self.table.queues.requests.values() for request in requests)
         return [*self.table.waiting_lookups, *prompts]
 
@@ -66,7 +66,7 @@
             if request.not_before > now:
                 continue
             servers = self._usable_record_servers(trust, now) if servers is None else servers
-            if servers and self._may_send(request):
+            if servers and self._pay_for_retry(request):
                 self.table.waiting_lookups.remove(request)
                 effects += self.dispatch.take(request, self._select_record_server(request, servers, now), now)
                 servers = None  # recompute: the request just sent may be the probe of an open breaker
@@ -83,15 +83,15 @@
             if isinstance(server, RequestFailure):
                 queues.remove(queue, request)
                 effects += self.settle.take(request, server, now)
-            elif server is not None and self._may_send(request):
+            elif server is not None and self._pay_for_retry(request):
                 queues.remove(queue, request)
                 queues.charge_turn(queue, weights)
                 effects += self.dispatch.take(request, server, now)
         return effects
 
-    def _may_send(self, request: InferenceRequest) -> bool:
+    def _pay_for_retry(self, request: InferenceRequest) -> bool:
         """Spends retry credit if the request is a retry; without credit it stays queued until `credit_by`."""
-        if request.needs_credit and not self.table.retry_budget.spend(own_key(request.kind)):
+        if request.needs_credit and not self.table.retry_budget.spend(inference_key(request.kind)):
             return False
         request.needs_credit = False
         return True
@@ -112,9 +112,9 @@
 
         def preference(name: str) -> tuple[int, bool, bool, int, str]:
             server_window = table.server_window(name)
-            is_far = table.state.servers[name]["area"] != table.zone
+            is_in_other_zone = table.state.servers[name]["area"] != table.zone
             is_overloaded = server_window.is_overloaded(now)
-            return _failure_rank(request, name), is_overloaded, is_far, server_window.in_use, name
+            return _failure_rank(request, name), is_overloaded, is_in_other_zone, server_window.in_use, name
 
         return min(names, key=preference)
 
@@ -123,24 +123,24 @@
         if trust in (Trust.EMPTY, Trust.UNPROVEN):
             return None
         table = self.table
-        holders = self._holders(request, trust, now)
-        open_breakers = [name for name, _ in holders if table.server_window(name).is_breaker_open(now)]
-        ready = [(name, is_warming) for name, is_warming in holders if name not in open_breakers]
-        if not holders:
+        candidates = self._servers_with_model(request, trust, now)
+        open_breakers = [name for name, _ in candidates if table.server_window(name).is_breaker_open(now)]
+        ready = [(name, is_warming) for name, is_warming in candidates if name not in open_breakers]
+        if not candidates:
             return self._wait_for_model(request, now)
         if not ready:
             soonest = min(table.server_window(name).breaker_open_until for name in open_breakers)
             request.retry_after = max(MIN_RETRY_AFTER_S, (soonest - now).total_seconds())
             return FailureKind.UNREACHABLE.because("the circuit breakers of all servers of the model are open")
         ready.sort(key=lambda item: (_failure_rank(request, item[0]), table.server_window(item[0]).is_overloaded(now)))
-        return next((name for name, is_warming in ready if self._has_room(request, name, is_warming, now)), None)
+        return next((name for name, is_warming in ready if self._has_free_slot(request, name, is_warming, now)), None)
 
-    def _holders(self, request: InferenceRequest, trust: Trust, now: timedelta) -> list[tuple[str, bool]]:
+    def _servers_with_model(self, request: InferenceRequest, trust: Trust, now: timedelta) -> list[tuple[str, bool]]:
         """Returns the usable servers that have the model loaded, and the adapter if one is requested, each as (name,
         whether one of the two became ready recently).
         """
         state = self.table.state
-        holders = []
+        candidates = []
         for name in state.pairs.get(request.model.name, ()):
             server = state.servers.get(name)
             if server is None or not self.table.is_usable(name, server, trust, now):
@@ -150,8 +150,8 @@
             if request.adapter:
                 conditions.add(items.get(request.adapter))
             if conditions <= {"ready", "warm"}:
-                holders.append((name, "warm" in conditions))
-        return holders
+                candidates.append((name, "warm" in conditions))
+        return candidates
 
     def _wait_for_model(self, request: InferenceRequest, now: timedelta) -> RequestFailure | None:
         """Waits for a model that no usable server has loaded: one delayed retry at `model_ready_by`, then a failure."""
@@ -165,7 +165,7 @@
         request.model_ready_by = now + timedelta(seconds=request.model.wake)
         return None
 
-    def _has_room(self, request: InferenceRequest, name: str, is_warming: bool, now: timedelta) -> bool:
+    def _has_free_slot(self, request: InferenceRequest, name: str, is_warming: bool, now: timedelta) -> bool:
         table, server_window = self.table, self.table.server_window(name)
         server = table.state.servers[name]
         limit = table.limit(server)
--- a/sumachook/nodes/edge.py
+++ b/sumachook/nodes/edge.py
@@ -32,7 +32,7 @@
 from sumachook.placement.places import Places
 from sumachook.quotas.rate_limiter import RateLimiter
 from sumachook.requests.events import DrainStarted
-from sumachook.retry_budget.budget import RetryBudget, share_of_savings
+from sumachook.retry_budget.budget import RetryBudget, share_of_slack
 from sumachook.runtime.clock import NodeClock
 from sumachook.runtime.cluster_clock import ClusterClock
 
@@ -235,4 +235,4 @@
         After `PEER_MEMORY` the edges on the side of the cores divide the slack without this one, if it is on the other.
         """
         is_isolated = now - self.ticks.connected_at > PEER_MEMORY
-        return 0.0 if is_isolated else share_of_savings(slack, rank, edge_count)
+        return 0.0 if is_isolated else share_of_slack(slack, rank, edge_count)
--- a/sumachook/outliers/detector.py
+++ b/sumachook/outliers/detector.py
@@ -17,7 +17,7 @@
 FIRST_EJECTION = timedelta(seconds=2)  # for a server; each further ejection lasts twice as long
 MAX_EJECTION = timedelta(seconds=8)
 # The state of a server is dropped this long after its last outcome or the end of its ejection.
-FORGET_AFTER = timedelta(seconds=20)
+STATE_RETENTION = timedelta(seconds=20)
 SERVERS_PER_EJECTION = 3  # at most one of this many servers of a service is ejected at a time
 
 _MILLISECOND = timedelta(milliseconds=1)
@@ -76,7 +76,7 @@
 
     def _detect(self, now: timedelta) -> list[Effect]:
         self._has_new_failures = False
-        self._forget(now)
+        self._drop_expired(now)
         durations_ms = {
             server: self._eject(server, now)
             for service, outcomes in self._outcomes_by_service(now).items()
@@ -96,13 +96,13 @@
 
     def _outliers(self, service: str, outcomes: Mapping[str, DecayedOutcomes], now: timedelta) -> list[str]:
         """Returns the outliers of a service, the worst first, limited to the number that may still be ejected."""
-        of_service = [name for name, server in self._state.servers.items() if server.get("service", "") == service]
-        ejected_count = sum(self._is_ejected(name, now) for name in of_service)
+        service_servers = [name for name, server in self._state.servers.items() if server.get("service", "") == service]
+        ejected_count = sum(self._is_ejected(name, now) for name in service_servers)
         candidates = [
             server for server in outcomes if not self._is_ejected(server, now) and _is_outlier(server, outcomes)
         ]
         candidates.sort(key=lambda server: (-outcomes[server].failures, server))
-        return candidates[: max(0, len(of_service) // SERVERS_PER_EJECTION - ejected_count)]
+        return candidates[: max(0, len(service_servers) // SERVERS_PER_EJECTION - ejected_count)]
 
     def _is_ejected(self, server: str, now: timedelta) -> bool:
         return server in self._ejections and now < self._ejections[server].until
@@ -116,12 +116,12 @@
         del self._outcomes[server]
         return round(duration / _MILLISECOND)
 
-    def _forget(self, now: timedelta) -> None:
+    def _drop_expired(self, now: timedelta) -> None:
         self._outcomes = {
-            server: outcomes for server, outcomes in self._outcomes.items() if now - outcomes.as_of < FORGET_AFTER
+            server: outcomes for server, outcomes in self._outcomes.items() if now - outcomes.as_of < STATE_RETENTION
         }
         self._ejections = {
-            server: ejection for server, ejection in self._ejections.items() if now - ejection.until < FORGET_AFTER
+            server: ejection for server, ejection in self._ejections.items() if now - ejection.until < STATE_RETENTION
         }
 
 
--- a/sumachook/retry_budget/broker.py
+++ b/sumachook/retry_budget/broker.py
@@ -67,22 +67,22 @@
 
     def _arrange_loans(self, service_key: str, fence: int) -> list[Effect]:
         """Arranges at most one loan per edge that lacks credit for this service, from the edges with the most."""
-        offers = [
+        edge_credits = [
             ServiceCredit(edge, report.address, *report.balances[service_key])
             for edge, report in self._reports.items()
             if service_key in report.balances
         ]
-        receivers = [credit for credit in offers if credit.wanted and credit.balance < 1]
+        receivers = [credit for credit in edge_credits if credit.wanted and credit.balance < 1]
         receivers.sort(key=lambda credit: (credit.edge, credit.address, credit.wanted))
-        donors = [credit for credit in offers if not credit.wanted and credit.balance >= MIN_LOAN]
-        donors.sort(key=lambda credit: (-credit.balance, credit.edge, credit.address))
+        lenders = [credit for credit in edge_credits if not credit.wanted and credit.balance >= MIN_LOAN]
+        lenders.sort(key=lambda credit: (-credit.balance, credit.edge, credit.address))
         return [
-            self._loan(service_key, fence, donor, receiver)
-            for donor, receiver in zip(donors, receivers, strict=False)  # unmatched edges wait for the next round
+            self._create_loan(service_key, fence, lender, receiver)
+            for lender, receiver in zip(lenders, receivers, strict=False)  # unmatched edges wait for the next round
         ]
 
-    def _loan(self, service_key: str, fence: int, donor: ServiceCredit, receiver: ServiceCredit) -> Send:
+    def _create_loan(self, service_key: str, fence: int, lender: ServiceCredit, receiver: ServiceCredit) -> Send:
         self._loan_count += 1
         loan_id = f"{fence}-{self._loan_count}"
-        amount = float(min(receiver.wanted, max(MIN_LOAN, donor.balance / 2)))
-        return Send(donor.address, LendCredit(service_key, loan_id, amount, receiver.address))
+        amount = float(min(receiver.wanted, max(MIN_LOAN, lender.balance / 2)))
+        return Send(lender.address, LendCredit(service_key, loan_id, amount, receiver.address))
--- a/sumachook/retry_budget/budget.py
+++ b/sumachook/retry_budget/budget.py
@@ -10,11 +10,11 @@
 
 DEFAULT_RATIO = 0.2  # credits earned per first attempt, which limits retries to a fifth of the requests
 DEFAULT_CAP = 2.0  # maximum balance per service where no slack is configured
-ROUNDING = 0.001  # tolerance: a sum of fractions may be this much below a whole credit
+ROUNDING_TOLERANCE = 0.001  # tolerance: a sum of fractions may be this much below a whole credit
 REPORT_INTERVAL = timedelta(seconds=0.5)
 LOG_INTERVAL = timedelta(seconds=2)
 # Share of the slack that all balances may add up to; the rest covers edges that do not know each other yet.
-SAVED_SHARE = 0.8
+TOTAL_BALANCE_SHARE = 0.8
 LOAN_LIFETIME = timedelta(seconds=1)  # borrowed credit above the cap is for requests that wait now, so it expires
 RETENTION = timedelta(minutes=1)  # of loan ids after their use, and of buckets after their last request
 
@@ -24,23 +24,23 @@
     return "s:" + service
 
 
-def own_key(kind: str) -> str:
+def inference_key(kind: str) -> str:
     """Returns the budget key of a kind of inference request (prompt or lookup)."""
     return "o:" + kind
 
 
-def share_of_savings(slack: float, rank: int, edges: int) -> float:
+def share_of_slack(slack: float, rank: int, edges: int) -> float:
     """Returns the maximum balance per service for the edge of this rank (from 0) among `edges`.
 
     The shares add up to at most eight tenths of the slack. They are equal, unless that would be less than the one
     credit that a retry costs: then the first edges get one credit each and the others none, and rely on loans.
 
-    >>> share_of_savings(50.0, 3, 10)
+    >>> share_of_slack(50.0, 3, 10)
     4.0
-    >>> [share_of_savings(50.0, rank, 400) for rank in (0, 39, 40, 399)]
+    >>> [share_of_slack(50.0, rank, 400) for rank in (0, 39, 40, 399)]
     [1.0, 1.0, 0.0, 0.0]
     """
-    total = SAVED_SHARE * slack
+    total = TOTAL_BALANCE_SHARE * slack
     if total >= edges:
         return total / edges
     return 1.0 if rank < int(total) else 0.0
@@ -117,7 +117,7 @@
     def spend(self, key: str) -> bool:
         """Deducts one credit for a retry; returns False, and counts the denial, if the balance is too low."""
         bucket = self.bucket(key)
-        if bucket.balance < 1 - ROUNDING:
+        if bucket.balance < 1 - ROUNDING_TOLERANCE:
             bucket.denied += 1
             bucket.wanted += 1
             return False
@@ -146,7 +146,7 @@
         match event:
             case BudgetTick():
                 self._sweep(now)
-                self._trim(now)
+                self._expire_surplus(now)
                 return self._log(now) + self._report(event.broker_addresses, now)
             case MessageReceived():
                 return self._handle_message(event.message, now)
@@ -176,7 +176,7 @@
         bucket.balance = min(max(self.cap, 1.0), bucket.balance + transfer.amount)
         bucket.borrowed_until = now + LOAN_LIFETIME
 
-    def _trim(self, now: timedelta) -> None:
+    def _expire_surplus(self, now: timedelta) -> None:
         """Cuts balances down to the cap once their loan has expired; also applies when the cap was lowered."""
         for bucket in self._buckets.values():
             if bucket.balance > self.cap and now >= bucket.borrowed_until:
--- a/tests/deployment_fixtures.py
+++ b/tests/deployment_fixtures.py
@@ -6,12 +6,12 @@
 
 from msgspec.structs import replace
 
-from sumachook.retry_budget.budget import own_key
+from sumachook.retry_budget.budget import inference_key
 from sumachook.simulation.deployment import Deployment, DeploymentSpec
 from sumachook.simulation.invariant_checker import InvariantChecker
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
-PROMPTS, LOOKUPS = OWN_KEYS = (own_key("prompt"), own_key("lookup"))
+PROMPTS, LOOKUPS = OWN_KEYS = (inference_key("prompt"), inference_key("lookup"))
 
 
 def spec(name="kosice") -> DeploymentSpec:
--- a/tests/retry_budget/test_retry_budget.py
+++ b/tests/retry_budget/test_retry_budget.py
@@ -11,7 +11,7 @@
 from sumachook.membership.messages import MemberList
 from sumachook.nodes.edge import Edge
 from sumachook.retry_budget.broker import RetryBudgetBroker
-from sumachook.retry_budget.budget import DEFAULT_CAP, RetryBudget, service_key, share_of_savings
+from sumachook.retry_budget.budget import DEFAULT_CAP, RetryBudget, service_key, share_of_slack
 from sumachook.retry_budget.events import BrokerTick, BudgetTick
 from sumachook.retry_budget.messages import CreditTransfer
 from sumachook.runtime.clock import Clock
@@ -241,7 +241,7 @@
 
 def test_edges_with_a_credit_each_lend_to_those_without():
     """Given a hundred edges and a slack for forty credits, an edge that may save up none and meets a fault is lent one, service by service."""
-    budgets = {f"e{rank:02}": RetryBudget(cap=share_of_savings(50.0, rank, 100)) for rank in range(100)}
+    budgets = {f"e{rank:02}": RetryBudget(cap=share_of_slack(50.0, rank, 100)) for rank in range(100)}
     broker, now = RetryBudgetBroker(START), START
     for budget in budgets.values():
         for _ in range(10):
