--- a/sumachook/inference/admit.py
+++ b/sumachook/inference/admit.py
@@ -49,7 +49,7 @@
         request = self._admit(event, now)
         if isinstance(request, RequestFailure):
             refusal = self._refuse(event, request, client_request_id, now)
-            return refusal + self._alert(request, now)
+            return refusal + self._log_unconfigured_model(request, now)
         request.client_request_id = client_request_id
         request.needs_recheck = self.table.follower.trust(now) is Trust.UNPROVEN
         self.table.requests[request.request_id] = request
@@ -83,7 +83,7 @@
             return FailureKind.NOT_FOUND.because("POST /v1/chat/completions or GET /records/ID")
         if event.method != ("GET" if is_lookup else "POST"):
             return FailureKind.MALFORMED.because(f"unsupported method {event.method}")
-        failure = self._failure_of_node(now)
+        failure = self._node_failure(now)
         if failure is not None:
             return failure
         caller = self._caller(event.headers)
@@ -96,7 +96,7 @@
             return self._admit_lookup(request_id, event, caller, now)
         return self._admit_prompt(request_id, event, caller, now)
 
-    def _failure_of_node(self, now: timedelta) -> RequestFailure | None:
+    def _node_failure(self, now: timedelta) -> RequestFailure | None:
         """Returns the failure for which this node refuses all requests at present, or None."""
         table = self.table
         if table.is_draining:
@@ -125,7 +125,7 @@
         patience = timedelta(seconds=caller.lookup_patience)
         request = InferenceRequest(request_id, event.call_id, LOOKUP, caller, now, patience)
         request.path = event.path
-        self._stamp(request, now)
+        self._set_admission_context(request, now)
         return request
 
     def _admit_prompt(
@@ -154,14 +154,14 @@
         request.is_stream = document.get("stream", False)
         request.body = {**document, "model": request.name, "max_tokens": max_tokens}
         request.model_ready_by = now + timedelta(seconds=request.model.wake)
-        self._stamp(request, now)
+        self._set_admission_context(request, now)
         return request
 
-    def _stamp(self, request: InferenceRequest, now: timedelta) -> None:
+    def _set_admission_context(self, request: InferenceRequest, now: timedelta) -> None:
         """Sets the catalogue generation, the policies and the time under which the request is admitted."""
         request.generation = self.table.state.generation
         request.policies = self.table.state.catalogue.policies
-        request.opened_at = self.table.stamp(now)
+        request.opened_at = self.table.cluster_timestamp(now)
 
     def _refuse(
         self, event: HttpRequestReceived, failure: RequestFailure, client_request_id: str, now: timedelta
@@ -171,18 +171,18 @@
         """
         if failure.kind not in RETRYABLE_BY_CALLER and failure.kind is not FailureKind.NO_MODEL:
             return self.refuse.take(event.call_id, failure)
-        record = self._record_of_refused(event, failure, client_request_id, now)
+        record = self._refused_call_record(event, failure, client_request_id, now)
         effects = self.refuse.take(event.call_id, failure, record["request"])
         if self.table.cluster_clock.is_agreed:
             return [*effects, RequestClosed(record)]
         self.table.unstamped_records.append((now, record))
         return effects
 
-    def _record_of_refused(
+    def _refused_call_record(
         self, event: HttpRequestReceived, failure: RequestFailure, client_request_id: str, now: timedelta
     ) -> dict[str, Any]:
         request_id = self._next_request_id()
-        stamp = self.table.stamp(now)
+        timestamp = self.table.cluster_timestamp(now)
         return {
             "request": request_id,
             "caller": "",
@@ -193,8 +193,8 @@
             "edge": self.table.node,
             "incarnation": self.table.restart_epoch,
             "state": "fault",
-            "openedAt": stamp,
-            "endedAt": stamp,
+            "openedAt": timestamp,
+            "endedAt": timestamp,
             "generation": self.table.state.generation,
             "tag": client_request_id,
             "class": failure.name,
@@ -220,11 +220,13 @@
             return []
         self.table.unstamped_records = []
         return [
-            RequestClosed({**record, "openedAt": self.table.stamp(at), "endedAt": self.table.stamp(at)})
+            RequestClosed(
+                {**record, "openedAt": self.table.cluster_timestamp(at), "endedAt": self.table.cluster_timestamp(at)}
+            )
             for at, record in records
         ]
 
-    def _alert(self, failure: RequestFailure, now: timedelta) -> list[Any]:
+    def _log_unconfigured_model(self, failure: RequestFailure, now: timedelta) -> list[Any]:
         """Logs a request for an unconfigured model, at most once per `ALERT_INTERVAL` for each model."""
         next_alert_at = self.table.next_alert_at
         if failure.kind is not FailureKind.NO_MODEL or now < next_alert_at.get(failure.reason, now):
--- a/sumachook/inference/attempt_end.py
+++ b/sumachook/inference/attempt_end.py
@@ -8,7 +8,7 @@
 from sumachook.requests.failures import FailureKind, RequestFailure
 
 # Failures that do not count against the server: it answered correctly, or the client disconnected.
-BLAMELESS = frozenset({FailureKind.REFUSED, FailureKind.OVERLOAD, FailureKind.HUNG_UP})
+NOT_SERVER_FAILURES = frozenset({FailureKind.REFUSED, FailureKind.OVERLOAD, FailureKind.HUNG_UP})
 SERVICE_TIME_WEIGHT = 0.1  # weight of the latest prompt in the moving average of a queue's service time
 
 
@@ -47,7 +47,7 @@
         if failure is None:
             server_window.record_success()
             server_window.clear_overload()
-        elif failure.kind in BLAMELESS:
+        elif failure.kind in NOT_SERVER_FAILURES:
             server_window.record_success()
             if failure.kind is FailureKind.OVERLOAD:
                 server_window.record_overload(now, request.retry_after)
--- a/sumachook/inference/close.py
+++ b/sumachook/inference/close.py
@@ -57,6 +57,6 @@
             "duration": round((now - arrived_at).total_seconds(), 4),
             "tokens": request.tokens,
             "late": now > request.deadline,
-            "endedAt": self.table.stamp(now),
+            "endedAt": self.table.cluster_timestamp(now),
             **request.quota_details,
         }
--- a/sumachook/inference/deadlines.py
+++ b/sumachook/inference/deadlines.py
@@ -27,7 +27,7 @@
         effects = []
         for request in list(self.table.requests.values()):
             if request.is_at_server:
-                effects += self._look_at_attempt(request, now)
+                effects += self._check_attempt(request, now)
             elif request.needs_credit and now >= request.credit_by:
                 failure = request.last_failure.kind.because("no credit in the retry budget")
                 effects += self.settle.take(request, failure, now)
@@ -37,7 +37,7 @@
                 effects += self.settle.take(request, failure, now)
         return effects
 
-    def _look_at_attempt(self, request: InferenceRequest, now: timedelta) -> list[Any]:
+    def _check_attempt(self, request: InferenceRequest, now: timedelta) -> list[Any]:
         is_without_token = request.first_token_at is None and now >= request.first_token_by
         if is_without_token and request.total_by > request.first_token_by:
             return self.resend.take(request, FailureKind.FIRST_TOKEN_TIMEOUT.because(), now)
--- a/sumachook/inference/dispatch.py
+++ b/sumachook/inference/dispatch.py
@@ -56,7 +56,7 @@
 
     def _fetch_answer(self, request: InferenceRequest, name: str, address: str, now: timedelta) -> Fetch:
         remaining = request.deadline - now
-        request.first_token_by = now + self._first_token_time(request, name, remaining)
+        request.first_token_by = now + self._first_token_timeout(request, name, remaining)
         decode_time = timedelta(seconds=request.body["max_tokens"] / request.model.decode_rate * DECODE_HEADROOM)
         request.total_by = min(request.deadline, request.first_token_by + decode_time)
         method, path, headers, body = self.table.port.chat(request.request_id, request.body)
@@ -71,12 +71,12 @@
             mode="events",
         )
 
-    def _first_token_time(self, request: InferenceRequest, name: str, remaining: timedelta) -> timedelta:
+    def _first_token_timeout(self, request: InferenceRequest, name: str, remaining: timedelta) -> timedelta:
         """Returns the first-token timeout.
 
         The first attempt gets at most half of the remaining time if the request may be retried at another server.
         """
-        holders = self.table.state.pairs.get(request.model.name, ())
-        has_other = request.is_safe and any(other != name for other in holders if other)
+        placed_servers = self.table.state.pairs.get(request.model.name, ())
+        has_other = request.is_safe and any(other != name for other in placed_servers if other)
         bound = remaining / 2 if has_other and request.attempt == 1 else remaining
         return min(timedelta(seconds=request.model.first_token), bound)
--- a/sumachook/inference/enqueue.py
+++ b/sumachook/inference/enqueue.py
@@ -79,7 +79,7 @@
         """
         table, model = self.table, request.model.name
         ahead = sum(other.model.name == model for other in table.queues.requests.get(request.queue, ()))
-        holders = [name for name in table.state.pairs.get(model, ()) if name in table.state.servers]
-        slots = sum(table.limit(table.state.servers[name]) for name in holders)
+        placed_servers = [name for name in table.state.pairs.get(model, ()) if name in table.state.servers]
+        slots = sum(table.limit(table.state.servers[name]) for name in placed_servers)
         expected: float = ahead * table.service_time.get(request.queue, 0.0) / max(1, slots)
         return expected
--- a/sumachook/inference/inference_request.py
+++ b/sumachook/inference/inference_request.py
@@ -69,7 +69,7 @@
         self.buffered_parts: list[Any] = []
         self.resume_from: str | None = None  # event id after which a resumed stream must continue
 
-    def forget_first_token(self) -> None:
+    def clear_first_token(self) -> None:
         """Clears the time of the first token when a new attempt restarts the answer."""
         self._first_token_at = None
 
--- a/sumachook/inference/pipeline.py
+++ b/sumachook/inference/pipeline.py
@@ -107,7 +107,7 @@
                 return []
             case ConnectivityRestored():
                 for server_window in self.table.server_windows.values():
-                    server_window.reopen(now)
+                    server_window.probe_now(now)
                 return []
         raise TypeError(f"unhandled event in the inference pipeline: {event!r}")
 
--- a/sumachook/inference/queues.py
+++ b/sumachook/inference/queues.py
@@ -54,9 +54,9 @@
                 del positions[queue]
 
     def charge_turn(self, queue: str, weights: dict[str, int]) -> None:
-        """Counts a served turn; a queue that was idle lags behind the busiest one by at most `MAX_SAVED_TURNS`."""
-        busiest = max(self.served.values(), default=0.0)
-        floor = busiest - MAX_SAVED_TURNS
+        """Counts a served turn; a queue that was idle lags behind the max_served one by at most `MAX_SAVED_TURNS`."""
+        max_served = max(self.served.values(), default=0.0)
+        floor = max_served - MAX_SAVED_TURNS
         self.served[queue] = max(self.served.get(queue, 0.0), floor) + 1 / weights.get(queue, 1)
-        if busiest > REBASE_AT:
-            self.served = {name: value - busiest for name, value in self.served.items()}
+        if max_served > REBASE_AT:
+            self.served = {name: value - max_served for name, value in self.served.items()}
--- a/sumachook/inference/request_table.py
+++ b/sumachook/inference/request_table.py
@@ -63,7 +63,7 @@
         # records of requests that were refused before the cluster clock was agreed, with the local time of each
         self.unstamped_records: list[tuple[timedelta, dict[str, Any]]] = []
 
-    def stamp(self, now: timedelta) -> str:
+    def cluster_timestamp(self, now: timedelta) -> str:
         """Converts a monotonic time to the ISO 8601 cluster time that the ledger stores."""
         return str(self.cluster_clock.time(now).isoformat())
 
@@ -80,7 +80,7 @@
 
         The order depends on `salt`, the server's name, so that the first place differs from server to server.
         """
-        order = sorted(self.peers, key=lambda edge: hash_of(edge, salt))
+        order = sorted(self.peers, key=lambda edge: stable_hash(edge, salt))
         return (order.index(self.node) if self.node in order else 0), max(1, len(order))
 
     def record(self, request: InferenceRequest) -> dict[str, Any]:
@@ -115,6 +115,6 @@
             self.waiting_lookups.remove(request)
 
 
-def hash_of(*words: str) -> int:
+def stable_hash(*words: str) -> int:
     """Returns a hash that is the same in every process, unlike the built-in `hash`."""
     return crc32("|".join(words).encode())
--- a/sumachook/inference/response_relay.py
+++ b/sumachook/inference/response_relay.py
@@ -29,7 +29,7 @@
 from sumachook.requests.model_server_api import ChatDelta
 
 EVENT_STREAM = {"Content-Type": "text/event-stream", "Cache-Control": "no-store"}
-LAST_EVENT = "[DONE]"  # data of the event that ends a chat completion stream
+END_OF_STREAM = "[DONE]"  # data of the event that ends a chat completion stream
 MAX_RETRY_AFTER_S = 60.0  # upper bound on the Retry-After that a server may state
 
 
@@ -108,7 +108,7 @@
         return self.resend.take(request, FailureKind.CUT.because("the response stream ended early"), now)
 
     def _handle_event(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:
-        if event.data == LAST_EVENT:
+        if event.data == END_OF_STREAM:
             if request.finish_reason is None:
                 return self.resend.take(
                     request, FailureKind.CUT.because("the response stream ended without a finish reason"), now
@@ -133,7 +133,7 @@
         if request.reached_client:
             return [SendChunk(request.call_id, chunk)]
         request.buffered_parts.append(chunk)  # events before the first token are sent together with it
-        return self._open_stream(request) if delta.text else []
+        return self._begin_stream(request) if delta.text else []
 
     def _note_delta(self, request: InferenceRequest, delta: ChatDelta, event_id: str | None, now: timedelta) -> None:
         request.last_event_id = event_id or None
@@ -144,7 +144,7 @@
         request.finish_reason = delta.finish_reason or request.finish_reason
         request.first_token_at = now if delta.text else None
 
-    def _open_stream(self, request: InferenceRequest) -> list[Any]:
+    def _begin_stream(self, request: InferenceRequest) -> list[Any]:
         request.reached_client = True
         request.state = RequestState.STREAMING
         chunks = [SendChunk(request.call_id, chunk) for chunk in request.buffered_parts]
@@ -156,8 +156,8 @@
         self.end_attempt.take(request, None, now)
         request.run_history.note_complete_answer()
         if request.is_stream:
-            effects = [] if request.reached_client else self._open_stream(request)
-            effects.append(SendChunk(request.call_id, send(Event(data=LAST_EVENT))))
+            effects = [] if request.reached_client else self._begin_stream(request)
+            effects.append(SendChunk(request.call_id, send(Event(data=END_OF_STREAM))))
             effects.append(EndResponse(request.call_id))
         else:
             headers = {**JSON, "X-Request-Id": request.request_id}
--- a/sumachook/inference/server_window.py
+++ b/sumachook/inference/server_window.py
@@ -54,7 +54,7 @@
         self.in_use_by_item[item] -= 1
         self.in_use_by_queue[queue] -= 1
 
-    def reopen(self, now: timedelta) -> None:
+    def probe_now(self, now: timedelta) -> None:
         """Lets one probe through an open breaker at once: failures seen while this edge was cut off say nothing
         about the server.
         """
