--- a/harness/mutations/requests.py
+++ b/harness/mutations/requests.py
@@ -14,7 +14,7 @@
         "may_repeat = request.run_history.may_send_again(request.is_safe)",
         "may_repeat = True",
         REQUESTS,
-        "unsafe_prompt_that_was_sent",
+        "sent_non_idempotent_prompt",
     ),
     Mutation(
         1,
@@ -22,7 +22,7 @@
         "def _handle_sent(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:\n        request.run_history.note_first_byte()\n",
         "def _handle_sent(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:\n",
         REQUESTS,
-        "dark_server",
+        "unresponsive_server",
         file="inference/response_relay.py",
     ),
     Mutation(
@@ -31,7 +31,7 @@
         "if isinstance(message, OpenRecords) and first is not None and first != request:",
         "if False:",
         REQUESTS,
-        "same_key_at_two_edges",
+        "one_idempotency_key",
     ),
     Mutation(
         2,
@@ -39,7 +39,7 @@
         "if not event.event_id or next_id(request.resume_from) != event.event_id:",
         "if False:",
         REQUESTS,
-        "does_not_continue",
+        "skips_an_event",
     ),
     Mutation(
         2,
@@ -47,7 +47,7 @@
         "        if request.reached_client:\n            return effects + self._resume(request, failure, now)\n",
         "",
         REQUESTS,
-        "never_stitched",
+        "not_continued_elsewhere",
     ),
     Mutation(
         3,
@@ -55,7 +55,7 @@
         "if request.finish_reason is None:",
         "if False:",
         REQUESTS,
-        "unfinished_is_cut",
+        "without_a_finish_reason",
     ),
     Mutation(
         3,
@@ -63,10 +63,10 @@
         "AbortResponse(request.call_id)]",
         'SendChunk(request.call_id, b"data: [DONE]\\n\\n")]',
         REQUESTS,
-        "never_stitched",
+        "not_continued_elsewhere",
         file="inference/settle.py",
     ),
-    Mutation(7, "resends cost nothing", "        bucket.balance -= 1\n", "", REQUESTS, "do_not_follow_every_refusal"),
+    Mutation(7, "resends cost nothing", "        bucket.balance -= 1\n", "", REQUESTS, "all_servers_are_busy"),
     Mutation(
         7,
         "credit is saved up without end",
@@ -76,7 +76,7 @@
         ),
         "        bucket.balance, bucket.borrowed_until = bucket.balance + self.ratio, timedelta.max\n",
         REQUESTS,
-        "burst_of_faults",
+        "burst_of_failures",
     ),
     Mutation(
         8,
@@ -108,7 +108,7 @@
         "queue_limit = max(1, int(limit * queue.share)) if queue else 1",
         "queue_limit = limit",
         REQUESTS,
-        "behind_audits",
+        "flood_of_slow_prompts",
     ),
     Mutation(
         11,
@@ -116,7 +116,7 @@
         "        if request.kind == LOOKUP:\n            self.table.add_to_queue(request)\n            return []",
         "        if request.kind == LOOKUP:\n            self.table.queues.push(request.queue, request)\n            return []",
         REQUESTS,
-        "behind_audits",
+        "flood_of_slow_prompts",
     ),
     Mutation(
         12,
--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -160,7 +160,7 @@
         "return 0.0 if is_isolated else share_of_slack(slack, rank, edge_count)",
         "return share_of_slack(slack, rank, edge_count)",
         BUDGETS,
-        "long_split",
+        "long_partition",
     ),
     Mutation(
         "BUDGET",
@@ -184,7 +184,7 @@
         "return name in request.failed_servers and self.table.server_window(name).is_overloaded(now)",
         "return False",
         BUDGETS,
-        "only_after_its_rest",
+        "only_after_its_retry_after",
     ),
     Mutation(
         "HELD",
@@ -329,7 +329,7 @@
         "own.failures < MIN_FAILURES or failure_rate < MIN_FAILURE_RATE",
         "True",
         OUTLIERS,
-        "no_edge_saw_it_fail_twice",
+        "each_edge_saw_one_failure",
     ),
     Mutation(
         "OUTLIER",
@@ -337,7 +337,7 @@
         "return failure_rate >= MIN_RATE_RATIO * failures / max(successes + failures, 1.0)",
         "return True",
         OUTLIERS,
-        "may_happen_anywhere",
+        "few_or_rare_or_common",
     ),
     Mutation(
         "OUTLIER",
@@ -345,7 +345,7 @@
         "candidates[: max(0, len(service_servers) // SERVERS_PER_EJECTION - ejected_count)]",
         "candidates",
         OUTLIERS,
-        "more_than_a_third",
+        "at_most_a_third",
     ),
     Mutation(
         "OUTLIER",
@@ -353,7 +353,7 @@
         "EJECTED_COST_MS * table.is_ejected(name, now)",
         "0",
         OUTLIERS,
-        "while_another_can_take_it",
+        "while_another_is_available",
     ),
     Mutation(
         "FAILBACK",
--- a/tests/inference/test_requests.py
+++ b/tests/inference/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests: the retry design, honest answers, streams, lines, credit."""
+"""Prompts and lookups in a simulated deployment: retries, run status, streams, queues and the retry budget."""
 
 import json
 from datetime import timedelta
@@ -22,38 +22,40 @@
 SECOND = timedelta(seconds=1)
 
 
-def _earn(deployment, credit=8.0):
+def _fill_retry_budgets(deployment, credit=8.0):
     for edge in deployment.machines("edge"):
         give_credit(edge.retry_budget, credit, *OWN_KEYS)
 
 
-def _pair(deployment, model):
+def _replicas_of(deployment, model):
     return leader(deployment).state.pairs[model]
 
 
-def test_never_sent_prompt_moves_to_the_understudy_even_when_unsafe():
-    """Given a primary whose process is gone, a prompt that was never sent is answered by the understudy, run once."""
+def test_unsent_prompt_is_retried_at_the_second_replica_even_if_not_idempotent():
+    """A prompt that was never sent, because its primary server is down, is answered by the second replica and runs once."""
     deployment = settled(32)
     callers = quiet(deployment)
-    _earn(deployment)
-    primary, understudy = _pair(deployment, "claim-01")
-    assert understudy
+    _fill_retry_budgets(deployment)
+    primary, second_replica = _replicas_of(deployment, "claim-01")
+    assert second_replica
     deployment.kill(primary)
     call = ask(deployment, callers, "bookings", model="claim-01")
     deployment.run(4)
-    assert call.outcome == "ok" and understudy in call.text
+    assert call.outcome == "ok" and second_replica in call.text
     assert (
         invariant_checker(deployment, callers).faults() == []
         and invariant_checker(deployment, callers).runs_of(call) == 1
     )
 
 
-def test_unsafe_prompt_that_was_sent_is_never_sent_again():
-    """Rule 1. Given a server that takes prompts and crashes before a token, an unsafe one ends as maybe run, a safe one moves."""
+def test_sent_non_idempotent_prompt_is_never_retried():
+    """A server that crashes before the first token may have run the prompt: a non-idempotent one ends with run status
+    "maybe", an idempotent one is retried at the other replica (rule 1).
+    """
     deployment = settled(32)
     callers = quiet(deployment)
-    _earn(deployment)
-    primary, understudy = _pair(deployment, "claim-01")
+    _fill_retry_budgets(deployment)
+    primary, second_replica = _replicas_of(deployment, "claim-01")
     deployment.boxes[primary].machine.prefill = 2 * SECOND
     unsafe, safe = (
         ask(deployment, callers, "bookings", model="claim-01"),
@@ -65,33 +67,37 @@
     deployment.kill(primary)
     deployment.run(4)
     assert (unsafe.outcome, unsafe.fault_class, unsafe.run) == ("fault", "reset", "maybe")
-    assert safe.outcome == "ok" and understudy in safe.text
+    assert safe.outcome == "ok" and second_replica in safe.text
     assert check.faults() == [] and check.runs_of(unsafe) == 1
 
 
-def test_dark_server_is_told_by_the_first_token_timeout():
-    """Given a server that accepts and never answers, a safe prompt moves within its patience, an unsafe one is told maybe."""
+def test_unresponsive_server_is_detected_by_the_first_token_timeout():
+    """At a server that accepts requests and never answers, an idempotent prompt is retried at the other replica before its
+    deadline, and a non-idempotent one ends with run status "maybe".
+    """
     deployment = settled(33)
     callers = quiet(deployment)
-    _earn(deployment)
-    primary, understudy = _pair(deployment, "refund-02")
+    _fill_retry_budgets(deployment)
+    primary, second_replica = _replicas_of(deployment, "refund-02")
     deployment.boxes[primary].machine.is_dark = True
     safe, unsafe = (
         ask(deployment, callers, "refunds", model="refund-02"),
         ask(deployment, callers, "bookings", model="refund-02"),
     )
     deployment.run(16)
-    assert safe.outcome == "ok" and understudy in safe.text
+    assert safe.outcome == "ok" and second_replica in safe.text
     assert unsafe.fault_class == "first-token-timeout" and unsafe.run == "maybe"
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_cut_after_the_first_token_is_never_stitched_and_never_looks_whole():
-    """Rules 2 and 3. Given a server that crashes in mid-stream, its caller has a cut stream and an error, nothing from another."""
+def test_stream_cut_after_the_first_token_is_not_continued_elsewhere_and_ends_with_an_error():
+    """After its server crashes mid-stream, the caller gets an error event and no tokens of another server, so that no
+    mixed or truncated answer looks complete (rules 2 and 3).
+    """
     deployment = settled(34)
     callers = quiet(deployment)
-    _earn(deployment)
-    primary, _ = _pair(deployment, "refund-03")
+    _fill_retry_budgets(deployment)
+    primary, _ = _replicas_of(deployment, "refund-03")
     call = ask(deployment, callers, "refunds", model="refund-03")
     assert deployment.run_until(lambda: call.first_at is not None, 3)
     deployment.kill(primary)
@@ -100,9 +106,10 @@
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_stream_that_ends_in_good_order_but_unfinished_is_cut():
-    """Rule 3. Given a server that closes its stream properly after three pieces, with [DONE] or without, nobody is told that this
-    was all: a caller who streams sees it cut, one who does not gets a fault; no finish reason and no [DONE] is made up."""
+def test_stream_closed_without_a_finish_reason_is_reported_as_cut():
+    """A server that closes its stream properly after three events, with or without [DONE], has not sent the whole answer:
+    a streaming caller sees the stream cut, any other gets a failure. No finish reason and no [DONE] is made up (rule 3).
+    """
     for says_done in (False, True):
         deployment = settled(49)
         callers = quiet(deployment)
@@ -118,11 +125,11 @@
         assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_resume_goes_on_exactly_where_it_stopped():
-    """Rule 2. Given event ids and a connection that breaks in mid-stream, the same server goes on at the next piece, run once."""
+def test_stream_resumes_at_the_next_event_id():
+    """After a connection breaks mid-stream, the same server resumes at the next event id, and the prompt runs once (rule 2)."""
     deployment = settled(35)
     callers = quiet(deployment)
-    _earn(deployment)
+    _fill_retry_budgets(deployment)
     call = ask(deployment, callers, "refunds", model="refund-04")
     assert deployment.run_until(lambda: call.first_at is not None, 3)
     edge = deployment.boxes[call.edge]
@@ -137,8 +144,8 @@
     )
 
 
-def test_resume_that_does_not_continue_is_refused():
-    """Rule 2. Given a server whose resume skips a piece, the stream is cut, not patched."""
+def test_resume_that_skips_an_event_is_refused():
+    """A stream whose resume skips an event is cut, since the answer would have a gap (rule 2)."""
     deployment = settled(36)
     callers = quiet(deployment)
     for server in deployment.machines("model"):
@@ -156,8 +163,8 @@
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_missing_model_is_an_alert_and_not_resent():
-    """Given a model that nobody configured, the caller is told at once, one alert is logged, no server is tried."""
+def test_unconfigured_model_is_logged_once_and_not_retried():
+    """Requests for an unconfigured model are refused at once with one log line in all, and no server is tried."""
     deployment = settled(37)
     callers = quiet(deployment)
     before = len(deployment.tries)
@@ -168,8 +175,8 @@
     assert len([line for line in deployment.logs if "not configured" in line[4]]) == 1
 
 
-def test_waking_model_is_waited_for_and_given_up_honestly():
-    """Given a model that cannot be loaded anywhere, its prompt gets one delayed resend and then a wake timeout, not run."""
+def test_model_that_cannot_be_loaded_ends_in_a_wake_timeout_after_one_retry():
+    """A prompt for a model too large for any server gets one delayed retry, then ends with a wake timeout as not run."""
     deployment = settled(38)
     callers = quiet(deployment)
     doc = {"models": [{"name": "giant", "memory": 900.0, "decodeRate": 9.0, "wake": 2.0}], "store": {"burst": 1000.0}}
@@ -182,8 +189,8 @@
     assert [item["class"] for item in row["tries"]] == ["wake-timeout"]
 
 
-def test_bad_requests_are_refused_with_a_reason_and_no_try():
-    """Given requests that are malformed, unknown or forbidden, each gets its 4xx with a JSON reason and no server sees it."""
+def test_invalid_requests_are_refused_with_a_reason_and_without_an_attempt():
+    """Malformed, unauthenticated and misdirected requests get a 4xx status with a JSON reason, and no server sees them."""
     deployment = settled(39)
     http_address = deployment.boxes["edge-1"].http_address
     key = {"Authorization": "Bearer kosice-counter-key"}
@@ -209,8 +216,10 @@
     assert http_address and len(deployment.tries) == before
 
 
-def test_same_key_at_two_edges_runs_once():
-    """Given one idempotency key at two edges, together and later, the prompt runs once; the others get the first one's state."""
+def test_prompts_with_one_idempotency_key_run_once_over_all_edges():
+    """Of prompts with one idempotency key, sent at once to two edges and later to a third, at most one runs; the others are
+    refused as duplicates, not run.
+    """
     deployment = settled(40)
     callers = quiet(deployment)
     first = ask(deployment, callers, "bookings", model="refund-05", edge="edge-1", key="k-1")
@@ -221,12 +230,14 @@
     check = invariant_checker(deployment, callers)
     runs = [check.runs_of(call) for call in (first, second, third)]
     assert sum(runs) <= 1 and check.faults() == []
-    told = [call for call in (first, second, third) if call.outcome != "ok"]
-    assert len(told) >= 2 and all((call.fault_class, call.run) == ("duplicate", "no") for call in told)
+    refused = [call for call in (first, second, third) if call.outcome != "ok"]
+    assert len(refused) >= 2 and all((call.fault_class, call.run) == ("duplicate", "no") for call in refused)
 
 
-def test_unsafe_prompt_without_keepers_is_refused_as_not_run():
-    """Given no two keepers, an unsafe prompt is refused as not run; a safe one is answered and recorded once they are back."""
+def test_non_idempotent_prompt_is_refused_as_not_run_without_a_ledger_quorum():
+    """With two of three ledger replicas down, a non-idempotent prompt is refused as not run. An idempotent one is answered,
+    and its record is stored at two replicas or more once they are back.
+    """
     deployment = settled(41)
     callers = quiet(deployment)
     for name in ("core-2", "core-3"):
@@ -241,20 +252,24 @@
     for name in ("core-2", "core-3"):
         deployment.start(name)
     deployment.run(12)
-    kept = [core for core in deployment.machines("core") if core.replica_store.find(safe.request)]
-    assert len(kept) >= 2
+    replicas = [core for core in deployment.machines("core") if core.replica_store.find(safe.request)]
+    assert len(replicas) >= 2
 
 
-def test_lookups_never_wait_behind_audits():
-    """Rule 11. Given slow audits that fill every place they may have, lookups and shop prompts are answered as fast as without."""
+def test_lookups_are_not_delayed_by_a_flood_of_slow_prompts():
+    """A flood of slow audit prompts that fills every slot of its queue's share delays neither lookups nor the prompts of
+    another queue at the same servers (rule 11).
+    """
     deployment = settled(42, edges=4)
     pairs = leader(deployment).state.pairs
-    crowded = {server for place in (1, 2, 3) for server in pairs[f"audit-0{place}"]}
-    beside = [model for model, pair in pairs.items() if not model.startswith("audit") and set(pair) - {""} <= crowded]
-    assert beside  # shop prompts that have nowhere to go but where the audits are
-    callers = deployment.call_in(1.0, [group(deployment, "stamps"), group(deployment, "claims", models=beside)])
+    audit_servers = {server for place in (1, 2, 3) for server in pairs[f"audit-0{place}"]}
+    shared_models = [
+        model for model, pair in pairs.items() if not model.startswith("audit") and set(pair) - {""} <= audit_servers
+    ]
+    assert shared_models  # models whose only servers also run the audit prompts
+    callers = deployment.call_in(1.0, [group(deployment, "stamps"), group(deployment, "claims", models=shared_models)])
     deployment.run(10)
-    calm = max(call.ended_at - call.sent_at for call in outcomes(callers, group="stamps", outcome="ok"))
+    baseline = max(call.ended_at - call.sent_at for call in outcomes(callers, group="stamps", outcome="ok"))
     for server in deployment.machines("model"):
         server.rates |= {name: 4.0 for name in server.rates if name.startswith("audit")}
     flood = deployment.call_in(1.0, [group(deployment, "audits", rate=30.0)], "flood")
@@ -264,12 +279,14 @@
     lookups = [call for call in callers.calls if call.group == "stamps"]
     shops = [call for call in callers.calls if call.group == "claims"]
     assert all(call.outcome == "ok" for call in lookups + shops)
-    assert max(call.ended_at - call.sent_at for call in lookups) < calm + 0.1 * SECOND
+    assert max(call.ended_at - call.sent_at for call in lookups) < baseline + 0.1 * SECOND
     assert max(call.ended_at - call.sent_at for call in shops) < 1.5 * SECOND
 
 
-def test_resends_stay_near_a_fifth_over_all_nodes():
-    """Rule 7. Given half the servers refusing connections, resends over all edges stay within a fifth of the first tries."""
+def test_retries_of_all_edges_stay_within_a_fifth_of_the_requests():
+    """While half the servers refuse connections, the retries of all edges together stay within a fifth of the first attempts
+    (rule 7).
+    """
     deployment = settled(43, edges=5)
     callers = deployment.call_in(2.0)
     deployment.run(5)
@@ -283,9 +300,10 @@
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_resends_do_not_follow_every_refusal():
-    """Rule 7. Given records servers that are all busy without end, which opens no breaker, resends still stay near a
-    fifth; what finds no credit is told so with a time to come back."""
+def test_retries_stay_within_budget_when_all_servers_are_busy():
+    """Record servers that are all busy open no circuit breaker, so only the retry budget limits retries to about a fifth of
+    the first attempts; requests without credit fail as overloaded or at their deadline (rule 7).
+    """
     deployment = settled(50, edges=5)
     callers = deployment.call_in(2.0, [group(deployment, "stamps")])
     deployment.run(4)
@@ -299,13 +317,15 @@
     assert {call.fault_class for call in callers.calls if call.outcome != "ok"} <= {"overload", "cutoff"}
 
 
-def test_credit_reaches_the_one_small_node_that_meets_the_fault():
-    """Rule 7. Given one edge without credit that alone meets a fault, credit is lent to it and the fleet's sum never rises."""
+def test_edge_without_credit_borrows_it_for_a_retry():
+    """An edge without credit that alone sees a failure borrows credit for its retry, and the sum over all edges never rises
+    (rule 7).
+    """
     deployment = settled(44, edges=4)
     callers = quiet(deployment)
     for edge in deployment.machines("edge"):
         give_credit(edge.retry_budget, 0.0 if edge.node == "edge-1" else 10.0, *OWN_KEYS)
-    primary, _ = _pair(deployment, "refund-06")
+    primary, _ = _replicas_of(deployment, "refund-06")
     deployment.kill(primary)
     call = ask(deployment, callers, "refunds", model="refund-06", edge="edge-1")
     total = 30.2
@@ -314,8 +334,8 @@
     assert sum(edge.retry_budget.balance_of(PROMPTS) for edge in deployment.machines("edge")) <= total - 1 + 1e-6
 
 
-def test_hung_up_caller_calls_off_its_try():
-    """Given a caller that hangs up in mid-stream, its try ends at the server and the ledger says so."""
+def test_client_disconnect_cancels_the_attempt():
+    """When a client disconnects mid-stream, its attempt is cancelled and the ledger records the failure "hung-up"."""
     deployment = settled(45)
     callers = quiet(deployment)
     call = ask(deployment, callers, "refunds", model="refund-07")
@@ -329,11 +349,11 @@
     assert deployment.ask("core-1", "GET", f"/ledger/{request.request_id}")[1]["class"] == "hung-up"
 
 
-def test_given_up_request_is_answered_at_once_with_when_to_come_back():
-    """Given a fault that is final, the answer comes right away, not near the cutoff, and says when to come back."""
+def test_final_failure_is_answered_at_once():
+    """A failure that allows no retry is answered within 0.2 seconds, not near the deadline of the request."""
     deployment = settled(46)
     callers = quiet(deployment)
-    primary = _pair(deployment, "refund-08")[0]
+    primary = _replicas_of(deployment, "refund-08")[0]
     deployment.boxes[primary].machine.prefill = 3 * SECOND
     call = ask(deployment, callers, "bookings", model="refund-08")
     deployment.run(0.5)
@@ -343,8 +363,10 @@
     assert call.outcome == "fault" and call.ended_at - crashed_at < 0.2 * SECOND
 
 
-def test_stop_drains_and_says_so_first():
-    """Given an edge told to stop in mid-stream, its streams end well, new calls are sent elsewhere, and it ends by itself."""
+def test_stopped_edge_drains_its_streams_and_exits():
+    """An edge that is stopped mid-stream completes its streams, refuses new calls as draining and exits by itself; no call
+    fails as possibly run.
+    """
     deployment = settled(47)
     callers = deployment.call_in(2.0)
     deployment.run(4)
@@ -358,8 +380,10 @@
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_edge_that_was_cut_off_serves_again_soon_after():
-    """Given an edge isolated for four seconds under lookups, it answers them again within two seconds of the cut's end."""
+def test_isolated_edge_answers_again_within_two_seconds_of_reconnection():
+    """An edge isolated for four seconds under lookups answers each lookup within a second again, from two seconds after the
+    network is restored on. Breakers that opened meanwhile must not delay it.
+    """
     deployment = settled(48, "central-java", edges=3)
     callers = deployment.call_in(1.0, [group(deployment, "status")], edges=["edge-1"])
     deployment.run(5)
@@ -374,9 +398,11 @@
     assert late and all(call.outcome == "ok" and call.ended_at - call.sent_at < SECOND for call in late)
 
 
-def test_burst_of_faults_after_a_long_calm_is_met_with_few_resends():
-    """Rule 7. Given a long calm and then every records server and half the others refusing under a crowd, no window sees more than a fifth and what
-    the edges may have saved up; afterwards all is answered again."""
+def test_burst_of_failures_after_a_failure_free_period_stays_within_the_retry_budget():
+    """All record servers and half the others refuse requests during a burst of traffic, after a long time without failures:
+    credit accumulated in that time must not allow more retries than a fifth of the requests plus the saved balances in any
+    window. All requests succeed again afterwards (rule 7).
+    """
     deployment = settled(83, edges=5)
     callers = deployment.call_in(2.0)
     deployment.run(45)
@@ -398,8 +424,10 @@
     assert late and all(call.outcome == "ok" for call in late)
 
 
-def test_lookups_move_on_when_records_servers_are_lost():
-    """Given records servers that crash, go dark or slow, one area's or all of them, lookups move on within their patience."""
+def test_lookups_fail_over_when_record_servers_are_lost():
+    """Lookups fail over within their deadline when record servers crash, stop answering or vanish from the network, whether
+    two or all of them.
+    """
     for how in ("killed", "dark", "vanished", "all dark"):
         deployment = settled(84, "central-java", edges=4)
         callers = deployment.call_in(1.0, [group(deployment, "status")])
@@ -431,9 +459,10 @@
         ), how
 
 
-def test_servers_that_refuse_are_drawn_last_and_the_others_answer():
-    """Given two of three records servers and the primary of a pair that refuse everything for half a minute, what goes on being
-    asked is answered by the others, with few resends."""
+def test_overloaded_servers_are_selected_last():
+    """While two of three record servers and one replica of a model refuse everything for half a minute, the remaining ones
+    answer nearly all requests, with few retries.
+    """
     deployment = settled(88, edges=4)
     model, (primary, _) = next(item for item in leader(deployment).state.pairs.items() if item[1][1])
     callers = deployment.call_in(2.0, [group(deployment, "stamps"), group(deployment, "refunds", models=[model])])
--- a/tests/outliers/test_outliers.py
+++ b/tests/outliers/test_outliers.py
@@ -1,4 +1,4 @@
-"""Servers that fail while they look well, and what all edges together do about it."""
+"""Detection and ejection of servers that fail requests while they appear healthy."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -16,7 +16,7 @@
 
 
 class Detection:
-    """A detector for some servers of one service; `report` takes what an edge saw, `detect` gives what is ejected."""
+    """A detector for the servers of one service; `report` passes the counts of an edge, `detect` returns the ejections."""
 
     def __init__(self, servers=6):
         self.names = [f"s{number}" for number in range(servers)]
@@ -36,8 +36,8 @@
         self.now += SECOND * seconds
 
 
-def test_a_server_that_fails_is_ejected_though_no_edge_saw_it_fail_twice():
-    """Given three edges each of which had one failure at one server, while the others answered, that one is kept off."""
+def test_failing_server_is_ejected_although_each_edge_saw_one_failure():
+    """Three edges that each report one failure of the same server, while the others answer, together cause its ejection."""
     detection = Detection()
     for edge in ("e1", "e2", "e3"):
         detection.report(edge, s0=(1, 1), s1=(4, 0), s2=(3, 0))
@@ -48,20 +48,20 @@
 @pytest.mark.parametrize(
     "counts",
     [
-        {"s0": (0, 1), "s1": (9, 0)},  # one failure
-        {"s0": (40, 3), "s1": (9, 0)},  # as may happen at a busy server
-        {f"s{number}": (2, 3) for number in range(6)},  # all fail alike: it is no matter of one server
+        {"s0": (0, 1), "s1": (9, 0)},  # a single failure
+        {"s0": (40, 3), "s1": (9, 0)},  # a low failure rate
+        {f"s{number}": (2, 3) for number in range(6)},  # the same failure rate at all servers
     ],
 )
-def test_what_may_happen_anywhere_ejects_nobody(counts):
-    """Given failures that are few, rare, or everywhere, no server is kept off."""
+def test_few_or_rare_or_common_failures_eject_no_server(counts):
+    """Failures that are few, rare, or alike at all servers eject no server."""
     detection = Detection()
     detection.report(**counts)
     assert detection.detect() == {}
 
 
-def test_never_more_than_a_third_of_a_service_is_kept_off():
-    """Given six servers of which three fail, two are kept off, and the third only once these are back."""
+def test_at_most_a_third_of_a_service_is_ejected():
+    """Of three failing servers among six, two are ejected, and the third only once those are back."""
     detection = Detection()
     detection.report(s0=(0, 9), s1=(0, 8), s2=(0, 7), s3=(50, 0), s4=(50, 0), s5=(50, 0))
     assert set(detection.detect()) == {"s0", "s1"}
@@ -72,49 +72,51 @@
     assert set(detection.detect()) == {"s2"}
 
 
-def test_a_service_of_two_servers_keeps_both():
-    """Given two servers of which one fails, it stays: each edge's own breaker goes on."""
+def test_no_server_of_a_service_of_two_is_ejected():
+    """A failing server of two is not ejected; each edge's circuit breaker still applies."""
     detection = Detection(servers=2)
     detection.report(s0=(0, 9), s1=(9, 0))
     assert detection.detect() == {}
 
 
-def test_a_server_that_goes_on_failing_is_ejected_longer_up_to_a_bound():
-    """Given a server that fails each time that it is back, its rests double up to eight seconds; after a good while they begin anew."""
-    detection, rests = Detection(), []
+def test_ejections_of_a_failing_server_double_up_to_a_maximum():
+    """The ejections of a server that fails whenever it is back double up to eight seconds; after a long time without
+    failures the first duration applies again.
+    """
+    detection, durations_ms = Detection(), []
     for _ in range(4):
         detection.report(s0=(0, 5), s1=(9, 0))
-        rests += detection.detect().values()
-        detection.run(rests[-1] / 1000 + 0.1)
-    assert rests == [2000, 4000, 8000, MAX_EJECTION / timedelta(milliseconds=1)]
+        durations_ms += detection.detect().values()
+        detection.run(durations_ms[-1] / 1000 + 0.1)
+    assert durations_ms == [2000, 4000, 8000, MAX_EJECTION / timedelta(milliseconds=1)]
     detection.run(30)
     detection.report(s0=(0, 5), s1=(9, 0))
     assert detection.detect() == {"s0": 2000}
 
 
-def test_a_core_without_the_placer_lease_ejects_nobody():
-    """Given a core without the duty, it knows what edges say but tells nothing, until it is the holder and hears more."""
+def test_core_without_the_placer_lease_ejects_no_server():
+    """A core without the placer lease collects reports, but ejects no server until it has the lease."""
     detection = Detection()
     detection.report(s0=(0, 5), s1=(9, 0))
     assert detection.detect(fence=0) == {}
     assert detection.detect() == {"s0": 2000}
 
 
-def test_an_ejected_server_gets_nothing_while_another_can_take_it():
-    """Given a server that is kept off, what may not run twice goes to the others, and after the rest it is drawn again."""
+def test_ejected_server_gets_no_requests_while_another_is_available():
+    """Non-idempotent requests avoid an ejected server until its ejection ends; then it is selected again."""
     scene = Scene()
     scene.take("eject", {"r1": 2000})
     for _ in range(12):
         scene.answer(scene.ask(ONCE))
     assert "r1" not in {dict(send[4])["x-expect-instance"] for send in scene.sends()}
     scene.run(2.1)
-    for _ in range(12):  # all in hand at once: one at a time they would follow the connection that is kept
+    for _ in range(12):  # all in flight at once: one at a time, they would reuse the kept connection
         scene.ask(ONCE)
     assert "r1" in {dict(send[4])["x-expect-instance"] for send in scene.sends()}
 
 
-def test_an_ejected_server_is_used_where_it_is_the_only_one():
-    """Given a service whose only server is kept off, a request goes there all the same."""
+def test_ejected_server_is_used_if_it_is_the_only_one():
+    """A request to a service whose only server is ejected is sent there nevertheless."""
     scene = Scene(servers={"r1": SERVERS["r1"]})
     scene.take("eject", {"r1": 2000})
     cid = scene.ask(PLAIN)
@@ -122,8 +124,8 @@
     assert scene.status(cid) == 200
 
 
-def test_an_edge_reports_failures_soon_and_the_rest_each_second():
-    """Given tries that ended well and one that failed, the counts are told within a tenth of a second of the failure."""
+def test_edge_reports_outcomes_within_a_tenth_of_a_second_of_a_failure():
+    """Outcomes are not due after half a second without a failure, and due a tenth of a second after a failure."""
     scene = Scene(servers={"r1": SERVERS["r1"]})
     scene.answer(scene.ask(ONCE))
     outcome_counts = scene.table.outcome_counts
--- a/tests/policies/test_policies.py
+++ b/tests/policies/test_policies.py
@@ -1,4 +1,4 @@
-"""Policies: swapped while traffic flows, never wider than the rules."""
+"""Policies in a simulated deployment: changed under traffic, and limited by the fixed rules."""
 
 from datetime import timedelta
 
@@ -11,8 +11,10 @@
     )
 
 
-def test_policies_are_swapped_under_traffic_and_each_request_keeps_its_own():
-    """Given traffic with faults, a retry policy that allows nothing stops resends of later requests; swapped back, they go on."""
+def test_retry_policy_changes_under_traffic_apply_to_later_requests():
+    """A retry policy that allows nothing, applied under traffic, stops the retries of later requests; retries resume once
+    the policy is removed.
+    """
     deployment = settled(81, edges=3)
     callers = deployment.call_in(2.0)
     deployment.run(6)
@@ -34,8 +36,10 @@
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_place_policy_moves_pairs_within_the_rules():
-    """Given a place policy that wants all in one area, primaries go there as far as there is room, pairs still lie apart."""
+def test_placement_policy_moves_primaries_and_keeps_replicas_in_different_areas():
+    """A placement policy that prefers one area moves the primaries there, while the two replicas of each model stay in
+    different areas.
+    """
     deployment = settled(82)
     assert _policies(deployment, "near", place="9 if area == 'hall-a' else 0")[0] == 200
     deployment.run(6)
@@ -48,8 +52,8 @@
     assert invariant_checker(deployment).faults() == []
 
 
-def test_no_policy_can_break_a_rule():
-    """Rule 1. Given policies that want everything, an unsafe prompt that was sent is still not sent again."""
+def test_policies_cannot_cause_a_retry_of_a_sent_non_idempotent_prompt():
+    """Policies that allow everything do not cause a retry of a non-idempotent prompt that was sent (rule 1)."""
     deployment = settled(83)
     assert _policies(deployment, "all", retry="True", hold="True", evict="1", place="demand - demand")[0] == 200
     callers = quiet(deployment)
@@ -64,8 +68,8 @@
     assert (call.outcome, call.run) == ("fault", "maybe") and invariant_checker(deployment, callers).runs_of(call) == 1
 
 
-def test_bad_policy_is_refused_with_line_and_column_and_changes_nothing():
-    """Given a policy with a fault in it, apply refuses the whole with its place."""
+def test_invalid_policy_is_refused_with_line_and_column_and_changes_nothing():
+    """An invalid policy makes the whole change refused, with the line and column of the error."""
     deployment = settled(84)
     status, answer = _policies(deployment, "bad", hold="waiting <\n  bound and lines == 'x'")
     assert status == 422 and answer["faults"] == [
--- a/tests/policies/test_policy_language.py
+++ b/tests/policies/test_policy_language.py
@@ -1,4 +1,4 @@
-"""The policy language: programs agree with Python, and bad ones are refused with their place."""
+"""The policy language: evaluation as in Python, and errors with line and column."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from sumachook.policies.policy import compile_policy
 
 
-def test_programs_agree_with_python():
-    """Given names and texts that both languages read, the compiled program and Python give the same."""
+def test_programs_evaluate_like_python():
+    """Policies that are also valid Python evaluate to the same value as in Python."""
     names = {
         "attempt": 2,
         "fault": "reset",
@@ -29,8 +29,8 @@
         assert compile_policy("retry", text).run(names) == eval(text, {}, names), text
 
 
-def test_bad_programs_are_refused_with_their_place():
-    """Given texts outside the language, each is refused with what is wrong and where."""
+def test_invalid_programs_are_refused_with_their_position():
+    """Texts outside the policy language are refused with the error and its line and column."""
     for text, place in (
         ("attempt <\n  'x'", "line 1, column 1"),
         ("lines == 'a'", "column 1"),
--- a/tests/retry_budget/test_retry_budget.py
+++ b/tests/retry_budget/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: credit earned, spent, denied and moved, by service, and summed over all edges."""
+"""The retry budget: credit earned, spent, denied and lent per service, and its sum over all edges."""
 
 from bisect import bisect_left
 from datetime import timedelta
@@ -23,7 +23,7 @@
 
 
 class Edges:
-    """Edges with budgets that a broker moves credit between; servers of `records` shed a part, those of `llm` are well."""
+    """Edges whose budgets share credit through a broker; `records` servers refuse a share of requests, `llm` none."""
 
     def __init__(self, count: int, slack: float, records: tuple[str, ...]):
         servers = {name: server("records") for name in records} | {"l1": server("llm")}
@@ -32,14 +32,14 @@
             scene.retry_budget.cap = 0.8 * slack / count
         self.broker = RetryBudgetBroker(self.now)
         self.random = Random(count)
-        self.answered, self.firsts, self.repeats = set(), [], []
+        self.answered, self.first_attempts, self.retries = set(), [], []
 
     @property
     def now(self) -> timedelta:
         return self.scenes[0].now
 
-    def run(self, seconds: float, shed_part: float, chats: int, plains: int):
-        """Each pulse, so many requests for each service come to every edge."""
+    def run(self, seconds: float, refused_share: float, chats: int, plains: int):
+        """Sends every edge `chats` requests for `llm` and `plains` for `records` at each tick."""
         until = self.now + SECOND * seconds
         while self.now < until:
             for number, scene in enumerate(self.scenes):
@@ -49,15 +49,15 @@
                     scene.answer(scene.ask(CHAT))
                 for _ in range(plains):
                     scene.ask(PLAIN)
-                    self.firsts.append(scene.now)
-                self._serve(number, scene, shed_part)
-                in_hand = {request.attempt_id for request in scene.table.requests.values()}
-                scene.out = [effect for effect in scene.out if effect[0] == "forward" and effect[1] in in_hand]
-            self._move_credit()
+                    self.first_attempts.append(scene.now)
+                self._serve(number, scene, refused_share)
+                in_flight = {request.attempt_id for request in scene.table.requests.values()}
+                scene.out = [effect for effect in scene.out if effect[0] == "forward" and effect[1] in in_flight]
+            self._exchange_credit()
         return self
 
-    def _serve(self, number, scene, shed_part):
-        """Answers each try at `records` once, also those that an answer brings about."""
+    def _serve(self, number, scene, refused_share):
+        """Answers each attempt at `records` once, including the retries that an answer causes."""
         while tries := [
             request
             for request in scene.table.requests.values()
@@ -66,14 +66,14 @@
             for request in tries:
                 self.answered.add((number, request.attempt_id))
                 if request.arrivals:
-                    self.repeats.append(scene.now)
-                if self.random.random() < shed_part:
+                    self.retries.append(scene.now)
+                if self.random.random() < refused_share:
                     scene.answer(request.call_id, 503, b"", NOT_RUN, seal=False)
                 else:
                     scene.answer(request.call_id)
 
-    def _move_credit(self):
-        """Reports go to the broker, loans to those who lend, gifts to those who want."""
+    def _exchange_credit(self):
+        """Delivers reports to the broker, loan requests to the lenders and transfers to the borrowers."""
         budgets = {f"e{number}": scene.retry_budget for number, scene in enumerate(self.scenes)}
         for name, budget in budgets.items():
             for effect in budget.take(BudgetTick(("broker",)), self.now):
@@ -85,49 +85,52 @@
                 received = MessageReceived(loan.address, loan.address, transfer.message)
                 budgets[transfer.address].take(received, self.now)
 
-    def most_over(self, slack: float) -> float:
-        """By how much the repeats of the worst window pass what the requests for the service in that window allow."""
+    def max_excess(self, slack: float) -> float:
+        """Returns how far the retries exceed the limit set by the requests, in the worst window."""
         worst = -slack
-        for place, begin in enumerate(self.repeats):
-            repeats = bisect_left(self.repeats, begin + WINDOW) - place
-            requests = bisect_left(self.firsts, begin + WINDOW) - bisect_left(self.firsts, begin)
-            worst = max(worst, repeats - RATIO * requests - slack)
+        for place, begin in enumerate(self.retries):
+            retries = bisect_left(self.retries, begin + WINDOW) - place
+            requests = bisect_left(self.first_attempts, begin + WINDOW) - bisect_left(self.first_attempts, begin)
+            worst = max(worst, retries - RATIO * requests - slack)
         return worst
 
 
-def _over_after_shedding(records, chats):
-    """(repeats in all, by how much the worst window passes its bound) of twelve edges with a slack of 50."""
+def _excess_after_overload(records, chats):
+    """Returns (number of retries, excess over the limit in the worst window) of twelve edges with a slack of 50."""
     edges = Edges(12, 50.0, records).run(12, 0.0, chats, plains=1).run(15, 0.7, chats, plains=1)
-    return len(edges.repeats), edges.most_over(50.0)
+    return len(edges.retries), edges.max_excess(50.0)
 
 
-def test_resends_of_a_fleet_with_one_service_stay_within_the_budget():
-    """Given twelve edges and requests for one service only, whose servers shed seven of ten, the resends, summed over the edges, stay
-    within a fifth of the requests and the slack, in every ten seconds."""
+def test_retries_of_all_edges_for_one_service_stay_within_the_budget():
+    """While the servers of the only service refuse seven of ten requests, the retries of twelve edges together stay within
+    a fifth of the requests plus the slack, in any ten seconds.
+    """
     for records in (("r1",), ("r1", "r2", "r3")):
-        repeats, over = _over_after_shedding(records, chats=0)
-        assert repeats > 100 and over <= 0, records
+        retries, over = _excess_after_overload(records, chats=0)
+        assert retries > 100 and over <= 0, records
 
 
-def test_resends_at_a_service_are_paid_by_its_own_requests():
-    """Given the same fleet where three of four requests are for another service, which is well, the resends at the service that sheds stay
-    within a fifth of the requests for that service and the slack all the same."""
+def test_retries_at_a_service_are_paid_by_its_own_requests():
+    """With three of four requests for a healthy service, the retries at an overloaded one still stay within a fifth of its
+    own requests plus the slack: credit is earned and spent per service.
+    """
     for records in (("r1",), ("r1", "r2", "r3")):
-        repeats, over = _over_after_shedding(records, chats=3)
-        assert repeats > 100 and over <= 0, (records, over)
+        retries, over = _excess_after_overload(records, chats=3)
+        assert retries > 100 and over <= 0, (records, over)
 
 
-def test_what_any_number_of_edges_saves_up_stays_under_the_slack():
-    """Given a slack of 50 resends, what edges that know each other may have saved up for a service stays below it, also where there are
-    more edges than that; and some of them can still pay for a resend."""
+def test_balances_of_any_number_of_edges_sum_to_less_than_the_slack():
+    """The balances that all edges accumulate for a service stay below the slack of 50 retries, also with more edges than
+    that, and at least ten edges can still pay for a retry.
+    """
     for edges in (10, 60):
         addresses = {f"e{number}": f"10.0.2.{number}:7" for number in range(edges)}
-        saved = [_saved_by(name, addresses) for name in addresses]
+        saved = [_balance_among(name, addresses) for name in addresses]
         assert sum(saved) <= 50.0 and sum(balance >= 1 for balance in saved) >= 10, edges
 
 
-def _edge_among(name, addresses):
-    """(edge, now): one of these edges two seconds after it heard of the others."""
+def _edge_with_peers(name, addresses):
+    """Returns (edge, now): one of these edges, two seconds after it received the member list."""
     own = NodeSettings(
         node=name,
         address=addresses[name],
@@ -149,17 +152,18 @@
     return edge, now + SECOND * 2
 
 
-def _saved_by(name, addresses):
-    """What one of these edges has saved up after many requests for one service."""
-    edge, _ = _edge_among(name, addresses)
+def _balance_among(name, addresses):
+    """Returns the balance of one of these edges after many requests for one service."""
+    edge, _ = _edge_with_peers(name, addresses)
     for _ in range(400):
         edge.retry_budget.earn(service_key("records"))
     return edge.retry_budget.balance_of(service_key("records"))
 
 
-def test_both_sides_of_a_long_split_together_save_up_less_than_the_slack():
-    """Given twenty edges of which eight are cut off from the cores and from the others, after more than a minute the others part the
-    slack among themselves; those that no core vouches for have nothing saved up, and both sides together stay below the slack."""
+def test_balances_on_both_sides_of_a_long_partition_sum_to_less_than_the_slack():
+    """When eight of twenty edges are cut off from the cores, the other twelve divide the slack among themselves after a
+    minute. Edges without a connection to a core must then have no balance, or both sides together would exceed the slack.
+    """
     names = [f"e{number:02}" for number in range(20)]
     addresses = {name: f"10.0.2.{number}:7" for number, name in enumerate(names)}
     with_cores, cut_off = set(names[:12]), set(names[12:])
@@ -167,15 +171,15 @@
         saved = {}
         for side in (with_cores, cut_off):
             for name in side:
-                saved[name] = _saved_in_split(name, addresses, side, seconds, is_fresh=side is with_cores)
+                saved[name] = _balance_in_partition(name, addresses, side, seconds, is_fresh=side is with_cores)
         assert sum(saved.values()) <= 50.0, seconds
         assert sum(saved[name] for name in with_cores) >= 20.0
     assert {saved[name] for name in cut_off} == {0.0}
 
 
-def _saved_in_split(name, addresses, side, seconds, is_fresh):
-    """What an edge has saved up so long after the edges of the other side were gone for it."""
-    edge, now = _edge_among(name, addresses)
+def _balance_in_partition(name, addresses, side, seconds, is_fresh):
+    """Returns the balance of an edge so many seconds after it lost contact with the other side."""
+    edge, now = _edge_with_peers(name, addresses)
     gone_at = now + SECOND * 3
     for member in edge.membership.members.values():
         if member.node not in side:
@@ -198,9 +202,10 @@
     return edge.retry_budget.balance_of(service_key("records"))
 
 
-def test_a_request_goes_back_to_the_server_that_shed_it_only_after_its_rest():
-    """Given a server without another beside it that sheds a request and asks for 0.3 s, the request is not sent there again before that
-    time is over; then it is, once, and is served."""
+def test_request_returns_to_an_overloaded_server_only_after_its_retry_after():
+    """If the only server of a service refuses a request with a Retry-After of 0.3 s, the request is retried there once, after
+    that time and not before.
+    """
     scene = Scene(None, {"r1": server("records")}, credit=4.0)
     cid = scene.ask(PLAIN)
     scene.answer(cid, 503, b"", NOT_RUN, ("Retry-After", "0.3"), seal=False)
@@ -212,9 +217,10 @@
     assert scene.status(cid) == 200 and scene.settled()
 
 
-def test_a_rest_that_is_too_long_ends_the_request_at_once():
-    """Given a server without another beside it that sheds a request and asks for more time than the request may wait, the client hears at
-    once that it did not run, and when to come back."""
+def test_retry_after_beyond_the_deadline_ends_the_request_at_once():
+    """If the only server of a service refuses a request with a Retry-After beyond the deadline, the client learns at once
+    that the request did not run, and gets the Retry-After.
+    """
     scene = Scene(None, {"r1": server("records")}, credit=4.0)
     cid = scene.ask(PLAIN)
     scene.answer(cid, 503, b"", NOT_RUN, ("Retry-After", "2"), seal=False)
@@ -222,9 +228,10 @@
     assert len(scene.sends(cid)) == 1 and scene.settled()
 
 
-def test_what_an_edge_borrowed_and_did_not_use_is_taken_away_again():
-    """Given an edge that may save up nothing, as there are more edges than the slack has credits, it pays a resend with what is lent to it;
-    credit that it doesn't use within a second is gone, so that no edge saves up by borrowing."""
+def test_unused_borrowed_credit_expires():
+    """An edge whose own balance is capped at zero, as with more edges than credits, pays for a retry with borrowed credit.
+    Borrowed credit expires after a second, so that no edge accumulates a balance by borrowing.
+    """
     budget, now = RetryBudget(cap=0.0), START
     for _ in range(50):
         budget.earn("s:chat")
@@ -239,15 +246,17 @@
     assert not budget.spend("s:chat")
 
 
-def test_edges_with_a_credit_each_lend_to_those_without():
-    """Given a hundred edges and a slack for forty credits, an edge that may save up none and meets a fault is lent one, service by service."""
+def test_edges_with_one_credit_lend_it_to_edges_without():
+    """With a hundred edges and a slack of forty credits, an edge that may accumulate none borrows one when it needs a retry,
+    for that service only.
+    """
     budgets = {f"e{rank:02}": RetryBudget(cap=share_of_slack(50.0, rank, 100)) for rank in range(100)}
     broker, now = RetryBudgetBroker(START), START
     for budget in budgets.values():
         for _ in range(10):
             budget.earn("s:chat")
-    needy = budgets["e77"]
-    assert not needy.spend("s:chat") and not needy.spend("s:records")
+    borrower = budgets["e77"]
+    assert not borrower.spend("s:chat") and not borrower.spend("s:records")
     for name, budget in budgets.items():
         for effect in budget.take(BudgetTick(("core",)), now):
             if isinstance(effect, Send):
@@ -257,26 +266,28 @@
     donor, lend = loans[0].address, loans[0].message
     (transfer,) = budgets[donor].take(MessageReceived("core", "c", lend), now)
     assert transfer.address == "e77"
-    needy.take(MessageReceived(donor, "d", transfer.message), now)
-    assert needy.spend("s:chat") and not needy.spend("s:records")
+    borrower.take(MessageReceived(donor, "d", transfer.message), now)
+    assert borrower.spend("s:chat") and not borrower.spend("s:records")
 
 
-def test_credit_moves_and_is_never_made():
-    """Given an edge that wants credit and one with some to spare, it is lent once however often the messages come, and the sum stays."""
-    poor, rich, now = RetryBudget(), RetryBudget(), timedelta(seconds=1)
+def test_duplicate_loan_messages_create_no_credit():
+    """A loan and its transfer take effect once even if their messages arrive twice, and the sum of the balances stays the same."""
+    borrower, lender, now = RetryBudget(), RetryBudget(), timedelta(seconds=1)
     for _ in range(50):
-        rich.earn("s:chat")
-    poor.spend("s:chat")
+        lender.earn("s:chat")
+    borrower.spend("s:chat")
     broker = RetryBudgetBroker(now)
-    for name, budget in (("p", poor), ("r", rich)):
+    for name, budget in (("p", borrower), ("r", lender)):
         effects = budget.take(BudgetTick(("core",)), now)
         report = next(effect.message for effect in effects if isinstance(effect, Send))
         broker.take(MessageReceived(name, name + ":1", report), now)
     (loan,) = broker.take(BrokerTick(7), now)
     assert loan.address == "r:1"
-    (transfer,) = rich.take(MessageReceived("core", "c", loan.message), now)
-    poor.take(MessageReceived("r", "r:1", transfer.message), now)
-    poor.take(MessageReceived("r", "r:1", transfer.message), now)
-    rich.take(MessageReceived("core", "c", loan.message), now)
-    assert abs(poor.balance_of("s:chat") + rich.balance_of("s:chat") - DEFAULT_CAP) < 1e-9 and poor.spend("s:chat")
+    (transfer,) = lender.take(MessageReceived("core", "c", loan.message), now)
+    borrower.take(MessageReceived("r", "r:1", transfer.message), now)
+    borrower.take(MessageReceived("r", "r:1", transfer.message), now)
+    lender.take(MessageReceived("core", "c", loan.message), now)
+    assert abs(borrower.balance_of("s:chat") + lender.balance_of("s:chat") - DEFAULT_CAP) < 1e-9 and borrower.spend(
+        "s:chat"
+    )
     assert broker.take(BrokerTick(0), now * 9) == []
