--- a/tests/inference/test_requests.py
+++ b/tests/inference/test_requests.py
@@ -381,8 +381,8 @@
 
 
 def test_isolated_edge_answers_again_within_two_seconds_of_reconnection():
-    """An edge isolated for four seconds under lookups answers each lookup within a second again, from two seconds after the
-    network is restored on. Breakers that opened meanwhile must not delay it.
+    """An edge that was isolated for four seconds under lookups answers each lookup within a second again, starting two
+    seconds after the network is restored. Breakers that opened meanwhile must not delay it.
     """
     deployment = settled(48, "central-java", edges=3)
     callers = deployment.call_in(1.0, [group(deployment, "status")], edges=["edge-1"])
--- a/tests/retry_budget/test_retry_budget.py
+++ b/tests/retry_budget/test_retry_budget.py
@@ -247,7 +247,7 @@
 
 
 def test_edges_with_one_credit_lend_it_to_edges_without():
-    """With a hundred edges and a slack of forty credits, an edge that may accumulate none borrows one when it needs a retry,
+    """With a hundred edges that share forty credits, an edge that may accumulate none borrows one when it needs a retry,
     for that service only.
     """
     budgets = {f"e{rank:02}": RetryBudget(cap=share_of_slack(50.0, rank, 100)) for rank in range(100)}
