--- a/sumachook/inference/queues.py
+++ b/sumachook/inference/queues.py
@@ -21,7 +21,7 @@
     __slots__ = ("requests", "served")
 
     def __init__(self) -> None:
-        self.requests: dict[str, list[Any]] = {}  # by queue
+        self.requests: dict[str, list[Any]] = {}  # waiting requests by queue
         self.served: dict[str, float] = {}  # turns served, divided by the weight, by queue
 
     def push(self, queue: str, request: Any) -> None:
--- a/sumachook/inference/request_table.py
+++ b/sumachook/inference/request_table.py
@@ -56,7 +56,7 @@
         self.peers: tuple[str, ...] = (node,)  # names of the edges that were live within the last minute
         self.knows_edges = False  # False until the first member list is received
         self.knows_time = False  # False until the clocks of the members are received
-        # derived from the catalogue
+        # maps derived from the catalogue
         self.callers: dict[str, Any] = {}  # callers by API key
         self.targets: dict[str, tuple[Any, str]] = {}  # model and adapter by the name that callers use
         self.next_alert_at: dict[str, timedelta] = {}  # when a misconfiguration may be logged again, by failure reason
--- a/sumachook/inference/server_selection.py
+++ b/sumachook/inference/server_selection.py
@@ -14,7 +14,7 @@
 from sumachook.retry_budget.budget import inference_key
 
 MIN_RETRY_AFTER_S = 1.0  # smallest Retry-After sent while the breakers of all servers of a model are open
-RECORD_SERVER = "records"  # the kind of the servers that answer lookups
+RECORD_SERVER = "records"  # kind of the servers that answer lookups
 
 
 class ServerSelection:
@@ -188,7 +188,7 @@
             server_window.warming_since.pop(item, None)
             return True
         if not self.table.knows_edges:
-            return False  # this edge would count as the only one and use the whole limit
+            return False  # without the member list this edge would claim the whole slow-start limit
         rank, edges = self.table.rank(name)
         slots = self.table.state.servers[name]["slots"]
         return bool(in_use < server_window.slow_start_limit(item, slots, rank, edges, now))
--- a/sumachook/outliers/detector.py
+++ b/sumachook/outliers/detector.py
@@ -14,7 +14,7 @@
 MIN_FAILURES = 2.0  # decayed count; one or two failed attempts may happen at any server
 MIN_FAILURE_RATE = 0.2  # minimum share of failed attempts of an outlier
 MIN_RATE_RATIO = 3.0  # minimum ratio of the failure rate of an outlier to that of the other servers of its service
-FIRST_EJECTION = timedelta(seconds=2)  # for a server; each further ejection lasts twice as long
+FIRST_EJECTION = timedelta(seconds=2)  # first ejection of a server; each further one lasts twice as long
 MAX_EJECTION = timedelta(seconds=8)
 # The state of a server is dropped this long after its last outcome or the end of its ejection.
 STATE_RETENTION = timedelta(seconds=20)
--- a/sumachook/retry_budget/budget.py
+++ b/sumachook/retry_budget/budget.py
@@ -10,13 +10,13 @@
 
 DEFAULT_RATIO = 0.2  # credits earned per first attempt, which limits retries to a fifth of the requests
 DEFAULT_CAP = 2.0  # maximum balance per service where no slack is configured
-ROUNDING_TOLERANCE = 0.001  # tolerance: a sum of fractions may be this much below a whole credit
+ROUNDING_TOLERANCE = 0.001  # credits by which a sum of fractions may fall short of a whole credit
 REPORT_INTERVAL = timedelta(seconds=0.5)
 LOG_INTERVAL = timedelta(seconds=2)
 # Share of the slack that all balances may add up to; the rest covers edges that do not know each other yet.
 TOTAL_BALANCE_SHARE = 0.8
 LOAN_LIFETIME = timedelta(seconds=1)  # borrowed credit above the cap is for requests that wait now, so it expires
-RETENTION = timedelta(minutes=1)  # of loan ids after their use, and of buckets after their last request
+RETENTION = timedelta(minutes=1)  # loan ids and buckets are kept this long after their last use
 
 
 def service_key(service: str) -> str:
@@ -153,7 +153,7 @@
         raise TypeError(f"unhandled event in the retry budget: {event!r}")
 
     def _handle_message(self, message: LendCredit | CreditTransfer, now: timedelta) -> list[Effect]:
-        if message.loan_id in self._used_loans:  # duplicate message
+        if message.loan_id in self._used_loans:  # duplicate delivery of a loan or a transfer
             return []
         match message:
             case LendCredit():
