--- a/sumachook/consensus/__init__.py
+++ b/sumachook/consensus/__init__.py
@@ -1,21 +1,21 @@
 """View-synchronous replication of an ordered log among the voting members of a group.
 
-A *view* is a number with a leader and a set of members, a majority of the voting members. The leader numbers changes
-and sends them to the members; a change is committed once every member has it on its disk, so that each member of the
-last view knows all that was acknowledged. A member that is silent or slow is put out by installing the next view
+A *view* has a number, a leader and a set of members, which are a majority of the voting members. The leader numbers
+changes and replicates them to the members. A change is committed once every member has synced it to disk, so each
+member of the last view has every acknowledged change. A silent or slow member is removed by installing the next view
 without it.
 
-A new view begins with a candidate. It asks beforehand whether the others would vote for it (`PreVote`), so that a
-replica which was cut off disturbs nobody; then it collects promises to accept no lower view (`Prepare`, `Promise`), and
-the candidate with the best log installs the view at its members (`Install`, `Installed`). The leader then replicates
-entries (`Append`, `Appended`) and proves its lease with numbered rounds of heartbeats.
+A new view begins with a candidate. The candidate first sends a pre-vote request (`PreVote`), so that a replica which
+was partitioned does not interrupt a working view. It then collects promises to reject every lower view (`Prepare`,
+`Promise`), and the candidate with the best log installs the view at its members (`Install`, `Installed`). As leader it
+replicates entries (`Append`, `Appended`) and renews its lease with numbered heartbeat rounds.
 
-A *voter* is a voting member, in the view or not. A *learner* has no vote: it offers itself, fetches the log and may
-replace a voter that is lost or leaves; while it does, a quorum is a majority of the voters
-with the one and a majority with the other.
+A *voter* is a voting member, whether or not it belongs to the current view. A *learner* has no vote: it announces
+itself, fetches the log and may replace a voter that has failed or is leaving. During a replacement a quorum must
+contain a majority of the voters with the old voter and a majority with the new one.
 
-`Replica` is a state machine without clock, network or disk: `take` gets an event and the time, and gives the effects
-that the program around it carries out. `examples/embedding.py` is such a program.
+`Replica` is a state machine without clock, network or disk: `take` handles an event at a given time and returns the
+effects that the embedding program must carry out. `examples/embedding.py` is such a program.
 """
 
 from sumachook.consensus.options import Options
--- a/sumachook/consensus/candidate.py
+++ b/sumachook/consensus/candidate.py
@@ -1,4 +1,4 @@
-"""A replica that would lead."""
+"""The candidate role: pre-vote, collection of promises, and choice of the members of the next view."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -15,7 +15,10 @@
 
 
 class Candidate:
-    """Asks the other voters beforehand, collects their promises, and hands over to the installer or to a better one."""
+    """Runs an election: a pre-vote, then the collection of promises.
+
+    Ends by installing the view, or by sending `TakeOver` to a voter with a better log.
+    """
 
     __slots__ = (
         "state",
@@ -37,7 +40,7 @@
     def __init__(self, state: ReplicaState, slow_members: SlowMembers, installer: Installer, now: timedelta) -> None:
         self.state, self.slow_members, self.installer = state, slow_members, installer
         self.accepted: set[str] = set()
-        self.starts: dict[str, int] = {}  # the runs of those that accepted, but may be bound from before their start
+        self.starts: dict[str, int] = {}  # run numbers of voters that may be bound by a lease from before a restart
         self.token, self.is_unanimous = 0, False
         self.promises: dict[str, Promise] = {}
         self.suspected: set[str] = set()
@@ -45,10 +48,10 @@
         self.pre_votes_sent_at = self.started_at = self.sent_at = now
         self.majority_at: timedelta | None = None
 
-    # asking beforehand
+    # pre-vote
 
     def tick_idle(self, now: timedelta) -> list[Effect]:
-        """A replica asks before it disturbs; those who hear a leader stay silent."""
+        """Starts or repeats the pre-vote once no leader has been heard within `SILENCE`."""
         state = self.state
         if not state.hears_no_leader(now) or not state.is_voter:
             return []
@@ -68,7 +71,7 @@
         return state.send_to_voters(PreVote(state.candidacy, state.view, state.log.end, self.token))
 
     def on_pre_vote_granted(self, sender: str, message: PreVoteGranted, now: timedelta) -> list[Effect]:
-        """Goes on to collect promises once a quorum has accepted and no lease binds this replica."""
+        """Counts a pre-vote grant; starts the election once a quorum has granted and no lease binds this replica."""
         state = self.state
         if state.role is not Role.PRE_VOTING or message.view != state.candidacy or not state.hears_no_leader(now):
             return []
@@ -87,12 +90,12 @@
         return self.start(now, self.suspected)
 
     def _has_all(self, now: timedelta) -> bool:
-        """Whether every voter has accepted: none of them leads, so no lease from before a start stands."""
+        """Whether all voters have granted the pre-vote, so none leads and no lease from before a restart is valid."""
         guard = self.state.guard
         is_free = guard.permits(self.state.name, NO_VIEW, now, guard.run)
         return is_free and set(self.state.other_voters) <= self.accepted | set(self.starts)
 
-    # collecting promises
+    # collection of promises
 
     def start(
         self,
@@ -102,7 +105,7 @@
         released: ViewId = NO_VIEW,
         is_unanimous: bool = False,
     ) -> list[Effect]:
-        """Draws a higher view number and promises it to itself first."""
+        """Starts an election with a higher view number, and persists the candidate's own promise first."""
         state = self.state
         state.role, self.started_at, self.majority_at, self.promises = Role.PREPARING, now, None, {}
         state.candidacy = state.promised = state.next_view()
@@ -111,13 +114,13 @@
         return [state.store(records, CandidacySynced(state.candidacy))]
 
     def start_without(self, late: set[str], now: timedelta) -> list[Effect]:
-        """Begins anew: these members made no progress with the view that was being installed."""
+        """Restarts the election without these members, which made no progress in installing the last view."""
         for name in late:
             self.slow_members.add(name, now)
         return self.start(now, late)
 
     def on_candidacy_synced(self, event: CandidacySynced, now: timedelta) -> list[Effect]:
-        """The own promise is durable: asks the others for theirs."""
+        """Counts the candidate's own promise, now durable, and sends `Prepare` to the other voters."""
         state, log = self.state, self.state.log
         if event.view != state.candidacy or state.role is not Role.PREPARING:
             return []
@@ -127,7 +130,7 @@
         return self._send_prepares(now)
 
     def _send_prepares(self, now: timedelta) -> list[Effect]:
-        """To all that have not answered."""
+        """Sends `Prepare` to every voter that has not promised yet."""
         state, self.sent_at = self.state, now
         voters = tuple(state.voting_members.addresses)
         starts = self.starts if self.is_unanimous else {}
@@ -138,7 +141,7 @@
         ]
 
     def on_promise(self, sender: str, message: Promise, now: timedelta) -> list[Effect]:
-        """Notes the promise of another voter."""
+        """Records a voter's promise for the candidate's current view."""
         state = self.state
         if state.role is not Role.PREPARING or message.view != state.candidacy:
             return []
@@ -146,7 +149,7 @@
         return self._decide(now)
 
     def tick_preparing(self, now: timedelta) -> list[Effect]:
-        """Decides, asks again, or gives up."""
+        """Completes the election if possible, resends `Prepare`, or backs off after `PREPARE_TIMEOUT`."""
         out = self._decide(now)
         if out or self.state.role is not Role.PREPARING:
             return out
@@ -157,7 +160,7 @@
         return []
 
     def _decide(self, now: timedelta) -> list[Effect]:
-        """Goes on once all have promised who are not suspected, or the others have waited long enough for them."""
+        """Ends the promise phase once all unsuspected voters have promised, or `PROMISE_WAIT` after a quorum has."""
         state = self.state
         voting_members = state.voting_members
         if state.name not in self.promises or not voting_members.has_quorum(self.promises):
@@ -174,7 +177,7 @@
         return self._install(now)
 
     def _best(self) -> str:
-        """The voter with the highest installed view and the longest log in it; this replica where it is no worse."""
+        """Returns the voter with the highest installed view, then the longest log; ties go to this replica."""
         state = self.state
         voters = [name for name in self.promises if name in state.voting_members.addresses]
         return max(
@@ -184,17 +187,17 @@
     def _install(self, now: timedelta) -> list[Effect]:
         members = self._choose_members(now)
         state = self.state
-        is_founding = state.log.end == 1 and members != set(state.voting_members.addresses)  # founding needs all
+        is_founding = state.log.end == 1 and members != set(state.voting_members.addresses)  # the first view needs all
         if not state.voting_members.has_quorum(members) or is_founding:
             state.back_off(now)
             return []
         for name in state.voting_members.addresses:
             if name not in self.promises and state.hears(name, now):
-                self.slow_members.add(name, now)  # it beats but does not answer: its disk is slow
+                self.slow_members.add(name, now)  # it is reachable but has not promised, so its disk is slow
         return self.installer.start(tuple(sorted(members)), self.promises, now)
 
     def _choose_members(self, now: timedelta) -> set[str]:
-        """Those who promised; without the leaving, lagging and slow ones where a majority can be made without them."""
+        """Returns the voters that promised, without leaving, lagging and slow ones if the others form a quorum."""
         state = self.state
         members = {name for name in self.promises if name in state.voting_members.addresses}
         checks: tuple[Callable[[str], bool], ...] = (
@@ -209,7 +212,7 @@
         return members
 
     def _is_lagging(self, name: str) -> bool:
-        """Whether more than one chunk is missing there."""
+        """Whether this voter's log lacks entries of more than `CHUNK_BYTES` in total."""
         log, promise = self.state.log, self.promises[name]
         known = promise.end if log.digest_at(promise.end) == promise.digest else promise.delivered
         return known < log.base or log.bytes_after(known) > CHUNK_BYTES
--- a/sumachook/consensus/catch_up.py
+++ b/sumachook/consensus/catch_up.py
@@ -1,4 +1,4 @@
-"""Pulls what is missing of the leader's log, one part after the other."""
+"""Fetches the missing part of the leader's log, one message at a time."""
 
 import zlib
 from datetime import timedelta
@@ -15,7 +15,7 @@
 
 
 class _Transfer(msgspec.Struct):
-    """The parts so far of a snapshot or a large entry; it goes on after a cut, also from another leader."""
+    """The received part of a snapshot or a large entry; resumable after a lost connection or with a new leader."""
 
     number: int
     total: int
@@ -27,9 +27,9 @@
 
 
 class CatchUp:
-    """Keeps one `Fetch` outstanding, first for what follows on the whole own log, else on what was delivered.
+    """Keeps one `Fetch` outstanding, from the end of the local log or, on mismatch, from the last delivered entry.
 
-    `cursor` is the end of the part of the own log that is believed to agree with the leader's.
+    `cursor` is the end of the local log prefix that is assumed to match the leader's log.
     """
 
     __slots__ = ("state", "followed", "cursor", "asked_at", "transfer")
@@ -41,11 +41,11 @@
         self.transfer: _Transfer | None = None
 
     def begin(self) -> None:
-        """Another leader is followed."""
+        """Starts fetching from another leader, at the end of the local log."""
         self.cursor, self.asked_at = self.state.log.end, None
 
     def fetch(self, now: timedelta) -> list[Effect]:
-        """Asks for the next part, unless an answer is still awaited."""
+        """Sends the next `Fetch`, unless a response is outstanding for less than `FETCH_RETRY_INTERVAL`."""
         if self.asked_at is not None and now - self.asked_at < FETCH_RETRY_INTERVAL:
             return []
         self.asked_at = now
@@ -60,13 +60,13 @@
         return self.fetch(now) if self.followed.is_behind or self.cursor < self.followed.end else []
 
     def on_entries(self, message: Entries, now: timedelta) -> list[Effect]:
-        """Takes whole entries, or falls back to what is delivered where the logs differ."""
+        """Appends fetched entries, or falls back to the last delivered entry if the logs differ."""
         if message.view != self.followed.view or message.first != self.cursor + 1:
             return []
         log = self.state.log
         if not message.is_match or log.digest_at(self.cursor) != message.previous:
             if self.cursor == self.followed.matched:
-                return []  # the leader is about to lead another view
+                return []  # the leader is about to install another view
             self.cursor = self.followed.matched
             return self._fetch_next(now)
         out = self.followed.take(message.first, message.entries)
@@ -74,7 +74,7 @@
         return out + self._fetch_next(now)
 
     def on_entry_part(self, message: EntryPart, now: timedelta) -> list[Effect]:
-        """Takes a part of a large entry."""
+        """Adds a part of a large entry; appends the entry once it is complete."""
         if message.view != self.followed.view or message.number != self.cursor + 1:
             return []
         data = self._assemble(message)
@@ -85,11 +85,11 @@
         return out + self._fetch_next(now)
 
     def on_snapshot_part(self, message: SnapshotPart, now: timedelta) -> list[Effect]:
-        """Takes a part of a snapshot, unless the own log leads to it too."""
+        """Adds a part of a snapshot and installs it once complete, unless the local log already covers it."""
         state, followed = self.state, self.followed
         if message.view != followed.view or message.number <= followed.matched:
             return []
-        if state.log.digest_at(message.number) == message.digest:  # the own log leads there too
+        if state.log.digest_at(message.number) == message.digest:  # the local log already contains these entries
             self.cursor = message.number
             return followed.take(message.number + 1, ()) + self._fetch_next(now)
         data = self._assemble(message)
@@ -102,7 +102,7 @@
         return out + self._fetch_next(now)
 
     def _assemble(self, part: EntryPart | SnapshotPart) -> bytes | None:
-        """The whole, once its last part is there and its checksum holds."""
+        """Returns the complete data after the last part if its CRC-32 matches, else None."""
         if part.total > MAX_SNAPSHOT_BYTES:
             return None
         if self.transfer is None or not self.transfer.is_same(part):
--- a/sumachook/consensus/departure.py
+++ b/sumachook/consensus/departure.py
@@ -1,4 +1,4 @@
-"""The orderly leaving of a replica whose process ends."""
+"""Graceful shutdown of a replica: leadership handover and replacement before the process exits."""
 
 from datetime import timedelta
 
@@ -12,7 +12,7 @@
 
 
 class Departure:
-    """Hands over leading, asks to be replaced, and says when all that this replica holds is safe without it."""
+    """Hands over leadership, asks to be replaced, and emits `Departed` once no data depends on this replica."""
 
     __slots__ = ("state", "leader", "begun_at", "notify_at", "will_be_replaced", "is_over")
 
@@ -24,7 +24,7 @@
         self.is_over = False
 
     def begin(self, now: timedelta) -> list[Effect]:
-        """The process was asked to end."""
+        """Starts the shutdown; a replica without voting members departs at once."""
         if self.begun_at is not None:
             return []
         self.state.is_leaving = True
@@ -34,7 +34,7 @@
         return self.tick(now)
 
     def tick(self, now: timedelta) -> list[Effect]:
-        """Hands over leading, or repeats to the leader that this replica leaves."""
+        """Hands over leadership, or resends `ReplicaLeaving` to the leader every `LEAVING_INTERVAL`."""
         state, is_leaving = self.state, self.begun_at is not None and not self.is_over
         if state.role is Role.LEADING and (is_leaving or self._is_removed()):
             return self._hand_over(now)
@@ -49,12 +49,12 @@
         return [Send(address, ReplicaLeaving(state.name))]
 
     def _is_removed(self) -> bool:
-        """Whether a leader has ended a replacement of itself that another began."""
+        """Whether this replica is no voter any more, by a committed change; a leader may commit its own removal."""
         state = self.state
         return not state.is_voter and state.log.last_voting_members_change <= state.committed
 
     def _hand_over(self, now: timedelta) -> list[Effect]:
-        """Gives the lease up and asks the best member to lead, so that nobody waits for a silence."""
+        """Releases the lease and sends `TakeOver` to the best member, so that the election needs no timeout."""
         state, acked = self.state, self.leader.progress.acked
         heard = [name for name in state.members if name in state.other_voters and state.hears(name, now)]
         is_settled = self.leader.is_idle() and state.committed == state.log.end
@@ -66,16 +66,16 @@
             return []
         self.leader.lease.forget()
         state.back_off(now)
-        note = state.note("info", "Leading is handed over.", replica=best)
+        note = state.note("info", "Leadership handed over to another replica.", replica=best)
         return [note, Send(address, TakeOver(state.view, state.view, self.leader.learners.present(now)))]
 
     def on_leaving_noted(self, message: LeavingNoted) -> list[Effect]:
-        """The leader says whether a replacement is there."""
+        """Records whether the leader has a learner that can replace this replica."""
         self.will_be_replaced = message.has_replacement
         return []
 
     def on_heartbeat(self, message: Heartbeat, now: timedelta) -> list[Effect]:
-        """A leader under lease names the members, which hold the committed log."""
+        """Departs once a leader with a lease has committed all local entries in a view without this replica."""
         state = self.state
         if self.begun_at is None or self.is_over or not message.has_lease or message.view < state.followed:
             return []
@@ -97,7 +97,7 @@
 def note_leaving(
     state: ReplicaState, message: ReplicaLeaving, address: str, has_replacement: bool, now: timedelta
 ) -> list[Effect]:
-    """What a leader does with `ReplicaLeaving`."""
+    """Records at the leader that a voter is leaving, and replies with `LeavingNoted`."""
     if state.role is not Role.LEADING:
         return []
     state.leaving_at[message.replica] = now
--- a/sumachook/consensus/effects.py
+++ b/sumachook/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What a replica asks of the program around it, beside what every host does (`host.effects`)."""
+"""Effects that a replica returns to the embedding program, in addition to those of every host (`host.effects`)."""
 
 from enum import StrEnum
 from typing import Any
@@ -15,49 +15,49 @@
 
 
 class Restore(Effect, frozen=True):
-    """Put this snapshot in the place of the state."""
+    """Replace the state machine's state with this snapshot."""
 
     number: int
     state: Any
 
 
 class RefusalReason(StrEnum):
-    """Why a change was not ordered."""
+    """Why a replica rejected a proposed change."""
 
     NO_VIEW = "no working view"
     TOO_MANY = "too many changes waiting"
 
 
 class Refuse(Effect, frozen=True):
-    """The change was not ordered by this replica."""
+    """The replica rejected a proposed change, which it has not appended to its log."""
 
     change: Any
     reason: RefusalReason
 
 
 class ViewChanged(Effect, frozen=True):
-    """This replica belongs to another view now."""
+    """This replica has become a member or the leader of another view."""
 
     view: ViewId
     members: tuple[str, ...]
 
 
 class Compact(Effect, frozen=True):
-    """The log is long: give `LogCompacted` once the state has taken all that was delivered."""
+    """The log exceeds its limit: send `LogCompacted` once the state has applied every delivered entry."""
 
 
 class Readable(Effect, frozen=True):
-    """The state may answer this read."""
+    """The local state is recent enough to answer this read."""
 
     token: Any
 
 
 class Unreadable(Effect, frozen=True):
-    """The state may not answer this read; `address` is that of the leader, if known."""
+    """The local state must not answer this read; `address` is the leader's, if known."""
 
     token: Any
     address: str | None
 
 
 class Departed(Effect, frozen=True):
-    """The process may end: what this replica holds is safe without it."""
+    """The process may exit: all data of this replica is stored on the members of the current view."""
--- a/sumachook/consensus/events.py
+++ b/sumachook/consensus/events.py
@@ -1,4 +1,4 @@
-"""What a replica takes beside the messages of other nodes (`host.events.MessageReceived`)."""
+"""Events that a replica handles, in addition to messages of other nodes (`host.events.MessageReceived`)."""
 
 from typing import Any
 
@@ -7,48 +7,48 @@
 
 
 class Tick(Event, frozen=True):
-    """Time has passed; `cores` are the addresses at which other replicas may be found."""
+    """The periodic timer fired; `cores` are the addresses of nodes that may run a replica."""
 
     cores: tuple[str, ...]
 
 
 class ProposalMade(Event, frozen=True):
-    """The embedding program wants this change ordered."""
+    """The embedding program proposes a change to be appended to the log."""
 
     change: Any
 
 
 class LogCompacted(Event, frozen=True):
-    """The state has taken everything that was delivered, so a snapshot may be made of it."""
+    """The state has applied every delivered entry, so the replica may take a snapshot of it."""
 
 
 class ReadRequested(Event, frozen=True):
-    """The embedding program wants to answer a read from its state."""
+    """The embedding program asks whether it may answer a read from its local state."""
 
     token: Any
 
 
 class StepBackRequested(Event, frozen=True):
-    """The host's disk takes nothing just now; a leader lets another lead."""
+    """The host's disk cannot be written at present, so a leader must step down."""
 
 
 class LeaveRequested(Event, frozen=True):
-    """The process will end soon."""
+    """The process is shutting down, so the replica must hand over its duties."""
 
 
 class DiskSynced(Event, frozen=True):
-    """Base of what a replica names as `done` of its records: they are durable."""
+    """Base of the events that report records as durable; each is the `done` event of the write that it confirms."""
 
 
 class PromiseSynced(DiskSynced, frozen=True):
-    """The promise of `view` is durable and may be sent to `address`."""
+    """The promise for `view` is durable and may be sent to the candidate at `address`."""
 
     view: ViewId
     address: str
 
 
 class ViewSynced(DiskSynced, frozen=True):
-    """The view of another leader and its log up to `end` are durable."""
+    """A view installed by another leader, and its log up to entry `end`, are durable."""
 
     view: ViewId
     address: str
@@ -56,7 +56,7 @@
 
 
 class EntriesSynced(DiskSynced, frozen=True):
-    """Entries of the leader at `address` are durable up to `end`."""
+    """Entries received from the leader at `address` are durable up to number `end`."""
 
     view: ViewId
     address: str
@@ -64,19 +64,19 @@
 
 
 class CandidacySynced(DiskSynced, frozen=True):
-    """This replica's own promise is durable."""
+    """The promise that a candidate makes for its own view is durable."""
 
     view: ViewId
 
 
 class OwnViewSynced(DiskSynced, frozen=True):
-    """The view that this replica will lead is durable here."""
+    """The view that this replica is installing as its leader is durable on its own disk."""
 
     view: ViewId
 
 
 class OwnEntriesSynced(DiskSynced, frozen=True):
-    """The leader's own disk holds its log up to `end`."""
+    """The leader's log is durable on its own disk up to entry `end`."""
 
     view: ViewId
     end: int
--- a/sumachook/consensus/followed_log.py
+++ b/sumachook/consensus/followed_log.py
@@ -1,4 +1,4 @@
-"""How far a replica's log is known to agree with that of the leader it follows."""
+"""Tracks up to which entry a follower's log matches its leader's log and is durable."""
 
 from collections.abc import Sequence
 
@@ -11,10 +11,10 @@
 
 
 class FollowedLog:
-    """Takes entries of one leader after the other, and delivers what is committed, durable and agrees.
+    """Appends entries of the current leader, and delivers those that match, are committed and are durable.
 
-    `matched` is the end of the part that agrees, `stored` how much of it was handed to the disk under this leader, and
-    `state.synced` how much of that is durable.
+    `matched` is the end of the log prefix that matches the leader's, `stored` the end of the part of it submitted to
+    the disk under this leader, and `state.synced` the end of the part that is durable.
     """
 
     __slots__ = ("state", "view", "address", "matched", "stored", "committed", "end")
@@ -25,29 +25,29 @@
         self.matched = self.stored = self.committed = self.end = 0
 
     def begin(self, view: ViewId, address: str) -> bool:
-        """Follows the leader of this view from now on; whether it is another than before."""
+        """Starts following the leader of this view; returns whether the view differs from the previous one."""
         state, self.address = self.state, address
         if view == self.view:
             return False
         self.view, self.committed, self.end = view, 0, 0
         is_own_view = (
             view == state.view == state.followed
-        )  # installed before a start; all that the log holds is that view's
+        )  # this view was installed before a restart, so the whole local log belongs to it
         self.matched = state.log.end if is_own_view else state.delivered
         self.stored = state.synced = self.matched if is_own_view else 0
         return True
 
     def note(self, committed: int, end: int) -> None:
-        """What the leader says is committed, and where its log ends."""
+        """Records the commit number and the end of the log that the leader announced."""
         self.committed, self.end = max(self.committed, committed), max(self.end, end)
 
     @property
     def is_behind(self) -> bool:
-        """Whether the leader has entries that were not handed to the disk here."""
+        """Whether the leader has entries that were not submitted to the local disk."""
         return self.stored < self.end
 
     def take(self, first: int, entries: Sequence[bytes]) -> list[Effect]:
-        """Takes entries that follow on a part which agrees; cuts the own log at the first difference."""
+        """Appends entries that follow a matching prefix; truncates the local log at the first difference."""
         state, log = self.state, self.state.log
         new = log.merge(first, entries)
         matched = max(self.matched, first - 1 + len(entries))
@@ -60,11 +60,11 @@
         return [state.store((record,), EntriesSynced(self.view, self.address, matched))]
 
     def deliver(self) -> list[Effect]:
-        """Delivers what is committed and durable."""
+        """Delivers the entries that are both committed and durable."""
         return self.state.deliver(min(self.committed, self.state.synced))
 
     def on_entries_synced(self, event: EntriesSynced) -> list[Effect]:
-        """Entries are durable: delivers them and says so."""
+        """Delivers entries that have become durable, and acknowledges them to the leader."""
         state = self.state
         if event.view != self.view or event.view != state.followed:
             return []
--- a/sumachook/consensus/follower.py
+++ b/sumachook/consensus/follower.py
@@ -1,4 +1,4 @@
-"""A replica that follows a leader, as a member of its view or as a learner."""
+"""The follower role: a replica that follows a leader as a member of its view or as a learner."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -17,7 +17,7 @@
 
 
 class Follower:
-    """Installs views, takes the leader's entries, and acknowledges its rounds."""
+    """Installs views, appends the leader's entries, and acknowledges its heartbeats."""
 
     __slots__ = ("state", "followed", "catch_up", "joining", "synced_view")
 
@@ -33,10 +33,10 @@
         if self.followed.begin(view, address):
             self.catch_up.begin()
 
-    # installing a view
+    # installation of a view
 
     def on_install(self, sender: str, address: str, message: Install, now: timedelta) -> list[Effect]:
-        """Joins the view, at once where all of its log fits, else after fetching the rest."""
+        """Joins the view at once if the message carries all missing entries, else after fetching the others."""
         state, view = self.state, message.view
         if view < max(state.promised, state.followed) or state.name not in message.members:
             return []
@@ -44,7 +44,7 @@
             return [Send(address, Installed(view, message.end))] if self.synced_view == view else []
         self._follow(sender, address, view, now)
         if self.joining is not None and self.joining.view == view and state.role is Role.JOINING:
-            return self.catch_up.fetch(now)  # sent again
+            return self.catch_up.fetch(now)  # the leader has resent the message
         state.promised, state.role, self.joining = view, Role.JOINING, message
         self.followed.note(0, message.end)
         agrees = state.log.digest_at(message.first - 1) == message.previous
@@ -54,7 +54,7 @@
         return out + (self.finish_joining() or self.catch_up.fetch(now))
 
     def finish_joining(self) -> list[Effect]:
-        """Installs the view once everything up to its end has been fetched."""
+        """Installs the view being joined once the log has been fetched up to its end."""
         message = self.joining
         if message is None or self.state.role is not Role.JOINING or self.followed.view != message.view:
             return []
@@ -71,7 +71,7 @@
         return [state.store((record,), ViewSynced(message.view, self.followed.address, message.end))]
 
     def on_view_synced(self, event: ViewSynced, now: timedelta) -> list[Effect]:
-        """The view and its log are durable: this replica is a member."""
+        """Becomes a member of the view, which is now durable with its log, and acknowledges the installation."""
         state = self.state
         if not event.view == state.view == state.promised:
             return []
@@ -80,16 +80,16 @@
         return [Send(event.address, Installed(event.view, event.end)), ViewChanged(state.view, state.members)]
 
     def tick(self, now: timedelta) -> list[Effect]:
-        """Gives an installation up whose leader is silent."""
+        """Cancels joining a view if its leader has not been heard within `SILENCE`."""
         state = self.state
         if state.role is Role.JOINING and state.hears_no_leader(now):
             state.role = Role.IDLE
         return []
 
-    # entries
+    # new entries of the leader
 
     def on_append(self, address: str, message: Append, now: timedelta) -> list[Effect]:
-        """Takes new entries as a member, or as a learner that has caught up."""
+        """Appends new entries of the leader, as a member or as a learner that has caught up."""
         state, followed = self.state, self.followed
         if message.view != followed.view or not (state.is_member or self._is_learner()):
             return []
@@ -99,21 +99,21 @@
         followed.note(message.committed, message.end)
         out = followed.take(message.first, message.entries)
         if not out and state.promised <= message.view and state.synced == followed.matched:
-            out.append(Send(address, Appended(message.view, state.synced)))  # sent again
+            out.append(Send(address, Appended(message.view, state.synced)))  # the leader has resent the entries
         out += followed.deliver()
         self.catch_up.cursor = followed.matched
         is_partial = message.first - 1 + len(message.entries) < message.end
         return out + (self.catch_up.fetch(now) if is_partial and followed.is_behind else [])
 
     def _is_learner(self) -> bool:
-        """Whether it pulls the log of a view that it has not installed."""
+        """Whether this replica is a learner: it fetches the log of a view that it has not installed."""
         state = self.state
         return state.role is Role.IDLE and self.followed.view == state.followed != state.view
 
-    # heartbeats
+    # heartbeats of the leader
 
     def on_heartbeat(self, sender: str, address: str, message: Heartbeat, now: timedelta) -> list[Effect]:
-        """Follows the leader of no lower a view than before, and acknowledges its round."""
+        """Follows the leader unless its view is lower than a known one, and acknowledges the heartbeat round."""
         state, view = self.state, message.view
         known = max(state.followed, state.guard.view)
         is_own = state.role in CANDIDATE_ROLES and state.candidacy > view
@@ -135,7 +135,7 @@
         return out
 
     def _resume(self, message: Heartbeat) -> None:
-        """A member that doubted its leader, or was started anew, is one again: all that it acknowledged is synced."""
+        """Restores membership after an abandoned pre-vote or a restart; every entry it acknowledged is durable."""
         state, view = self.state, message.view
         if state.role is Role.PRE_VOTING or (state.role is Role.MEMBER and view > state.view):
             state.role = Role.IDLE
@@ -144,7 +144,7 @@
             state.role = Role.MEMBER
 
     def _take_proof(self, message: Heartbeat, now: timedelta) -> None:
-        """Binds this replica to the leader, and learns from an echoed own round how fresh it is."""
+        """Binds this replica to the leader's lease, and updates its freshness from the echo of its own round."""
         state = self.state
         if state.promised <= message.view:
             state.guard.acknowledge(message.view, now)
--- a/sumachook/consensus/founding.py
+++ b/sumachook/consensus/founding.py
@@ -1,4 +1,4 @@
-"""What a blank replica does."""
+"""Creation of a new group by blank replicas, which know of no voting members."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -16,14 +16,14 @@
 
 
 class _Blank(NamedTuple):
-    """Another blank replica, and when it was heard last."""
+    """Name of another blank replica, and when its last announcement arrived."""
 
     name: str
     at: timedelta
 
 
 class Founding:
-    """A blank replica announces itself to every core it knows of; three that were named as founders may found."""
+    """Announces a blank replica to every known core; three blank replicas configured as founders create a group."""
 
     __slots__ = ("state", "candidate", "blank", "announce_at")
 
@@ -32,12 +32,12 @@
         self.blank: dict[str, _Blank] = {}  # by address
 
     def on_announcement(self, message: Announcement, now: timedelta) -> None:
-        """Notes another blank replica."""
+        """Records the announcement of another blank replica."""
         if message.is_blank:
             self.blank[message.address] = _Blank(message.replica, now)
 
     def tick(self, cores: tuple[str, ...], now: timedelta) -> list[Effect]:
-        """Announces itself again, and founds when all founders are there."""
+        """Resends the announcement, and creates the group once all founders are present."""
         if now < self.announce_at:
             return []
         state, self.announce_at = self.state, now + ANNOUNCE_INTERVAL
@@ -47,7 +47,7 @@
         return out + self._found(now)
 
     def _found(self, now: timedelta) -> list[Effect]:
-        """The founder with the lowest name proposes the first view once all founders are there."""
+        """Starts the first election at the founder with the lowest name, once all three founders are present."""
         state = self.state
         present = {address: name for address, (name, at) in self.blank.items() if now - at < LEARNER_TIMEOUT}
         present[state.address] = state.name
--- a/sumachook/consensus/installer.py
+++ b/sumachook/consensus/installer.py
@@ -1,4 +1,4 @@
-"""A candidate that has its promises and installs the view."""
+"""Installation of a new view by a candidate that has collected its promises."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -14,10 +14,10 @@
 
 
 class Installer:
-    """Sends the view and what fits of its log to all members; leads once everybody has synced both.
+    """Sends the view and the start of its log to all members; becomes leader once all have synced both.
 
-    What does not fit the members fetch. A member that makes no progress is left out of the next attempt
-    (`Candidate.start_without`).
+    The members fetch entries that do not fit into one message. A member that makes no progress is left out of the next
+    attempt (`Candidate.start_without`).
     """
 
     __slots__ = ("state", "leader", "installed", "known", "progress_at", "sent_at")
@@ -30,7 +30,7 @@
         self.sent_at = now
 
     def start(self, members: tuple[str, ...], promises: Mapping[str, Promise], now: timedelta) -> list[Effect]:
-        """Installs the view at this replica and sends it to the other members."""
+        """Persists the view locally and sends `Install` to the other members."""
         state = self.state
         state.role = Role.INSTALLING
         state.members = members
@@ -46,7 +46,7 @@
         ]
 
     def _known_end(self, promise: Promise) -> int:
-        """Up to where the member's log is that of the view, as far as this replica can tell."""
+        """Returns the end of the prefix of the member's log that is known to match the log of the view."""
         log = self.state.log
         return promise.end if log.digest_at(promise.end) == promise.digest else promise.delivered
 
@@ -63,7 +63,7 @@
         return Install(state.view, state.members, start + 1, log.end, log.digest_at(start) or b"", entries)
 
     def on_installed(self, sender: str, message: Installed, now: timedelta) -> list[Effect]:
-        """A member has synced the view."""
+        """Counts a member that has synced the view and its log."""
         state = self.state
         if state.role is not Role.INSTALLING or message.view != state.candidacy or sender not in state.members:
             return []
@@ -71,7 +71,7 @@
         return self._done(sender, now)
 
     def on_own_view_synced(self, event: OwnViewSynced, now: timedelta) -> list[Effect]:
-        """This replica has synced the view."""
+        """Counts this replica, which has synced the view to its own disk."""
         if event.view != self.state.candidacy or self.state.role is not Role.INSTALLING:
             return []
         return self._done(self.state.name, now)
@@ -83,16 +83,16 @@
         return []
 
     def note_progress(self, name: str, now: timedelta) -> None:
-        """The member has fetched or acknowledged a part."""
+        """Records that a member has fetched or acknowledged a part of the log."""
         self.progress_at[name] = now
 
     def late_members(self, now: timedelta) -> set[str]:
-        """The members that have made no progress for too long."""
+        """Returns the members that have made no progress for `INSTALL_TIMEOUT`."""
         awaited = [name for name in self.state.members if name not in self.installed]
         return {name for name in awaited if now - self.progress_at[name] > INSTALL_TIMEOUT}
 
     def tick(self, now: timedelta) -> list[Effect]:
-        """Sends the view again, or gives up where this replica's own disk makes no progress."""
+        """Resends the view to members that lack it, or backs off if this replica's own disk makes no progress."""
         if self.state.name in self.late_members(now):
             self.state.back_off(now, pause=SILENCE * 2)
             return []
--- a/sumachook/consensus/leader.py
+++ b/sumachook/consensus/leader.py
@@ -1,4 +1,4 @@
-"""A replica that leads a view: numbers changes and commits what all members have synced."""
+"""The leader role: numbers changes, replicates them and commits those that all members have synced."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 
 class Leader:
-    """Orders proposals, replicates them, and proves its lease with numbered heartbeats."""
+    """Appends proposals to the log, replicates them, and renews the leader lease with numbered heartbeats."""
 
     __slots__ = (
         "state",
@@ -47,10 +47,10 @@
         self.first_end = 0
         self.is_announced = False
 
-    # beginning and end
+    # start and end of leadership
 
     def prepare_to_lead(self, now: timedelta) -> None:
-        """The view is being installed: from now on rounds are sent in its name."""
+        """Resets the leader's state while its view is being installed, so that heartbeat rounds can start."""
         state = self.state
         self.lease.forget()
         self.progress.reset()
@@ -58,11 +58,11 @@
         if state.leader != state.name:
             self.led_since = now
         state.leader, state.leader_address, state.leader_heard_at = state.name, state.address, now
-        for name in state.voting_members.addresses:  # the others have been away since they were heard last
+        for name in state.voting_members.addresses:  # non-members count as absent since last heard
             state.heard_at[name] = now if name in state.members else state.heard_at.get(name, now)
 
     def lead(self, now: timedelta) -> list[Effect]:
-        """All members have synced the view."""
+        """Starts leading the view, which all members have synced."""
         state = self.state
         state.role, state.synced, self.first_end = Role.LEADING, state.log.end, state.log.end
         for name in state.members:
@@ -70,7 +70,7 @@
             state.heard_at[name] = now
         if state.log.end == 1:
             self.waiting.append(pack_entry(("founded",)))
-        note = state.note("info", f"View {state.view.number} leads.", members=list(state.members))
+        note = state.note("info", f"Replica leads view {state.view.number}.", members=list(state.members))
         return [
             note,
             ViewChanged(state.view, state.members),
@@ -80,22 +80,22 @@
         ]
 
     def step_back(self, reason: str, now: timedelta) -> list[Effect]:
-        """Stops leading and says so, that another need not wait for its silence."""
+        """Steps down and sends `Yield` to the other voters, so that they need not wait for a heartbeat timeout."""
         state = self.state
         self.lease.forget()
         state.back_off(now, pause=SILENCE * 2)
         return [state.note("warning", reason), *state.send_to_voters(Yield(state.view))]
 
     def has_lease(self, now: timedelta) -> bool:
-        """Whether no other view can have acknowledged anything that is not delivered here."""
+        """Whether the leader holds its lease, so that no other view can have acknowledged a change unknown to it."""
         state = self.state
         is_leading = state.role is Role.LEADING and state.committed >= self.first_end
         return is_leading and self.lease.is_held(state.name, state.voting_members, now)
 
-    # order
+    # replication and commit of entries
 
     def propose(self, change: Any, now: timedelta) -> list[Effect]:
-        """Orders a change."""
+        """Queues a change for the log, or rejects it if this replica does not lead or the queue is full."""
         if self.state.role is not Role.LEADING:
             return [Refuse(change, RefusalReason.NO_VIEW)]
         if len(self.waiting) >= MAX_WAITING:
@@ -104,7 +104,7 @@
         return self._flush(now)
 
     def _flush(self, now: timedelta) -> list[Effect]:
-        """One sync at a time, with all that came meanwhile."""
+        """Appends all queued changes as one batch, unless a disk sync of the previous batch is outstanding."""
         if self.is_syncing or not self.waiting:
             return []
         state, batch, self.waiting = self.state, tuple(self.waiting), []
@@ -116,7 +116,7 @@
         return [store, *self._send_entries(first, self._followers(now), now)]
 
     def _followers(self, now: timedelta) -> dict[str, str]:
-        """The members, and the learners that have caught up."""
+        """Returns the addresses of the members and of learners that have caught up."""
         state = self.state
         voters = state.other_voters
         members = {name: address for name, address in voters.items() if name in state.members}
@@ -125,7 +125,7 @@
         return {**members, **ready}
 
     def _send_entries(self, first: int, targets: dict[str, str], now: timedelta) -> list[Effect]:
-        """What fits into one message; the rest is fetched."""
+        """Sends entries from `first` on, as many as fit into one message; the receivers fetch the others."""
         state, log, self.sent_at = self.state, self.state.log, now
         previous = log.digest_at(first - 1) or b""
         entries = log.since(first, CHUNK_BYTES)
@@ -133,7 +133,7 @@
         return [Send(address, message) for address in targets.values()]
 
     def on_own_entries_synced(self, event: OwnEntriesSynced, now: timedelta) -> list[Effect]:
-        """The own disk holds the entries of one sync."""
+        """Acknowledges a batch that is durable on the leader's disk; commits it if possible and starts the next."""
         state = self.state
         if event.view != state.view or state.role is not Role.LEADING:
             return []
@@ -142,7 +142,7 @@
         return self._commit(now) + self._flush(now)
 
     def on_appended(self, sender: str, message: Appended, now: timedelta) -> list[Effect]:
-        """Another replica has synced entries."""
+        """Records that another replica has synced entries, and commits them if possible."""
         state = self.state
         if message.view != state.view or state.role is not Role.LEADING:
             return []
@@ -151,7 +151,7 @@
         return self._commit(now) if is_new else []
 
     def _commit(self, now: timedelta) -> list[Effect]:
-        """Commits what every member has synced and what is with a quorum of the voting members that stands there."""
+        """Commits entries synced by every member of the view and by a quorum of the voting members as of that entry."""
         state, log = self.state, self.state.log
         reached = min(self.progress.acked.get(name, 0) for name in state.members)
         if reached <= state.committed:
@@ -167,10 +167,10 @@
         holders = {name for name, end in self.progress.acked.items() if end >= number}
         return self.state.log.voting_members_at(number).has_quorum(holders)
 
-    # heartbeats
+    # heartbeats and the leader lease
 
     def heartbeat(self, now: timedelta) -> list[Effect]:
-        """A new round to all voters and to the learners that are known."""
+        """Sends a new heartbeat round to the other voters and to recently heard learners."""
         state, self.heartbeat_at = self.state, now + HEARTBEAT_INTERVAL
         number, has_lease = self.lease.begin_round(now), self.has_lease(now)
         names = {address: name for name, address in state.other_voters.items()}
@@ -192,7 +192,7 @@
         ]
 
     def on_heartbeat_ack(self, sender: str, address: str, message: HeartbeatAck, now: timedelta) -> list[Effect]:
-        """Counts the acknowledgement as of when its round was sent."""
+        """Counts a heartbeat acknowledgement for the lease, as of the time at which its round was sent."""
         state = self.state
         state.highest_number = max(state.highest_number, message.promised.number)
         if message.view != state.view or state.role not in (Role.LEADING, Role.INSTALLING):
@@ -204,7 +204,7 @@
         if message.promised <= state.view:
             self.lease.prove(sender, message.round)
         elif sender in state.members:
-            state.back_off(now)  # this view was stopped while this replica was away
+            state.back_off(now)  # a member promised a higher view while this replica was away: this view ended
             return []
         if state.role is not Role.LEADING:
             return []
@@ -213,14 +213,14 @@
         return out + self._announce_lease(now)
 
     def _announce_lease(self, now: timedelta) -> list[Effect]:
-        """The first round under a new view's lease goes out at once: members vouch for nothing before it."""
+        """Sends the first heartbeat under a new lease at once, because members' states are not fresh before it."""
         if self.is_announced or not self.has_lease(now):
             return []
         self.is_announced = True
         return self.heartbeat(now)
 
     def resend(self, now: timedelta) -> list[Effect]:
-        """To members that owe entries and do not fetch them."""
+        """Resends entries that members have not acknowledged, at most every `RESEND_INTERVAL`."""
         state, acked = self.state, self.progress.acked
         late = {name for name in state.members if name != state.name and acked.get(name, 0) < state.log.end}
         targets = {name: address for name, address in state.other_voters.items() if name in late}
@@ -230,17 +230,17 @@
         return self._send_entries(max(first, state.log.base + 1), targets, now)
 
     def tick(self, now: timedelta) -> list[Effect]:
-        """The next round where it is due, and what has to be sent again."""
+        """Sends the next heartbeat round if it is due, and resends unacknowledged entries."""
         return (self.heartbeat(now) if now >= self.heartbeat_at else []) + self.resend(now)
 
     def is_disk_stalled(self, now: timedelta) -> bool:
-        """Whether the own disk has owed a sync for too long."""
+        """Whether a sync of the leader's own disk has been outstanding for more than `SILENCE`."""
         return self.is_syncing and now - self.sync_at > SILENCE
 
     def is_idle(self) -> bool:
-        """Whether no change is on its way."""
+        """Whether no change is queued or waiting for the leader's disk."""
         return not self.is_syncing and not self.waiting
 
     def hears(self, names: Iterable[str], now: timedelta) -> set[str]:
-        """Those of these replicas that were heard lately, and this one."""
+        """Returns those of the named replicas that were heard within `SILENCE`; this replica always counts."""
         return {name for name in names if name == self.state.name or self.state.hears(name, now)}
--- a/sumachook/consensus/learners.py
+++ b/sumachook/consensus/learners.py
@@ -1,4 +1,4 @@
-"""Replicas without a vote that offer themselves as voters."""
+"""Replicas without a vote (learners), and their announcements to the voters."""
 
 from datetime import timedelta
 
@@ -12,7 +12,7 @@
 
 
 class Learner(msgspec.Struct, frozen=True):
-    """A replica without a vote: where it is, and when it was heard first and last."""
+    """A replica without a vote: its address, and when it was first and last heard."""
 
     address: str
     first_at: timedelta
@@ -20,7 +20,7 @@
 
 
 class Learners:
-    """Notes who asks for a vote, and asks for one where this replica has none or may have lost it."""
+    """Tracks learners that announce themselves; announces this replica if it is no voter or may have been removed."""
 
     __slots__ = ("state", "known", "announce_at")
 
@@ -29,7 +29,7 @@
         self.known: dict[str, Learner] = {}
 
     def on_announcement(self, sender: str, message: Announcement, now: timedelta) -> list[Effect]:
-        """A member passes it on to its leader, which the learner need not know."""
+        """Records a learner's announcement; a member also forwards it to the leader, which the learner may not know."""
         state = self.state
         if state.is_blank or message.replica in state.voting_members.addresses:
             return []
@@ -38,7 +38,7 @@
         return [Send(state.leader_address, message)] if is_relay and state.leader_address else []
 
     def note(self, name: str, address: str, now: timedelta) -> None:
-        """Whoever has no vote and was heard; another identity at the same address replaces the one before."""
+        """Records that a learner was heard; another identity at the same address replaces the previous one."""
         first_at = self.known[name].first_at if name in self.known else now
         self.known = {
             other: item
@@ -49,13 +49,13 @@
             self.known[name] = Learner(address, first_at, now)
 
     def note_all(self, addresses: dict[str, str], now: timedelta) -> None:
-        """What the leader before knew."""
+        """Records the learners that the previous leader reported in `TakeOver`, as heard now."""
         for name, address in addresses.items():
             if name != self.state.name:
                 self.note(name, address, now)
 
     def present(self, now: timedelta) -> dict[str, str]:
-        """All that were heard lately, first come first: name -> address."""
+        """Returns the addresses of learners heard within `LEARNER_TIMEOUT`, by name; the longest known come first."""
         voters = self.state.voting_members.addresses
         recent = [
             (item.first_at, name)
@@ -65,7 +65,7 @@
         return {name: self.known[name].address for _, name in sorted(recent)}
 
     def steady(self, now: timedelta) -> dict[str, str]:
-        """Those of them that have been heard for a while."""
+        """Returns the present learners that have been heard over at least `MIN_PRESENCE`."""
         present = self.present(now)
         return {name: address for name, address in present.items() if self._is_steady(self.known[name])}
 
@@ -74,7 +74,7 @@
         return item.last_at - item.first_at >= MIN_PRESENCE
 
     def superseded(self, now: timedelta) -> set[str]:
-        """The voters at whose address another identity speaks by now, so that their disk is gone."""
+        """Returns the voters whose address is used by a learner with another identity, so their disk is lost."""
         taken = set(self.steady(now).values())
         voting_members = self.state.voting_members
         others = {
@@ -85,7 +85,7 @@
         return {name for name, address in others.items() if address in taken}
 
     def tick(self, cores: tuple[str, ...], now: timedelta) -> list[Effect]:
-        """Offers itself to all the cores it knows of while no leader is heard that would know it."""
+        """Announces this replica to all known cores while it is no voter, or possibly removed, and hears no leader."""
         state = self.state
         if now < self.announce_at or state.is_leaving or state.role is Role.LEADING:
             return []
--- a/sumachook/consensus/lease.py
+++ b/sumachook/consensus/lease.py
@@ -1,4 +1,4 @@
-"""Leases that count from when a round was sent, never from when its answer arrived."""
+"""Leases that count from the time a heartbeat round was sent, never from the time its acknowledgement arrived."""
 
 from datetime import timedelta
 
@@ -10,7 +10,7 @@
 
 
 class _Rounds:
-    """Numbered rounds and when they were sent, by the sender's own steady clock."""
+    """Numbers of heartbeat rounds and when each was sent, by the sender's own monotonic clock."""
 
     __slots__ = ("last", "sent_at")
 
@@ -27,7 +27,7 @@
 
 
 class LeaderLease:
-    """What a leader has proved: a majority had promised nothing to others when it sent a recent round."""
+    """A leader's lease: valid while a quorum has acknowledged a recent round and promised no higher view."""
 
     __slots__ = ("rounds", "proved_at")
 
@@ -36,22 +36,22 @@
         self.proved_at: dict[str, timedelta] = {}
 
     def begin_round(self, now: timedelta) -> int:
-        """The number of a round that is sent now."""
+        """Starts a round that is sent at `now` and returns its number."""
         return self.rounds.begin(now)
 
     def prove(self, replica: str, number: int) -> None:
-        """The replica has acknowledged this round."""
+        """Records that a replica has acknowledged this round; a round that is no longer remembered does not count."""
         sent_at = self.rounds.sent_at.get(number)
         if sent_at is not None:
             self.proved_at[replica] = max(sent_at, self.proved_at.get(replica, sent_at))
 
     def is_held(self, leader: str, voting_members: VotingMembers, now: timedelta) -> bool:
-        """Whether a quorum is proved as of a moment ago."""
+        """Whether a quorum, with the leader, has acknowledged rounds sent less than `LEASE` ago."""
         proved = {replica for replica, sent_at in self.proved_at.items() if now - sent_at < LEASE}
         return voting_members.has_quorum({leader, *proved})
 
     def forget(self) -> None:
-        """Nothing that was proved or sent before counts any longer."""
+        """Discards all acknowledgements and rounds, which ends the lease."""
         self.rounds.sent_at.clear()
         self.proved_at.clear()
 
@@ -59,8 +59,8 @@
 class LeaseGuard:
     """Keeps a replica that has acknowledged a leader's round from promising a view to another candidate.
 
-    A replica that was just started may have acknowledged somebody before; only the leader under whose lease it has
-    been seen since passes the guard then.
+    A replica that has just restarted may have acknowledged an unknown leader before; until the guard expires it
+    promises only to a leader that has since shown a lease.
     """
 
     __slots__ = ("until", "view", "run")
@@ -68,32 +68,32 @@
     def __init__(self) -> None:
         self.until: timedelta | None = None
         self.view = NO_VIEW
-        self.run = 0  # the number of this run while nothing was acknowledged since its start, else 0
+        self.run = 0  # number of this process run until its first acknowledgement, then 0
 
     def start(self, now: timedelta, run: int) -> None:
-        """After a start with a disk that is not blank; `run` is a number of this run alone, not 0."""
+        """Binds the replica after a restart with a non-blank disk; `run` is a non-zero number of this process run."""
         self.until, self.view, self.run = now + LEASE_GUARD, NO_VIEW, run
 
     def acknowledge(self, view: ViewId, now: timedelta) -> None:
-        """A round of this view's leader is being acknowledged."""
+        """Binds the replica to the leader of `view` for `LEASE_GUARD`, because it acknowledges a heartbeat round."""
         if not self._is_unknown(now):
             self.view = view
         self.run = 0
         self.until = now + LEASE_GUARD if self.until is None else max(self.until, now + LEASE_GUARD)
 
     def recognize(self, view: ViewId) -> None:
-        """The leader of this view has held a lease since this replica was started."""
+        """Binds the replica to the leader of `view`, which has held a lease since this replica was started."""
         self.view = max(self.view, view)
 
     def release(self, view: ViewId) -> None:
-        """The leader of this view has given up its lease."""
+        """Unbinds the replica from the leader of `view`, which has released its lease."""
         if view == self.view and view != NO_VIEW:
             self.until = None
 
     def permits(self, candidate: str, released: ViewId, now: timedelta, run: int = 0) -> bool:
-        """Whether a view may be promised to this candidate, which names a lease as given up.
+        """Whether the replica may promise a view to this candidate; `released` is a view whose lease has been released.
 
-        `run` is not 0 where all voters, this one in that run, have said that none leads.
+        `run` is not 0 if every voter, this one in that process run, has granted the pre-vote, so that none leads.
         """
         if self.until is None or now >= self.until or (run and run == self.run):
             return True
@@ -104,9 +104,9 @@
 
 
 class Freshness:
-    """As of when a member's state is known to be complete.
+    """Tracks the time up to which a member's state is known to contain every acknowledged change.
 
-    The numbers of a process begin anywhere, so that no echo of a round of the process before it counts.
+    Round numbers start at a random value in each process, so that the echo of a previous process's round is ignored.
     """
 
     __slots__ = ("rounds", "complete_as_of")
@@ -116,24 +116,27 @@
         self.complete_as_of: timedelta | None = None
 
     def begin_round(self, now: timedelta) -> int:
-        """The number of a round that is sent now."""
+        """Starts a round that is sent at `now` and returns its number."""
         return self.rounds.begin(now)
 
     def was_sent(self, echo: int) -> bool:
-        """Whether an echo is of a recent round of this process."""
+        """Whether the echoed number is that of a recent round of this process."""
         return echo in self.rounds.sent_at
 
     def confirm(self, echo: int) -> None:
-        """A leader under lease has seen this own round, and all that it knew committed is delivered here."""
+        """Marks the state complete as of the echoed own round.
+
+        The echo must come from a leader with a lease, and all that it had committed must be delivered here.
+        """
         sent_at = self.rounds.sent_at.get(echo)
         if sent_at is not None:
             self.complete_as_of = sent_at if self.complete_as_of is None else max(self.complete_as_of, sent_at)
 
     def is_fresh(self, now: timedelta) -> bool:
-        """Whether the state was complete a moment ago."""
+        """Whether the state was complete less than `FRESH_FOR` ago."""
         return self.complete_as_of is not None and now - self.complete_as_of < FRESH_FOR
 
     def forget(self) -> None:
-        """Nothing that was proved or sent before counts any longer."""
+        """Discards all acknowledgements and rounds, which ends the lease."""
         self.rounds.sent_at.clear()
         self.complete_as_of = None
--- a/sumachook/consensus/log.py
+++ b/sumachook/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of one replica: a snapshot and the entries after it."""
+"""The replicated log as stored by one replica: a snapshot and the entries after it."""
 
 import zlib
 from collections.abc import Sequence
@@ -15,9 +15,9 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The state after entry `number` as JSON, with the voting members and the log's digest there.
+    """The state after entry `number` as JSON, with the voting members and the log digest at that entry.
 
-    The state is kept encoded because the program goes on changing its own copy.
+    The state is stored encoded because the embedding program continues to modify its own copy.
     """
 
     number: int
@@ -30,14 +30,14 @@
 
 
 class VotingMembersChange(NamedTuple):
-    """The voting members from the entry of this number on."""
+    """The voting members that apply from entry `number` on."""
 
     number: int
     voting_members: VotingMembers
 
 
 class _SnapshotDocument(msgspec.Struct, frozen=True):
-    """A snapshot as it is sent: the state stands in it unquoted."""
+    """The JSON document of a snapshot on the wire, in which the state is embedded without being quoted again."""
 
     number: int
     state: msgspec.Raw
@@ -46,7 +46,7 @@
 
 
 class EncodedSnapshot(msgspec.Struct, frozen=True):
-    """A snapshot as bytes that can be sent in parts."""
+    """A snapshot encoded as bytes, with a CRC-32 checksum, for transfer in parts."""
 
     number: int
     data: bytes
@@ -54,20 +54,20 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> EncodedSnapshot:
-    """A snapshot as one document."""
+    """Encodes a snapshot as one JSON document and computes its checksum."""
     document = _SnapshotDocument(snapshot.number, msgspec.Raw(snapshot.state), snapshot.voting_members, snapshot.digest)
     data = msgspec.json.encode(document)
     return EncodedSnapshot(snapshot.number, data, zlib.crc32(data))
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """The snapshot of a document that `encode_snapshot` made."""
+    """Decodes a snapshot from the bytes that `encode_snapshot` produced."""
     document = msgspec.json.decode(data, type=_SnapshotDocument)
     return Snapshot(document.number, bytes(document.state), document.voting_members, document.digest)
 
 
 def state_of(snapshot: Snapshot) -> Any:
-    """The program's state as it was given, lists as tuples."""
+    """Decodes the embedding program's state from a snapshot; JSON arrays become tuples."""
     return as_tuples(msgspec.json.decode(snapshot.state))
 
 
@@ -76,8 +76,7 @@
 
 
 class Log:
-    """Entries numbered from `base + 1`, each with the digest of everything up to it, and the voting members after
-    each change of them.
+    """Entries numbered from `base + 1`, each with a digest of the log up to it, and the history of voting members.
 
     >>> from sumachook.transport.codec import pack_entry
     >>> log = Log()
@@ -102,39 +101,39 @@
 
     @property
     def base(self) -> int:
-        """The number of the last entry that the snapshot covers."""
+        """The number of the last entry covered by the snapshot."""
         return self.snapshot.number
 
     @property
     def end(self) -> int:
-        """The number of the last entry."""
+        """The number of the last entry in the log."""
         return self.base + len(self.entries)
 
     @property
     def voting_members(self) -> VotingMembers:
-        """The voting members after the last entry."""
+        """The voting members as of the last entry, committed or not."""
         return self.voting_members_history[-1].voting_members
 
     def voting_members_at(self, number: int) -> VotingMembers:
-        """The voting members after the entry of this number."""
+        """Returns the voting members as of entry `number`."""
         history = reversed(self.voting_members_history)
         return next(change.voting_members for change in history if change.number <= number)
 
     @property
     def last_voting_members_change(self) -> int:
-        """The number of the last change of the voting members, or that of the snapshot."""
+        """The number of the last entry that changed the voting members, or the number of the snapshot."""
         return self.voting_members_history[-1].number
 
     def entry(self, number: int) -> bytes:
-        """The entry of this number, which must be after the snapshot."""
+        """Returns entry `number`, which must come after the snapshot."""
         return self.entries[number - self.base - 1]
 
     def digest_at(self, number: int) -> bytes | None:
-        """The digest of the log up to `number`, or None if the log does not tell it."""
+        """Returns the digest of the log up to entry `number`, or None if it is before the snapshot or after the end."""
         return self.digests[number - self.base] if self.base <= number <= self.end else None
 
     def extend(self, entries: Sequence[bytes]) -> None:
-        """Appends entries."""
+        """Appends entries with their digests, and records each change of the voting members."""
         for entry in entries:
             self.entries.append(entry)
             self.digests.append(_chained(self.digests[-1], entry))
@@ -144,9 +143,9 @@
                 self.voting_members_history.append(VotingMembersChange(self.end, after))
 
     def merge(self, first: int, entries: Sequence[bytes]) -> int | None:
-        """Takes entries that are right from `first` on: keeps what agrees and cuts at the first difference.
+        """Merges the leader's entries from `first` on: keeps equal entries, replaces the log from the first difference.
 
-        Gives the number of the first entry that is new here, or None. `first` is at most one beyond the end.
+        Returns the number of the first new entry, or None. `first` is at most one beyond the end of the log.
         """
         for number, entry in enumerate(entries, first):
             if number <= self.base or (number <= self.end and self.entry(number) == entry):
@@ -157,7 +156,7 @@
         return None
 
     def cut(self, last: int) -> None:
-        """Drops what comes after `last`."""
+        """Removes all entries after `last`."""
         kept = max(0, last - self.base)
         self.size -= sum(map(len, self.entries[kept:]))
         del self.entries[kept:]
@@ -166,7 +165,7 @@
             self.voting_members_history.pop()
 
     def since(self, first: int, max_bytes: int) -> tuple[bytes, ...]:
-        """The entries from `first` on that fit into so many bytes together."""
+        """Returns consecutive entries from `first` on, with a total size of at most `max_bytes`."""
         chosen: list[bytes] = []
         size = 0
         for entry in self.entries[max(0, first - self.base - 1) :]:
@@ -177,11 +176,11 @@
         return tuple(chosen)
 
     def bytes_after(self, number: int) -> int:
-        """The size of all entries after this number."""
+        """Returns the total size in bytes of all entries after `number`."""
         return sum(map(len, self.entries[max(0, number - self.base) :]))
 
     def compact(self, last: int, state: Any) -> None:
-        """Puts a snapshot in the place of everything up to `last`."""
+        """Replaces all entries up to `last` by a snapshot of `state`."""
         digest = self.digests[last - self.base]
         kept = last - self.base
         self.snapshot = Snapshot(last, msgspec.json.encode(state), self.voting_members_at(last), digest)
@@ -193,7 +192,7 @@
         self.voting_members_history = [VotingMembersChange(last, self.snapshot.voting_members), *later]
 
     def encoded_snapshot(self) -> EncodedSnapshot:
-        """The snapshot as bytes, encoded once."""
+        """Returns the encoded snapshot, which is cached until the next compaction."""
         if self._encoded is None:
             self._encoded = encode_snapshot(self.snapshot)
         return self._encoded
--- a/sumachook/consensus/log_server.py
+++ b/sumachook/consensus/log_server.py
@@ -1,4 +1,4 @@
-"""Gives the leader's log and snapshot to those who lag, one part at a time."""
+"""Serves the leader's log and snapshot to lagging replicas, one part at a time."""
 
 import zlib
 from datetime import timedelta
@@ -13,7 +13,7 @@
 
 
 class LogServer:
-    """Answers `Fetch`: whatever a replica asks for, it gets no more than one message between two ticks."""
+    """Answers `Fetch` requests; each replica gets at most one message with data between two ticks."""
 
     __slots__ = ("state", "installer", "progress", "served", "queued")
 
@@ -23,7 +23,7 @@
         self.queued: dict[str, tuple[str, Fetch]] = {}
 
     def on_fetch(self, sender: str, address: str, message: Fetch, now: timedelta) -> list[Effect]:
-        """Answers at once, or at the next tick if this replica got its part already."""
+        """Answers a `Fetch` at once, or at the next tick if the replica has already got data since the last one."""
         state = self.state
         if state.role not in (Role.LEADING, Role.INSTALLING) or message.view != state.view:
             return []
@@ -36,7 +36,7 @@
         return self._serve(sender, address, message)
 
     def tick(self) -> list[Effect]:
-        """What waited goes out behind the heartbeats."""
+        """Answers the `Fetch` requests queued since the last tick, so that a transfer does not delay heartbeats."""
         self.served.clear()
         waiting, self.queued = self.queued, {}
         return [
--- a/sumachook/consensus/membership.py
+++ b/sumachook/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Steps from the voting members that is to the one that should be."""
+"""Choice of the next change of the voting members: growth, replacement or removal."""
 
 from datetime import timedelta
 from typing import Any
@@ -13,10 +13,11 @@
 
 
 class Membership:
-    """Gives a leader with nothing under way the next change of the voting members, one committed step after the other.
+    """Chooses the next change of the voting members for an idle leader; each change must commit before the next.
 
-    A replacement first makes the learner a voter beside the one that it replaces (`VotingMembers.replacing`); it is
-    then taken into the view, and only then the other is removed. A learner that is lost meanwhile is removed instead.
+    A replacement first makes the learner a voter in addition to the voter that it replaces (`VotingMembers.replacing`).
+    The learner then joins the view, and only then is the old voter removed. A learner that fails in between is removed
+    instead.
     """
 
     __slots__ = ("state", "learners", "progress")
@@ -25,7 +26,7 @@
         self.state, self.learners, self.progress = state, learners, progress
 
     def next_change(self, now: timedelta) -> Change | None:
-        """The next change of the voting members, if one is needed and possible."""
+        """Returns the next change of the voting members, or None if none is needed or possible."""
         state = self.state
         if state.log.last_voting_members_change > state.committed:
             return None
@@ -43,7 +44,7 @@
         return ("seat-replace", lost, name, address)
 
     def _ready(self, now: timedelta) -> dict[str, str]:
-        """The learners that have been heard steadily and have caught up, first come first."""
+        """Returns the learners that are steadily heard, caught up and not leaving; the longest known come first."""
         state, steady = self.state, self.learners.steady(now)
         return {
             name: address
@@ -60,7 +61,10 @@
         return None
 
     def _may_grow(self, ready: int) -> bool:
-        """By two at a time, and only while the view would be a majority of the wider group too."""
+        """Whether voters may be added: two at a time, or one to an even number.
+
+        The view must remain a majority of the enlarged group.
+        """
         size, wanted = self.state.voting_members.size, self.state.options.wanted_voters
         is_uneven = size % 2 == 0 and size < wanted
         is_pair = size + 2 <= wanted and ready >= 2
@@ -68,7 +72,7 @@
         return (is_uneven or is_pair) and len(self.state.members) >= majority_of(grown)
 
     def _to_replace(self, now: timedelta) -> str | None:
-        """A voter whose disk is gone, else one that leaves, else the one that is away longest and too long."""
+        """Returns a voter with a lost disk, else a leaving one, else the one absent longest beyond `replace_after`."""
         state, superseded = self.state, self.learners.superseded(now)
         away = {
             name: now - state.heard_at.setdefault(name, now)
--- a/sumachook/consensus/messages.py
+++ b/sumachook/consensus/messages.py
@@ -1,4 +1,4 @@
-"""The messages between replicas."""
+"""Messages between replicas of the consensus group, and their decoding from plain values."""
 
 from collections.abc import Sequence
 from functools import cache
@@ -9,11 +9,11 @@
 from sumachook.consensus.views import ViewId
 from sumachook.transport.node_message import NodeMessage
 
-PLAIN_TYPES = (int, bool, str, bytes)  # what the codec reads as it is
+PLAIN_TYPES = (int, bool, str, bytes)  # types that the codec returns without conversion
 
 
 class Message(NodeMessage, frozen=True):
-    """Base of all messages between replicas.
+    """Base class of all messages between replicas.
 
     >>> Appended.from_values([(3, "a"), 7])
     Appended(view=ViewId(number=3, replica='a'), end=7)
@@ -21,7 +21,7 @@
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from values as the codec read them, documents as their types.
+        """Builds the message from decoded values, and converts nested documents to the types of their fields.
 
         Raises ValueError if there are too few or too many values, or one is not of the type of its field.
         """
@@ -34,11 +34,11 @@
                 )
             )
         except msgspec.ValidationError as error:
-            raise ValueError(f"not the values of a message {cls.__name__}: {error}") from error
+            raise ValueError(f"invalid field values for message {cls.__name__}: {error}") from error
 
 
 class Announcement(Message, frozen=True, tag="standing"):
-    """A replica without a vote announces itself, to found a group or to be taken into one."""
+    """Announces a replica without a vote, which wants to create a group or to become a voter of one."""
 
     replica: str
     address: str
@@ -46,7 +46,7 @@
 
 
 class PreVote(Message, frozen=True, tag="canvass"):
-    """Pre-vote: would the receiver promise this view to the sender, whose log ends there? Answers repeat `token`."""
+    """Asks whether the receiver would promise `view` to the sender, whose log ends at `end`; `token` is repeated."""
 
     view: ViewId
     installed: ViewId
@@ -55,10 +55,10 @@
 
 
 class PreVoteGranted(Message, frozen=True, tag="canvass_accepted"):
-    """The receiver of a `PreVote` neither leads nor hears a leader, and holds no better log.
+    """Grants a `PreVote`: the sender neither leads nor hears a leader, and has no better log.
 
-    `start` is 0, or the number of this run of a replica that has acknowledged nothing since its start, but may have
-    before: it promises nothing yet unless all voters have answered.
+    `start` is normally 0. A replica that has acknowledged no heartbeat since its restart, but may have before it, sends
+    the number of its process run: its promise then requires that every voter grants the pre-vote.
     """
 
     view: ViewId
@@ -67,10 +67,10 @@
 
 
 class Prepare(Message, frozen=True, tag="prepare"):
-    """Asks for the promise to refuse every lower view; `released` is a view whose leader gave its lease up.
+    """Asks for a promise to reject every lower view; `released` is a view whose leader has released its lease.
 
-    `start` is not 0 where every voter has accepted the canvass, so that no lease from before a start can stand: the
-    number of the receiver's run that it named then.
+    `start` is not 0 if every voter has granted the pre-vote, so that no lease from before a restart can be valid. It is
+    then the run number that the receiver sent with its grant.
     """
 
     view: ViewId
@@ -80,7 +80,7 @@
 
 
 class Promise(Message, frozen=True, tag="promise"):
-    """The promise is synced; the sender's log is described, not sent."""
+    """Confirms a durable promise for `view`, and describes the sender's log without its entries."""
 
     view: ViewId
     installed: ViewId
@@ -91,9 +91,9 @@
 
 
 class TakeOver(Message, frozen=True, tag="take_over"):
-    """The sender gives up leading or its candidacy for the receiver, which has the best log.
+    """Asks the receiver, which has the best log, to lead in place of the sending leader or candidate.
 
-    `learners` are the replicas without a vote that it knows of, by name with their addresses.
+    `learners` are the addresses of the replicas without a vote known to the sender, by name.
     """
 
     view: ViewId
@@ -102,7 +102,7 @@
 
 
 class Install(Message, frozen=True, tag="install"):
-    """The members and the end of a view's log, with as much after `first` as one message carries."""
+    """Installs a view at a member: the members, the end of the log, and the entries from `first` that fit."""
 
     view: ViewId
     members: tuple[str, ...]
@@ -113,14 +113,14 @@
 
 
 class Installed(Message, frozen=True, tag="installed"):
-    """The sender has synced the view and its log."""
+    """Acknowledges that the sender has synced the view and its log up to `end`."""
 
     view: ViewId
     end: int
 
 
 class Append(Message, frozen=True, tag="append"):
-    """New entries of the leader; what does not fit into one message up to `end` is fetched."""
+    """Carries new entries of the leader; the receiver fetches those up to `end` that do not fit into one message."""
 
     view: ViewId
     first: int
@@ -131,16 +131,16 @@
 
 
 class Appended(Message, frozen=True, tag="appended"):
-    """The sender has synced the leader's log up to `end`."""
+    """Acknowledges that the sender has synced the leader's log up to entry `end`."""
 
     view: ViewId
     end: int
 
 
 class Fetch(Message, frozen=True, tag="fetch"):
-    """Asks for the log from `first` on; `digest` is that of the sender's log before it.
+    """Requests the leader's log from `first` on; `digest` is the digest of the sender's log before `first`.
 
-    Of a transfer under way, `number` names the snapshot or large entry and `offset` what is there already.
+    For a transfer in progress, `number` identifies the snapshot or large entry and `offset` counts the bytes received.
     """
 
     view: ViewId
@@ -151,7 +151,7 @@
 
 
 class Entries(Message, frozen=True, tag="entries"):
-    """Answer to `Fetch`; without a match the sender's log before `first` differs from the receiver's."""
+    """Answers `Fetch` with whole entries; `is_match` is false if the two logs differ before `first`."""
 
     view: ViewId
     first: int
@@ -161,7 +161,7 @@
 
 
 class EntryPart(Message, frozen=True, tag="entry_part"):
-    """Answer to `Fetch`: a part of one entry that is larger than a message may be."""
+    """Answers `Fetch` with a part of an entry that exceeds the size of one message."""
 
     view: ViewId
     number: int
@@ -172,7 +172,7 @@
 
 
 class SnapshotPart(Message, frozen=True, tag="snapshot_part"):
-    """Answer to `Fetch`: a part of the encoded snapshot of everything up to `number`."""
+    """Answers `Fetch` with a part of the encoded snapshot, which covers all entries up to `number`."""
 
     view: ViewId
     number: int
@@ -184,7 +184,7 @@
 
 
 class Heartbeat(Message, frozen=True, tag="heartbeat"):
-    """A numbered round of the leader; `echo` is the last own round of the receiver that the leader saw."""
+    """Heartbeat of the leader with a round number; `echo` is the receiver's latest own round seen by the leader."""
 
     view: ViewId
     round: int
@@ -196,7 +196,7 @@
 
 
 class HeartbeatAck(Message, frozen=True, tag="heartbeat_ack"):
-    """Answer to `Heartbeat`; `end` is what the sender has synced of that leader's log."""
+    """Acknowledges a `Heartbeat`; the sender has synced that leader's log up to entry `end`."""
 
     view: ViewId
     round: int
@@ -207,7 +207,7 @@
 
 
 class Propose(Message, frozen=True, tag="propose"):
-    """A part of a change for the leader to order."""
+    """Carries a part of a proposed change to the leader."""
 
     number: int
     offset: int
@@ -216,31 +216,31 @@
 
 
 class Yield(Message, frozen=True, tag="yield"):
-    """The leader of this view has stopped leading and holds no lease."""
+    """Announces that the leader of `view` has stepped down and holds no lease any more."""
 
     view: ViewId
 
 
 class ReplicaLeaving(Message, frozen=True, tag="replica_leaving"):
-    """A voter that will end soon asks to be replaced."""
+    """Asks the leader to replace a voter that is shutting down."""
 
     replica: str
 
 
 class LeavingNoted(Message, frozen=True, tag="leaving_noted"):
-    """The leader knows that the receiver leaves; whether somebody is there to replace it."""
+    """Confirms to a leaving voter that the leader knows of it, and whether a learner can replace it."""
 
     has_replacement: bool
 
 
 class ReadIndex(Message, frozen=True, tag="read_index"):
-    """A member asks the leader how far it must have delivered to answer a read."""
+    """Asks the leader up to which entry the sender must have delivered before it answers a read."""
 
     token: int
 
 
 class ReadIndexAnswer(Message, frozen=True, tag="read_index_answer"):
-    """The answer to `ReadIndex`: a committed number, valid only if it was given under a lease."""
+    """Answers `ReadIndex` with the leader's commit number, which is valid only if the leader holds a lease."""
 
     token: int
     committed: int
@@ -254,4 +254,4 @@
 
 TYPES: dict[str, type[Message]] = {
     str(message_type.__struct_config__.tag): message_type for message_type in Message.__subclasses__()
-}  # by their kinds on the wire
+}  # message classes by their tag on the wire
--- a/sumachook/consensus/options.py
+++ b/sumachook/consensus/options.py
@@ -1,4 +1,4 @@
-"""Settings of a replica."""
+"""Configurable options of a replica."""
 
 from datetime import timedelta
 
@@ -8,9 +8,9 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """What the embedding program may choose; the rest is in `timing`."""
+    """Options that the embedding program can set; all other limits are constants in `timing`."""
 
-    replace_after: timedelta = timing.DEFAULT_REPLACE_AFTER  # a voter not heard for so long may be replaced
+    replace_after: timedelta = timing.DEFAULT_REPLACE_AFTER  # a voter absent from the view for longer may be replaced
     wanted_voters: int = 3
     max_log_entries: int = timing.MAX_LOG_ENTRIES
     max_log_bytes: int = timing.MAX_LOG_BYTES
--- a/sumachook/consensus/progress.py
+++ b/sumachook/consensus/progress.py
@@ -1,4 +1,4 @@
-"""How far the other replicas have synced the leader's log."""
+"""Tracks up to which entry each replica has synced the leader's log."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -8,14 +8,14 @@
 
 
 class _Debt(NamedTuple):
-    """The end of the log that a replica has not acknowledged, since when or since its last sign of progress."""
+    """An unacknowledged log end of a replica, and when it was first noted or the replica last fetched entries."""
 
     end: int
     since: timedelta
 
 
 class Progress:
-    """For each replica the end it has acknowledged, since when it owes more, and since when it is well."""
+    """Per replica: the acknowledged log end, the oldest unacknowledged end, and since when it has been caught up."""
 
     __slots__ = ("state", "acked", "owed", "caught_up_at", "healthy_since")
 
@@ -27,15 +27,15 @@
         self.healthy_since: dict[str, timedelta] = {}
 
     def reset(self) -> None:
-        """Another view: what was known holds no longer."""
+        """Discards all acknowledgements, which do not apply to another view."""
         self.acked, self.owed, self.caught_up_at, self.healthy_since = {}, {}, {}, {}
 
     def acknowledge(self, name: str, end: int, now: timedelta) -> bool:
-        """Notes the end that a replica has synced; whether that is new."""
+        """Records the log end that a replica has synced; returns whether it differs from the recorded one."""
         if name in self.state.members:
             is_new = end > self.acked.get(name, 0)
             self.acked[name] = max(end, self.acked.get(name, 0))
-        else:  # a learner that was started anew may have to begin again
+        else:  # a restarted learner may report a smaller end than before
             is_new = end != self.acked.get(name, 0)
             self.acked[name] = end
         if end >= self.state.committed:
@@ -45,20 +45,20 @@
         return is_new
 
     def is_caught_up(self, name: str, now: timedelta) -> bool:
-        """Whether it had synced all that is committed a moment ago."""
+        """Whether the replica had synced every committed entry within the last `CAUGHT_UP_WITHIN`."""
         return name in self.caught_up_at and now - self.caught_up_at[name] < CAUGHT_UP_WITHIN
 
     def healthy_for(self, name: str, now: timedelta) -> timedelta:
-        """How long it has been heard and caught up without a gap."""
+        """Returns how long the replica has been caught up without interruption."""
         return now - self.healthy_since[name] if self.is_caught_up(name, now) else timedelta(0)
 
     def note_transfer(self, name: str, now: timedelta) -> None:
-        """It fetches what it owes, so it is not stalled."""
+        """Restarts the stall timeout of a replica, because it is fetching the entries that it lacks."""
         if name in self.owed:
             self.owed[name] = _Debt(self.owed[name].end, now)
 
     def is_stalled(self, name: str, now: timedelta) -> bool:
-        """Whether this member has owed the same entry for too long, however many came after it."""
+        """Whether a member's oldest unacknowledged entry has been outstanding for more than `SILENCE`."""
         end, acked = self.state.log.end, self.acked.get(name, 0)
         owed, since = self.owed.get(name, _Debt(0, now))
         if acked >= owed:
@@ -69,5 +69,5 @@
         return now - since > SILENCE
 
     def owing_for(self, name: str, now: timedelta) -> timedelta:
-        """How long this member has owed the same entry."""
+        """Returns how long the oldest unacknowledged entry of a member has been outstanding."""
         return now - self.owed[name].since if name in self.owed else timedelta(0)
--- a/sumachook/consensus/proposals.py
+++ b/sumachook/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Changes on their way to the leader, cut into parts where they are large."""
+"""Forwarding of proposed changes to the leader, in parts if they are large."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -15,11 +15,11 @@
 from sumachook.host.effects import Effect, Send
 from sumachook.transport.codec import as_tuples, pack_entry
 
-PARTIAL_PROPOSAL_TIMEOUT = timedelta(seconds=5)  # parts of a change older than this are dropped
+PARTIAL_PROPOSAL_TIMEOUT = timedelta(seconds=5)  # an incomplete change is dropped after this time
 
 
 def split_proposal(number: int, change: Any) -> Iterator[Propose]:
-    """The messages that carry a change to the leader."""
+    """Splits an encoded change into `Propose` messages of at most `CHUNK_BYTES` each."""
     data = pack_entry(change)
     for offset in range(0, len(data), CHUNK_BYTES):
         yield Propose(number, offset, len(data), data[offset : offset + CHUNK_BYTES])
@@ -32,14 +32,14 @@
 
 
 class _Pending(NamedTuple):
-    """A change that waits for the next leader since `at`."""
+    """A change that has been waiting for the next leader since `at`."""
 
     change: Any
     at: timedelta
 
 
 class ProposalAssembler:
-    """Puts the parts of a change together, one change per sender; a gap drops it, and its maker proposes it again."""
+    """Reassembles changes from parts, one per sender; a lost part drops the change, which its sender proposes again."""
 
     __slots__ = ("partial",)
 
@@ -47,7 +47,7 @@
         self.partial: dict[str, _Partial] = {}
 
     def take(self, sender: str, part: Propose, now: timedelta) -> Any | None:
-        """The change, once its last part is there."""
+        """Adds a part and returns the decoded change after the last one, else None."""
         if part.total > MAX_PROPOSAL_BYTES:
             return None
         if part.offset == 0:
@@ -68,18 +68,18 @@
 
 
 class Proposals:
-    """Brings changes to whoever leads; during a change of the view they wait a little for the next leader."""
+    """Forwards changes to the leader; during a view change they wait up to `PROPOSAL_TIMEOUT` for the next one."""
 
     __slots__ = ("state", "leader", "assembler", "number", "pending")
 
     def __init__(self, state: ReplicaState, leader: Leader) -> None:
         self.state, self.leader = state, leader
         self.assembler = ProposalAssembler()
-        self.number = state.random.getrandbits(NONCE_BITS)  # parts of the process before this one fit to nothing
+        self.number = state.random.getrandbits(NONCE_BITS)  # random: parts sent by a previous process do not match
         self.pending: list[_Pending] = []
 
     def propose(self, change: Any, now: timedelta) -> list[Effect]:
-        """Orders the change, sends it to the leader, or holds it for the next one."""
+        """Appends the change as leader, forwards it to the leader, or queues it until there is one."""
         if self._can_order():
             return self.leader.propose(change, now)
         if address := self._leader_address(now):
@@ -91,7 +91,7 @@
         return []
 
     def on_propose(self, sender: str, message: Propose, now: timedelta) -> list[Effect]:
-        """Orders a change of another replica, or passes it on where leading is just being handed over."""
+        """Appends a change received from another replica; passes it on while leadership is being handed over."""
         change = self.assembler.take(sender, message, now)
         is_handing_over = self.state.is_leaving or self.state.role in (Role.PREPARING, Role.INSTALLING)
         if change is None or not (self._can_order() or is_handing_over):
@@ -99,7 +99,7 @@
         return self.propose(change, now)
 
     def settle(self, now: timedelta) -> list[Effect]:
-        """Passes on what was pending, and refuses what has waited too long."""
+        """Proposes queued changes again once a leader is known, and rejects those queued beyond `PROPOSAL_TIMEOUT`."""
         if not self.pending:
             return []
         if not self._can_order() and not self._leader_address(now):
@@ -113,7 +113,7 @@
         return self.state.role is Role.LEADING and not self.state.is_leaving
 
     def _leader_address(self, now: timedelta) -> str | None:
-        """Where another replica leads, as far as this one can tell."""
+        """Returns the address of another replica that leads and was heard within `SILENCE`, or None."""
         state = self.state
         is_other = state.leader is not None and state.leader != state.name and state.role in (Role.MEMBER, Role.IDLE)
         return state.leader_address if is_other and not state.hears_no_leader(now) else None
--- a/sumachook/consensus/reads.py
+++ b/sumachook/consensus/reads.py
@@ -1,4 +1,4 @@
-"""Reads that see everything acknowledged before they began."""
+"""Linearizable reads: a read sees every change acknowledged before it began."""
 
 from datetime import timedelta
 from typing import Any
@@ -17,26 +17,26 @@
 class _Read(msgspec.Struct):
     token: Any
     begun_at: timedelta
-    leader: str | None = None  # who was asked
+    leader: str | None = None  # the leader to which `ReadIndex` was sent
     sent_at: timedelta | None = None
     must_deliver: int | None = None
 
 
 class Reads:
-    """A leader answers at once under a lease, a follower once it has delivered what the leader had committed.
+    """Answers reads: a leader with a lease at once, a follower once it has delivered all that the leader had committed.
 
-    During a change of the view a read waits a little for the next leader.
+    During a view change a read waits up to `READ_TIMEOUT` for the next leader.
     """
 
     __slots__ = ("state", "leader", "last", "waiting")
 
     def __init__(self, state: ReplicaState, leader: Leader) -> None:
         self.state, self.leader = state, leader
-        self.last = state.random.getrandbits(NONCE_BITS)  # an answer to the process before this one matches nothing
+        self.last = state.random.getrandbits(NONCE_BITS)  # random, so that answers to a previous process do not match
         self.waiting: dict[int, _Read] = {}
 
     def request(self, token: Any, now: timedelta) -> list[Effect]:
-        """Begins a read; answers at once where nobody need be asked, or nobody is there to be asked."""
+        """Starts a read; answers at once if this replica holds the leader lease or has heard no leader."""
         if self.leader.has_lease(now):
             return [Readable(token)]
         if self.state.hears_no_leader(now):
@@ -46,7 +46,7 @@
         return self._ask(self.last, read, now)
 
     def _ask(self, number: int, read: _Read, now: timedelta) -> list[Effect]:
-        """Asks the leader, if one is followed and was not asked a moment ago."""
+        """Sends `ReadIndex` to the leader, unless none is known or `READ_RETRY_INTERVAL` has not passed."""
         address = self._leader_address(now)
         if address is None or (read.sent_at is not None and now - read.sent_at < READ_RETRY_INTERVAL):
             return []
@@ -59,19 +59,19 @@
         return state.leader_address if is_other and not state.hears_no_leader(now) else None
 
     def on_read_index(self, address: str, message: ReadIndex, now: timedelta) -> list[Effect]:
-        """Answers a follower; only under the lease the answer counts."""
+        """Answers a follower's `ReadIndex`; the answer is valid only while this replica holds the leader lease."""
         is_valid = self.leader.has_lease(now)
         return [Send(address, ReadIndexAnswer(message.token, self.state.committed, is_valid))]
 
     def on_answer(self, sender: str, message: ReadIndexAnswer) -> list[Effect]:
-        """The leader has said how far this replica must have delivered."""
+        """Records the commit number that must be delivered before the read can be answered."""
         read = self.waiting.get(message.token)
         if read is not None and read.leader == sender and read.must_deliver is None and message.is_valid:
             read.must_deliver = message.committed
         return []
 
     def settle(self, now: timedelta) -> list[Effect]:
-        """Answers what has been delivered far enough and what has waited too long; asks again about the rest."""
+        """Answers reads whose commit number is delivered, fails those past `READ_TIMEOUT`, and retries the others."""
         out: list[Effect] = []
         for number, read in list(self.waiting.items()):
             has_delivered = read.must_deliver is not None and self.state.delivered >= read.must_deliver
--- a/sumachook/consensus/replica.py
+++ b/sumachook/consensus/replica.py
@@ -1,4 +1,4 @@
-"""One replica: hands every event to the part that it is for."""
+"""One replica of the consensus group: dispatches each event to the component that handles it."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -34,7 +34,7 @@
 
 
 class Replica:
-    """A pure machine: `take` gets an event and the time, and gives the effects that its host carries out."""
+    """A replica as a state machine without I/O: `take` handles an event at a time and returns effects for the host."""
 
     __slots__ = (
         "state",
@@ -81,69 +81,69 @@
         self.proposals = Proposals(state, self.leader)
         self.last_tick = now
 
-    # what others may see
+    # public state
 
     @property
     def role(self) -> Role:
-        """What this replica is doing."""
+        """The current role of this replica."""
         return self.state.role
 
     @property
     def view(self) -> ViewId:
-        """The view that was installed last."""
+        """The view that this replica installed last."""
         return self.state.view
 
     @property
     def members(self) -> tuple[str, ...]:
-        """The members of that view."""
+        """The names of the members of the last installed view."""
         return self.state.members
 
     @property
     def leader_name(self) -> str | None:
-        """The leader that was heard last, if any."""
+        """The name of the leader that was heard last, or None."""
         return self.state.leader
 
     @property
     def log(self) -> Log:
-        """The log."""
+        """The replicated log as stored by this replica."""
         return self.state.log
 
     @property
     def voting_members(self) -> dict[str, str]:
-        """The voters by name with their addresses."""
+        """The addresses of the voters, by name."""
         return self.state.voting_members.addresses
 
     @property
     def is_blank(self) -> bool:
-        """Whether it knows of no voting members."""
+        """Whether this replica has no log and no view, and therefore knows no voting members."""
         return self.state.is_blank
 
     def snapshot(self) -> tuple[int, Any]:
-        """What a start gives the state before anything is heard: the number and state of the snapshot."""
+        """Returns the number and state of the log's snapshot, from which the program restores its state at startup."""
         return self.log.base, state_of(self.log.snapshot)
 
     def is_fresh(self, now: timedelta) -> bool:
-        """Whether the state holds all that was acknowledged before a short while ago.
+        """Whether the state contains every change acknowledged more than `FRESH_FOR` ago.
 
-        A leader's holds all, under its lease. A member learns from the leader as of when its state was complete, and
-        that stays true through a change of the view.
+        A leader's state is complete while it holds its lease. A member learns from the leader as of when its own state
+        was complete, and that remains valid across a view change.
         """
         if now - self.last_tick > MAX_TICK_GAP:
             return False
         return self.leader.has_lease(now) or self.state.freshness.is_fresh(now)
 
-    # events
+    # dispatch of events
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Takes an event; gives what the host must do, in order."""
+        """Handles an event and returns the effects that the host must carry out in order."""
         self._notice_gap(now)
         match event:
             case events.Tick(cores):
                 out = self._tick(cores, now)
             case MessageReceived(sender, _, _) if sender == self.state.name:
-                return []  # its own message, sent to one that had its address before
+                return []  # this replica's own message, sent to a replica that had the same address before
             case MessageReceived(sender, address, message):
-                self.candidate.suspected.discard(sender)  # whoever speaks is not suspected any longer
+                self.candidate.suspected.discard(sender)  # a replica that sends a message is no longer suspected
                 out = self._receive(sender, address, message, now)
             case events.ProposalMade(change):
                 out = self.proposals.propose(change, now)
@@ -153,7 +153,7 @@
                 return self.reads.request(token, now)
             case events.StepBackRequested():
                 out = (
-                    self.leader.step_back("The disk takes nothing, stepping back.", now)
+                    self.leader.step_back("Disk is not writable, leader is stepping down.", now)
                     if self.role is Role.LEADING
                     else []
                 )
@@ -164,7 +164,7 @@
         return out + self.proposals.settle(now) + self.reads.settle(now)
 
     def _notice_gap(self, now: timedelta) -> None:
-        """After a pause nothing counts that was proved before it; what was begun is for others by now."""
+        """Drops leases and freshness after a pause of the process; a long pause also ends leadership or an election."""
         gap = now - self.last_tick
         if gap > MAX_TICK_GAP:
             self.leader.lease.forget()
@@ -210,7 +210,7 @@
                 return self.follower.followed.on_entries_synced(event)
         return []
 
-    # messages
+    # dispatch of messages
 
     def _receive(self, sender: str, address: str, message: messages.Message, now: timedelta) -> list[Effect]:
         match message:
--- a/sumachook/consensus/slow_members.py
+++ b/sumachook/consensus/slow_members.py
@@ -1,4 +1,4 @@
-"""Which members are kept out of the view because they were slow."""
+"""Temporary exclusion of slow members from the view."""
 
 from datetime import timedelta
 
@@ -13,7 +13,7 @@
 
 
 class SlowMembers:
-    """Each failure in a row keeps a replica out for twice as long, up to a bound.
+    """Excludes slow replicas with exponential back-off: repeated failures double the time, up to `MAX_EXCLUSION`.
 
     >>> second, slow_members = timedelta(seconds=1), SlowMembers()
     >>> slow_members.add("c", second)
@@ -30,12 +30,12 @@
         self.by_replica: dict[str, _Exclusion] = {}
 
     def add(self, replica: str, now: timedelta) -> None:
-        """The replica has failed now."""
+        """Records a failure of the replica and starts or extends its exclusion."""
         last = self.by_replica.get(replica)
         is_repeated = last is not None and now - last.until < EXCLUSION_FORGOTTEN_AFTER
         pause = min(last.pause * 2, MAX_EXCLUSION) if last is not None and is_repeated else EXCLUSION
         self.by_replica[replica] = _Exclusion(now + pause, pause)
 
     def is_excluded(self, replica: str, now: timedelta) -> bool:
-        """Whether the replica is to be kept out."""
+        """Whether the replica must be kept out of the view at this time."""
         return replica in self.by_replica and now < self.by_replica[replica].until
--- a/sumachook/consensus/state.py
+++ b/sumachook/consensus/state.py
@@ -1,4 +1,4 @@
-"""What the parts of one replica share."""
+"""State shared by the components of one replica."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -19,14 +19,15 @@
 from sumachook.host.effects import AppendRecords, Effect, RewriteRecords, Send
 
 NONCE_BITS = 48
-LOG_COMPONENT = "consensus"  # who speaks in the program's log
+LOG_COMPONENT = "consensus"  # component name in the program's log lines
 
 
 class ReplicaState:
-    """The durable facts of a replica, its place in the view, and the steps that several of its parts take.
+    """Durable and volatile state of a replica, and the operations that several of its components use.
 
-    `followed` is the highest view from whose leader entries were taken, as a member or as a learner; entries of a
-    lower one are never taken again. `synced` is how far the log is durable and known to agree with that leader's.
+    `followed` is the highest view from whose leader entries were accepted, as a member or as a learner; entries of a
+    lower view are never accepted afterwards. `synced` is the end of the log prefix that is durable and known to match
+    that leader's log.
     """
 
     __slots__ = (
@@ -94,84 +95,84 @@
         if not self.is_blank or self.promised != NO_VIEW:
             self.guard.start(now, random.getrandbits(NONCE_BITS) + 1)
 
-    # what it knows
+    # queries
 
     @property
     def is_blank(self) -> bool:
-        """Whether it knows of no voting members."""
+        """Whether the replica has no log and no view, and therefore knows no voting members."""
         return self.log.end == 0 and self.view == NO_VIEW
 
     @property
     def voting_members(self) -> VotingMembers:
-        """The voting members that stands at the end of the log."""
+        """The voting members as of the last log entry, committed or not."""
         return self.log.voting_members
 
     @property
     def is_voter(self) -> bool:
-        """Whether it is one of the voting members."""
+        """Whether this replica is one of the voting members."""
         return self.name in self.voting_members.addresses
 
     @property
     def other_voters(self) -> dict[str, str]:
-        """The voters elsewhere; while this replica replaces one at its own address, that one is nowhere any more."""
+        """The addresses of the other voters, without a voter that this replica replaces at its own address."""
         voters = self.voting_members.addresses.items()
         return {name: address for name, address in voters if name != self.name and address != self.address}
 
     @property
     def is_member(self) -> bool:
-        """Whether it takes part in the view that it has promised and installed last."""
+        """Whether this replica is an active member of its installed view and has promised no higher one."""
         return self.role is Role.MEMBER and self.view == self.promised
 
     def hears(self, name: str, now: timedelta, within: timedelta = SILENCE) -> bool:
-        """Whether this replica was heard lately."""
+        """Whether a message of the named replica arrived less than `within` ago."""
         return name in self.heard_at and now - self.heard_at[name] < within
 
     def knows_leaving(self, name: str, now: timedelta) -> bool:
-        """Whether this voter has said lately that it will end soon."""
+        """Whether the named voter has announced its shutdown within `LEAVING_KNOWN_FOR`."""
         return name in self.leaving_at and now - self.leaving_at[name] < LEAVING_KNOWN_FOR
 
     def hears_no_leader(self, now: timedelta) -> bool:
-        """Whether no leader was heard for a while."""
+        """Whether no leader has been heard for more than `SILENCE`."""
         return now - self.leader_heard_at > SILENCE
 
     def may_be_removed(self, now: timedelta) -> bool:
-        """Whether it may be removed without knowing it, because it has heard no leader for so long."""
+        """Whether this replica has heard no leader for so long that it may have been removed without knowing it."""
         return self.role in (Role.IDLE, Role.PRE_VOTING) and now - self.leader_heard_at > REMOVAL_SUSPECTED_AFTER
 
     def next_view(self) -> ViewId:
-        """A view with a higher number than any that is known."""
+        """Returns a view of this replica with a higher number than any known view."""
         highest = max(
             self.promised.number, self.view.number, self.candidacy.number, self.followed.number, self.highest_number
         )
         return ViewId(highest + 1, self.name)
 
-    # steps
+    # operations
 
     def back_off(self, now: timedelta, pause: timedelta = timedelta(0)) -> None:
-        """Stops leading or standing for leader, and stays quiet for a while."""
+        """Stops leading or an election, and waits a random 0.2 to 0.9 s plus `pause` before the next election."""
         self.role = Role.IDLE
         self.retry_at = now + timedelta(seconds=self.random.uniform(0.2, 0.9)) + pause
 
     def follow(self, leader: str, address: str, now: timedelta) -> None:
-        """Notes who leads."""
+        """Records the current leader and the time at which it was heard."""
         self.leader, self.leader_address, self.leader_heard_at = leader, address, now
 
     def send_to_voters(self, message: Message) -> list[Effect]:
-        """The message to every other voter."""
+        """Returns effects that send the message to every other voter."""
         return [Send(address, message) for address in dict.fromkeys(self.other_voters.values())]
 
     def store(self, records: tuple[Record, ...], done: DiskSynced | None) -> Effect:
-        """Appends records to the file."""
+        """Returns the effect that appends records to the log file; the host reports `done` once they are durable."""
         self.record_count += len(records)
         return AppendRecords(FILE, records, done)
 
     def rewrite(self, done: DiskSynced | None) -> Effect:
-        """Writes the whole file anew."""
+        """Returns the effect that rewrites the log file from the current state."""
         self.record_count = 0
         return RewriteRecords(FILE, all_records(self.name, self), done)
 
     def adopt(self, snapshot: Snapshot) -> list[Effect]:
-        """Puts a snapshot of the leader in the place of the log, which ends before it or differs from it."""
+        """Replaces the log, which ends before the leader's snapshot or differs from it, by that snapshot."""
         self.log = Log(snapshot)
         if snapshot.number <= self.delivered:
             return []
@@ -179,7 +180,7 @@
         return [Restore(snapshot.number, state_of(snapshot))]
 
     def deliver(self, up_to: int) -> list[Effect]:
-        """Delivers entries up to this number, which are committed and durable."""
+        """Delivers entries up to number `up_to`, which must be committed and durable."""
         out: list[Effect] = []
         while self.delivered < up_to:
             self.delivered += 1
@@ -190,24 +191,24 @@
         return out
 
     def should_compact(self) -> bool:
-        """Whether a snapshot should replace the delivered entries."""
+        """Whether the log exceeds a limit and a snapshot should replace its delivered entries."""
         delivered = self.delivered - self.log.base
         if not delivered:
             return False
         return delivered > self.options.max_log_entries or self.record_count > MAX_LOG_RECORDS or self._is_log_large()
 
     def _is_log_large(self) -> bool:
-        """Whether the log is over its bound in bytes, and mostly with entries that a snapshot would replace."""
+        """Whether the log exceeds its limit in bytes and delivered entries make up more than half of that limit."""
         size, bound = self.log.size, self.options.max_log_bytes
         return size > bound and size - self.log.bytes_after(self.delivered) > bound / 2
 
     def compact(self) -> list[Effect]:
-        """Makes a snapshot of the state, which has taken all that was delivered."""
+        """Compacts the log with a snapshot of the program's state, which has applied every delivered entry."""
         if not self.should_compact():
             return []
         self.log.compact(self.delivered, self.take_snapshot())
         return [self.rewrite(None)]
 
     def note(self, level: str, text: str, **details: Any) -> Effect:
-        """A line for the program's log."""
+        """Returns the effect that writes a line to the program's log."""
         return host_effects.Log(level, LOG_COMPONENT, text, details)
--- a/sumachook/consensus/storage.py
+++ b/sumachook/consensus/storage.py
@@ -1,7 +1,7 @@
-"""The records of the log file, and what a replica reads back from them.
+"""Records of the replica's log file: encoding and recovery.
 
-A file begins with the identity; every later record only adds to what stands before it, so a view change costs a
-short record. The file is written anew when a snapshot replaces the entries before it.
+A file begins with the identity of the replica. Every later record only adds to the earlier ones, so a view change
+writes one short record. The file is rewritten when a snapshot replaces the entries before it.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 class Restored:
-    """What the records of a file say."""
+    """The state of a replica as recovered from its log file."""
 
     __slots__ = ("log", "promised", "view", "members", "followed")
 
@@ -29,7 +29,7 @@
         self.members: tuple[str, ...] = ()
 
     def replay(self, records: Iterable[Record]) -> None:
-        """Takes the records of a file in order."""
+        """Replays the records of a log file in order; raises ValueError for a record of unknown kind."""
         for record in records:
             match record:
                 case ("promise", view):
@@ -43,7 +43,7 @@
                 case ("entries", view, first, entries):
                     self._take_entries(ViewId(*view), first, entries)
                 case (kind, *_) if kind != IDENTITY:
-                    raise ValueError(f"unknown record {kind!r} in the log file: it is of another version")
+                    raise ValueError(f"unknown record {kind!r} in the log file: it was written by another version")
 
     def _take_entries(self, view: ViewId, first: int, entries: Iterable[str]) -> None:
         self.followed = max(self.followed, view)
@@ -59,22 +59,22 @@
 
 
 def promise_record(view: ViewId) -> Record:
-    """No lower view is promised or joined any more."""
+    """Returns the record of a promise: after it, no lower view is promised or joined."""
     return ("promise", tuple(view))
 
 
 def entries_record(view: ViewId, first: int, entries: Iterable[bytes]) -> Record:
-    """From `first` on the log is that of the leader of `view`."""
+    """Returns the record of log entries from `first` on, received from the leader of `view`."""
     return ("entries", tuple(view), first, tuple(entry.decode() for entry in entries))
 
 
 def view_record(view: ViewId, members: tuple[str, ...], first: int, entries: Iterable[bytes]) -> Record:
-    """The view is installed, and its log from `first` on."""
+    """Returns the record of an installed view, with its log entries from `first` on."""
     return ("view", tuple(view), members, first, tuple(entry.decode() for entry in entries))
 
 
 def all_records(name: str, restored: Any) -> tuple[Record, ...]:
-    """All records that say what `restored`, or a replica's state, holds."""
+    """Returns the records that represent the complete state of a replica or of a `Restored` object."""
     log, snapshot = restored.log, restored.log.snapshot
     voting_members = (
         snapshot.voting_members.addresses,
--- a/sumachook/consensus/view_maintenance.py
+++ b/sumachook/consensus/view_maintenance.py
@@ -1,4 +1,4 @@
-"""Keeps the view of a leader to the members that are healthy."""
+"""View changes that a leader starts to remove failed members and to add healthy voters."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
 
 
 class ViewMaintenance:
-    """Puts members out that are silent, stall, or are no voters any more, and lets voters in that have caught up."""
+    """Removes silent, stalled and non-voting members from the view, and adds voters that have caught up."""
 
     __slots__ = ("state", "leader", "candidate", "learners", "membership", "progress", "slow_members")
 
@@ -33,15 +33,15 @@
         self.progress, self.slow_members = progress, slow_members
 
     def tick(self, now: timedelta) -> list[Effect]:
-        """What a leader does at each tick."""
+        """Performs a leader's periodic work: view changes, heartbeats, resends and changes of the voting members."""
         if self.leader.is_disk_stalled(now):
-            return self.leader.step_back("Own disk stalls, stepping back.", now)
+            return self.leader.step_back("Own disk is stalled, leader is stepping down.", now)
         if out := self._put_out(now):
             return out
         out = self.leader.tick(now)
         return out + (self._change_voting_members(now) or self._let_in(now))
 
-    # out of the view
+    # removal from the view
 
     def _put_out(self, now: timedelta) -> list[Effect]:
         state = self.state
@@ -51,10 +51,10 @@
                 continue
             if name not in state.voting_members.addresses:
                 if state.log.last_voting_members_change > state.committed and state.hears(name, now):
-                    continue  # it may still sync its own removal; one that is gone never will
-                return self._start_without({name}, "A removed replica is put out of the view.", now)
+                    continue  # a live member may still sync its own removal
+                return self._start_without({name}, "Starting a view without a removed replica.", now)
             if self._may_leave(name, now):
-                return self._start_without({name}, "A leaving replica is put out of the view.", now)
+                return self._start_without({name}, "Starting a view without a leaving replica.", now)
             silence = now - state.heard_at[name]
             is_stalled = self.progress.is_stalled(name, now)
             if silence > SILENCE or is_stalled or name in superseded:
@@ -62,13 +62,13 @@
                 if state.voting_members.has_quorum(rest):
                     self.slow_members.add(name, now)
                     lost = set(state.voting_members.addresses) - rest
-                    return self._start_without(lost, "A replica is put out of the view.", now)
+                    return self._start_without(lost, "Starting a view without failed replicas.", now)
             if silence > STEP_BACK_AFTER or self.progress.owing_for(name, now) > SILENCE * 3:
-                return self.leader.step_back("No majority takes changes, stepping back.", now)
+                return self.leader.step_back("No majority acknowledges entries, leader is stepping down.", now)
         return []
 
     def _may_leave(self, name: str, now: timedelta) -> bool:
-        """Whether nobody is there to replace this member, which leaves, and the others are enough."""
+        """Whether a leaving member can be dropped: no learner can replace it, and the other members are a quorum."""
         state = self.state
         if not state.knows_leaving(name, now) or not self.leader.is_idle():
             return False
@@ -77,21 +77,21 @@
         return not is_replaceable and state.voting_members.has_quorum(rest)
 
     def may_replace(self, now: timedelta) -> bool:
-        """Whether a learner is there, or may be that has not announced itself to a leader so new."""
+        """Whether a learner can replace a voter; a new leader assumes so for `LEARNER_DISCOVERY`."""
         return bool(self.learners.present(now)) or now - self.leader.led_since < LEARNER_DISCOVERY
 
     def _start_without(self, lost: set[str], text: str, now: timedelta) -> list[Effect]:
         note = self.state.note("warning", text, replicas=sorted(lost))
         return [note, *self.candidate.start(now, lost)]
 
-    # the voting members, and into the view
+    # voting members and addition to the view
 
     def _change_voting_members(self, now: timedelta) -> list[Effect]:
         change = self.membership.next_change(now) if self.leader.is_idle() else None
         return [] if change is None else self.leader.propose(change, now)
 
     def _let_in(self, now: timedelta) -> list[Effect]:
-        """One that has been well for a while, or at once where it has just become a voter."""
+        """Starts a view with a voter outside the current one that is healthy for `REJOIN_AFTER` or newly a voter."""
         state = self.state
         if not self.leader.is_idle():
             return []
@@ -100,7 +100,7 @@
                 continue
             if self.slow_members.is_excluded(name, now) or not self._is_wanted(name, now):
                 continue
-            note = state.note("info", "A replica comes into the view.", replica=name)
+            note = state.note("info", "Starting a view with an additional replica.", replica=name)
             return [note, *self.candidate.start(now, set())]
         return []
 
@@ -110,7 +110,7 @@
         return self._is_new(name) or self.progress.healthy_for(name, now) > REJOIN_AFTER
 
     def _is_new(self, name: str) -> bool:
-        """Whether it became a voter by the last change of the voting members, or is to replace another."""
+        """Whether the last change of the voting members made this replica a voter, or it is replacing another voter."""
         log, voting_members = self.state.log, self.state.voting_members
         before = (
             log.voting_members_history[-2].voting_members if len(log.voting_members_history) > 1 else voting_members
--- a/sumachook/consensus/views.py
+++ b/sumachook/consensus/views.py
@@ -1,11 +1,11 @@
-"""The small types that all parts of a replica share."""
+"""View numbers and replica roles, used by all components of a replica."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class ViewId(NamedTuple):
-    """The number of a view and the replica that proposed it and leads it; ordered by number, then by name."""
+    """Identifies a view by its number and the replica that proposes and leads it; ordered by number, then name."""
 
     number: int
     replica: str
@@ -15,9 +15,9 @@
 
 
 class Role(StrEnum):
-    """What a replica is doing.
+    """The role of a replica in the protocol.
 
-    An idle replica may be a learner, that is one which pulls the log of a view to which it does not belong.
+    An idle replica may be a learner, which fetches the log of a view to which it does not belong.
     """
 
     IDLE = "idle"
--- a/sumachook/consensus/voter.py
+++ b/sumachook/consensus/voter.py
@@ -1,4 +1,4 @@
-"""The answers of a replica to those who would lead."""
+"""The voter role: a replica's responses to candidates and to leaders that hand over or step down."""
 
 from datetime import timedelta
 
@@ -13,7 +13,7 @@
 
 
 class Voter:
-    """Accepts pre-votes, gives promises, and takes over when it is asked to."""
+    """Grants pre-votes, makes promises, and starts an election when asked to take over."""
 
     __slots__ = ("state", "candidate")
 
@@ -21,9 +21,10 @@
         self.state, self.candidate = state, candidate
 
     def on_pre_vote(self, sender: str, address: str, message: PreVote, now: timedelta) -> list[Effect]:
-        """Accepts who has no worse a log, unless this replica leads, hears a leader or is bound by a lease."""
+        """Grants a pre-vote if the candidate's log is no worse, no leader is active and no lease binds this replica."""
         state = self.state
-        hears_other = sender != state.leader and not state.hears_no_leader(now)  # a leader that asks leads no more
+        # A leader that requests a pre-vote does not lead any more.
+        hears_other = sender != state.leader and not state.hears_no_leader(now)
         if state.role is Role.LEADING or hears_other or not self._knows(sender, now):
             return []
         start = 0 if state.guard.permits(sender, NO_VIEW, now) else state.guard.run
@@ -33,7 +34,7 @@
         return [Send(address, PreVoteGranted(message.view, message.token, start))]
 
     def on_prepare(self, sender: str, address: str, message: Prepare, now: timedelta) -> list[Effect]:
-        """Promises the view, once that is durable, unless a higher one was promised or a lease binds this replica."""
+        """Persists a promise for the candidate's view, unless a higher one was promised or a lease forbids it."""
         state, view = self.state, message.view
         if view < state.promised or (view == state.promised and state.view == view):
             return []
@@ -41,14 +42,14 @@
             return []
         if not state.guard.permits(sender, message.released, now, message.start):
             return []
-        if view > state.promised:  # sent once more it wins its sender no more time
+        if view > state.promised:  # a resent request must not extend the candidate's time
             state.leader_heard_at = now
             state.retry_at = now + SILENCE + timedelta(seconds=state.random.uniform(0.1, 0.5))
         state.promised, state.role, state.leader = view, Role.IDLE, None
         return [state.store((promise_record(view),), PromiseSynced(view, address))]
 
     def on_promise_synced(self, event: PromiseSynced) -> list[Effect]:
-        """The promise is durable: sends it to the candidate, with a description of the own log."""
+        """Sends a durable promise to the candidate, with a description of the local log."""
         state, log = self.state, self.state.log
         if event.view != state.promised:
             return []
@@ -57,7 +58,7 @@
         return [Send(event.address, promise)]
 
     def on_take_over(self, sender: str, message: TakeOver, now: timedelta) -> list[Effect]:
-        """A leader that leaves, or a candidate with a worse log, asks this replica to lead."""
+        """Starts an election on behalf of a leaving leader or of a candidate with a worse log."""
         state = self.state
         if state.role in (Role.LEADING, Role.PREPARING, Role.INSTALLING) or not state.is_voter:
             return []
@@ -68,7 +69,7 @@
         return self.candidate.start(now, suspected=set(), released=message.released)
 
     def on_yield(self, sender: str, message: Yield, now: timedelta) -> list[Effect]:
-        """The leader stepped back, so nobody need wait for its silence."""
+        """Treats the leader as timed out, because it has stepped down, so that an election can start at once."""
         state = self.state
         state.guard.release(message.view)
         if sender == state.leader and message.view == state.view and state.role is Role.MEMBER:
--- a/sumachook/consensus/voting_members.py
+++ b/sumachook/consensus/voting_members.py
@@ -1,4 +1,4 @@
-"""The voters of the group and what is a majority of them."""
+"""The voting members of the group and their quorums."""
 
 from collections.abc import Collection, Mapping
 from typing import Any
@@ -7,16 +7,16 @@
 
 
 def majority_of(size: int) -> int:
-    """The smallest majority of so many."""
+    """Returns the smallest number of replicas that is a majority of `size`."""
     return size // 2 + 1
 
 
 class VotingMembers(msgspec.Struct, frozen=True):
-    """Voters by name with their addresses.
+    """The addresses of the voters by name, and the replacement in progress, if any.
 
-    While `joining` replaces `leaving` both are listed, and a quorum is a majority with the one and a majority with
-    the other. Any two quorums in a row of changes meet, and neither the learner nor the one it replaces is needed
-    as long as a majority of the rest is there.
+    While `joining` replaces `leaving`, both are listed, and a quorum must contain a majority of the voters with the one
+    and a majority with the other. Quorums of successive changes therefore intersect. Neither the joining nor the
+    leaving voter is required as long as a majority of the other voters is available.
 
     >>> voting_members = VotingMembers({"a": "a:1", "b": "b:1", "c": "c:1"}).replacing("c", "d", "d:1")
     >>> [voting_members.has_quorum(names) for names in ({"a", "b"}, {"a", "c"}, {"b", "c", "d"})]
@@ -30,7 +30,7 @@
     joining: str | None = None
 
     def has_quorum(self, names: Collection[str]) -> bool:
-        """Whether these replicas are a majority, of both groups during a replacement."""
+        """Whether these replicas are a majority of the voters; during a replacement, of both voter groups."""
         present = set(names)
         return all(len(group & present) >= majority_of(len(group)) for group in self._groups())
 
@@ -42,30 +42,30 @@
 
     @property
     def is_joint(self) -> bool:
-        """Whether a replacement is under way."""
+        """Whether a replacement of a voter is in progress."""
         return self.joining is not None
 
     @property
     def size(self) -> int:
-        """The number of voters that the voting members has, or will have once a replacement is through."""
+        """The number of voters; during a replacement, the number after its completion."""
         return len(self.addresses) - self.is_joint
 
     def with_voter(self, name: str, address: str) -> "VotingMembers":
-        """The voting members with one more voter."""
+        """Returns the voting members with an additional voter."""
         return VotingMembers({**self.addresses, name: address}, self.leaving, self.joining)
 
     def replacing(self, leaving: str, joining: str, address: str) -> "VotingMembers":
-        """The voting members while one voter replaces another."""
+        """Returns the voting members with a replacement of `leaving` by `joining` in progress."""
         return VotingMembers({**self.addresses, joining: address}, leaving, joining)
 
     def without(self, name: str) -> "VotingMembers":
-        """The voting members without this voter, and without the replacement in which it takes part."""
+        """Returns the voting members without this voter; ends the replacement if the voter is part of it."""
         rest = {other: address for other, address in self.addresses.items() if other != name}
         is_over = name in (self.leaving, self.joining)
         return VotingMembers(rest) if is_over else VotingMembers(rest, self.leaving, self.joining)
 
     def after(self, change: tuple[Any, ...]) -> "VotingMembers":
-        """The voting members after an ordered change of it."""
+        """Returns the voting members after applying a log entry; other entries leave them unchanged."""
         match change:
             case ("found", Mapping() as addresses):
                 return VotingMembers(dict(addresses))
