--- a/sumachook/consensus/candidate.py
+++ b/sumachook/consensus/candidate.py
@@ -51,7 +51,7 @@
     # pre-vote
 
     def tick_idle(self, now: timedelta) -> list[Effect]:
-        """Starts or repeats the pre-vote once no leader has been heard within `SILENCE`."""
+        """Starts or repeats the pre-vote once no leader has been heard within `SILENCE_TIMEOUT`."""
         state = self.state
         if not state.hears_no_leader(now) or not state.is_voter:
             return []
--- a/sumachook/consensus/follower.py
+++ b/sumachook/consensus/follower.py
@@ -80,7 +80,7 @@
         return [Send(event.address, Installed(event.view, event.end)), ViewChanged(state.view, state.members)]
 
     def tick(self, now: timedelta) -> list[Effect]:
-        """Cancels joining a view if its leader has not been heard within `SILENCE`."""
+        """Cancels joining a view if its leader has not been heard within `SILENCE_TIMEOUT`."""
         state = self.state
         if state.role is Role.JOINING and state.hears_no_leader(now):
             state.role = Role.IDLE
--- a/sumachook/consensus/installer.py
+++ b/sumachook/consensus/installer.py
@@ -8,7 +8,7 @@
 from sumachook.consensus.messages import Install, Installed, Promise
 from sumachook.consensus.state import ReplicaState
 from sumachook.consensus.storage import view_record
-from sumachook.consensus.timing import CHUNK_BYTES, INSTALL_TIMEOUT, RESEND_INTERVAL, SILENCE
+from sumachook.consensus.timing import CHUNK_BYTES, INSTALL_TIMEOUT, RESEND_INTERVAL, SILENCE_TIMEOUT
 from sumachook.consensus.views import Role
 from sumachook.host.effects import Effect, Send
 
@@ -94,6 +94,6 @@
     def tick(self, now: timedelta) -> list[Effect]:
         """Resends the view to members that lack it, or backs off if this replica's own disk makes no progress."""
         if self.state.name in self.late_members(now):
-            self.state.back_off(now, pause=SILENCE * 2)
+            self.state.back_off(now, pause=SILENCE_TIMEOUT * 2)
             return []
         return self._send_installs(now) if now - self.sent_at >= RESEND_INTERVAL else []
--- a/sumachook/consensus/leader.py
+++ b/sumachook/consensus/leader.py
@@ -12,7 +12,13 @@
 from sumachook.consensus.progress import Progress
 from sumachook.consensus.state import ReplicaState
 from sumachook.consensus.storage import entries_record
-from sumachook.consensus.timing import CHUNK_BYTES, HEARTBEAT_INTERVAL, MAX_WAITING, RESEND_INTERVAL, SILENCE
+from sumachook.consensus.timing import (
+    CHUNK_BYTES,
+    HEARTBEAT_INTERVAL,
+    MAX_QUEUED_PROPOSALS,
+    RESEND_INTERVAL,
+    SILENCE_TIMEOUT,
+)
 from sumachook.consensus.views import Role
 from sumachook.host.effects import Effect, Send
 from sumachook.transport.codec import pack_entry
@@ -83,7 +89,7 @@
         """Steps down and sends `Yield` to the other voters, so that they need not wait for a heartbeat timeout."""
         state = self.state
         self.lease.forget()
-        state.back_off(now, pause=SILENCE * 2)
+        state.back_off(now, pause=SILENCE_TIMEOUT * 2)
         return [state.note("warning", reason), *state.send_to_voters(Yield(state.view))]
 
     def has_lease(self, now: timedelta) -> bool:
@@ -98,7 +104,7 @@
         """Queues a change for the log, or rejects it if this replica does not lead or the queue is full."""
         if self.state.role is not Role.LEADING:
             return [Refuse(change, RefusalReason.NO_VIEW)]
-        if len(self.waiting) >= MAX_WAITING:
+        if len(self.waiting) >= MAX_QUEUED_PROPOSALS:
             return [Refuse(change, RefusalReason.TOO_MANY)]
         self.waiting.append(pack_entry(change))
         return self._flush(now)
@@ -234,13 +240,13 @@
         return (self.heartbeat(now) if now >= self.heartbeat_at else []) + self.resend(now)
 
     def is_disk_stalled(self, now: timedelta) -> bool:
-        """Whether a sync of the leader's own disk has been outstanding for more than `SILENCE`."""
-        return self.is_syncing and now - self.sync_at > SILENCE
+        """Whether a sync of the leader's own disk has been outstanding for more than `SILENCE_TIMEOUT`."""
+        return self.is_syncing and now - self.sync_at > SILENCE_TIMEOUT
 
     def is_idle(self) -> bool:
         """Whether no change is queued or waiting for the leader's disk."""
         return not self.is_syncing and not self.waiting
 
     def hears(self, names: Iterable[str], now: timedelta) -> set[str]:
-        """Returns those of the named replicas that were heard within `SILENCE`; this replica always counts."""
+        """Returns those of the named replicas that were heard within `SILENCE_TIMEOUT`; this replica always counts."""
         return {name for name in names if name == self.state.name or self.state.hears(name, now)}
--- a/sumachook/consensus/learners.py
+++ b/sumachook/consensus/learners.py
@@ -6,7 +6,13 @@
 
 from sumachook.consensus.messages import Announcement
 from sumachook.consensus.state import ReplicaState
-from sumachook.consensus.timing import ANNOUNCE_INTERVAL, LEARNER_TIMEOUT, MAX_LEARNERS, MIN_PRESENCE, UNKNOWN_AFTER
+from sumachook.consensus.timing import (
+    ANNOUNCE_AFTER,
+    ANNOUNCE_INTERVAL,
+    LEARNER_TIMEOUT,
+    MAX_LEARNERS,
+    MIN_LEARNER_PRESENCE,
+)
 from sumachook.consensus.views import Role
 from sumachook.host.effects import Effect, Send
 
@@ -65,13 +71,13 @@
         return {name: self.known[name].address for _, name in sorted(recent)}
 
     def steady(self, now: timedelta) -> dict[str, str]:
-        """Returns the present learners that have been heard over at least `MIN_PRESENCE`."""
+        """Returns the present learners that have been heard over at least `MIN_LEARNER_PRESENCE`."""
         present = self.present(now)
         return {name: address for name, address in present.items() if self._is_steady(self.known[name])}
 
     @staticmethod
     def _is_steady(item: Learner) -> bool:
-        return item.last_at - item.first_at >= MIN_PRESENCE
+        return item.last_at - item.first_at >= MIN_LEARNER_PRESENCE
 
     def superseded(self, now: timedelta) -> set[str]:
         """Returns the voters whose address is used by a learner with another identity, so their disk is lost."""
@@ -89,7 +95,7 @@
         state = self.state
         if now < self.announce_at or state.is_leaving or state.role is Role.LEADING:
             return []
-        is_outside = not state.is_voter and now - state.leader_heard_at > UNKNOWN_AFTER
+        is_outside = not state.is_voter and now - state.leader_heard_at > ANNOUNCE_AFTER
         if not is_outside and not state.may_be_removed(now):
             return []
         self.announce_at = now + ANNOUNCE_INTERVAL
--- a/sumachook/consensus/lease.py
+++ b/sumachook/consensus/lease.py
@@ -6,7 +6,7 @@
 from sumachook.consensus.views import NO_VIEW, ViewId
 from sumachook.consensus.voting_members import VotingMembers
 
-REMEMBERED = LEASE_GUARD
+ROUND_RETENTION = LEASE_GUARD
 
 
 class _Rounds:
@@ -21,7 +21,7 @@
     def begin(self, now: timedelta) -> int:
         self.last += 1
         self.sent_at[self.last] = now
-        while self.sent_at and now - next(iter(self.sent_at.values())) > REMEMBERED:
+        while self.sent_at and now - next(iter(self.sent_at.values())) > ROUND_RETENTION:
             del self.sent_at[next(iter(self.sent_at))]
         return self.last
 
--- a/sumachook/consensus/log.py
+++ b/sumachook/consensus/log.py
@@ -11,7 +11,7 @@
 from sumachook.transport.codec import as_tuples, read_entry
 
 NO_DIGEST = b""
-VOTING_MEMBERS_CHANGES = (b'["found"', b'["seat-')
+VOTING_MEMBERS_CHANGE_PREFIXES = (b'["found"', b'["seat-')
 
 
 class Snapshot(msgspec.Struct, frozen=True):
@@ -138,7 +138,7 @@
             self.entries.append(entry)
             self.digests.append(_chained(self.digests[-1], entry))
             self.size += len(entry)
-            if entry.startswith(VOTING_MEMBERS_CHANGES):
+            if entry.startswith(VOTING_MEMBERS_CHANGE_PREFIXES):
                 after = self.voting_members.after(read_entry(entry))
                 self.voting_members_history.append(VotingMembersChange(self.end, after))
 
--- a/sumachook/consensus/membership.py
+++ b/sumachook/consensus/membership.py
@@ -6,7 +6,7 @@
 from sumachook.consensus.learners import Learners
 from sumachook.consensus.progress import Progress
 from sumachook.consensus.state import ReplicaState
-from sumachook.consensus.timing import SILENCE
+from sumachook.consensus.timing import SILENCE_TIMEOUT
 from sumachook.consensus.voting_members import majority_of
 
 Change = tuple[Any, ...]
@@ -56,7 +56,7 @@
         voting_members, state = self.state.voting_members, self.state
         if voting_members.joining in state.members:
             return ("seat-out", voting_members.leaving)
-        if voting_members.joining is not None and not state.hears(voting_members.joining, now, SILENCE):
+        if voting_members.joining is not None and not state.hears(voting_members.joining, now, SILENCE_TIMEOUT):
             return ("seat-out", voting_members.joining)
         return None
 
--- a/sumachook/consensus/progress.py
+++ b/sumachook/consensus/progress.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from sumachook.consensus.state import ReplicaState
-from sumachook.consensus.timing import CAUGHT_UP_WITHIN, SILENCE
+from sumachook.consensus.timing import CAUGHT_UP_TIMEOUT, SILENCE_TIMEOUT
 
 
 class _Debt(NamedTuple):
@@ -45,8 +45,8 @@
         return is_new
 
     def is_caught_up(self, name: str, now: timedelta) -> bool:
-        """Whether the replica had synced every committed entry within the last `CAUGHT_UP_WITHIN`."""
-        return name in self.caught_up_at and now - self.caught_up_at[name] < CAUGHT_UP_WITHIN
+        """Whether the replica had synced every committed entry within the last `CAUGHT_UP_TIMEOUT`."""
+        return name in self.caught_up_at and now - self.caught_up_at[name] < CAUGHT_UP_TIMEOUT
 
     def healthy_for(self, name: str, now: timedelta) -> timedelta:
         """Returns how long the replica has been caught up without interruption."""
@@ -58,7 +58,7 @@
             self.owed[name] = _Debt(self.owed[name].end, now)
 
     def is_stalled(self, name: str, now: timedelta) -> bool:
-        """Whether a member's oldest unacknowledged entry has been outstanding for more than `SILENCE`."""
+        """Whether a member's oldest unacknowledged entry has been outstanding for more than `SILENCE_TIMEOUT`."""
         end, acked = self.state.log.end, self.acked.get(name, 0)
         owed, since = self.owed.get(name, _Debt(0, now))
         if acked >= owed:
@@ -66,7 +66,7 @@
             if acked >= end:
                 del self.owed[name]
             return False
-        return now - since > SILENCE
+        return now - since > SILENCE_TIMEOUT
 
     def owing_for(self, name: str, now: timedelta) -> timedelta:
         """Returns how long the oldest unacknowledged entry of a member has been outstanding."""
--- a/sumachook/consensus/proposals.py
+++ b/sumachook/consensus/proposals.py
@@ -10,7 +10,7 @@
 from sumachook.consensus.leader import Leader
 from sumachook.consensus.messages import Propose
 from sumachook.consensus.state import NONCE_BITS, ReplicaState
-from sumachook.consensus.timing import CHUNK_BYTES, MAX_PROPOSAL_BYTES, MAX_WAITING, PROPOSAL_TIMEOUT
+from sumachook.consensus.timing import CHUNK_BYTES, MAX_PROPOSAL_BYTES, MAX_QUEUED_PROPOSALS, PROPOSAL_TIMEOUT
 from sumachook.consensus.views import Role
 from sumachook.host.effects import Effect, Send
 from sumachook.transport.codec import as_tuples, pack_entry
@@ -85,7 +85,7 @@
         if address := self._leader_address(now):
             self.number += 1
             return [Send(address, part) for part in split_proposal(self.number, change)]
-        if len(self.pending) >= MAX_WAITING:
+        if len(self.pending) >= MAX_QUEUED_PROPOSALS:
             return [Refuse(change, RefusalReason.TOO_MANY)]
         self.pending.append(_Pending(change, now))
         return []
@@ -113,7 +113,7 @@
         return self.state.role is Role.LEADING and not self.state.is_leaving
 
     def _leader_address(self, now: timedelta) -> str | None:
-        """Returns the address of another replica that leads and was heard within `SILENCE`, or None."""
+        """Returns the address of another replica that leads and was heard within `SILENCE_TIMEOUT`, or None."""
         state = self.state
         is_other = state.leader is not None and state.leader != state.name and state.role in (Role.MEMBER, Role.IDLE)
         return state.leader_address if is_other and not state.hears_no_leader(now) else None
--- a/sumachook/consensus/replica.py
+++ b/sumachook/consensus/replica.py
@@ -23,7 +23,7 @@
 from sumachook.consensus.slow_members import SlowMembers
 from sumachook.consensus.state import ReplicaState
 from sumachook.consensus.storage import Record
-from sumachook.consensus.timing import MAX_TICK_GAP, SILENCE
+from sumachook.consensus.timing import MAX_TICK_GAP, SILENCE_TIMEOUT
 from sumachook.consensus.view_maintenance import ViewMaintenance
 from sumachook.consensus.views import Role, ViewId
 from sumachook.consensus.voter import Voter
@@ -169,7 +169,7 @@
         if gap > MAX_TICK_GAP:
             self.leader.lease.forget()
             self.state.freshness.forget()
-        if gap > SILENCE and self.role in LEADER_ROLES:
+        if gap > SILENCE_TIMEOUT and self.role in LEADER_ROLES:
             self.state.back_off(now)
 
     def _tick(self, cores: tuple[str, ...], now: timedelta) -> list[Effect]:
--- a/sumachook/consensus/slow_members.py
+++ b/sumachook/consensus/slow_members.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from sumachook.consensus.timing import EXCLUSION, EXCLUSION_FORGOTTEN_AFTER, MAX_EXCLUSION
+from sumachook.consensus.timing import EXCLUSION_RESET_AFTER, EXCLUSION_TIME, MAX_EXCLUSION
 
 
 class _Exclusion(msgspec.Struct, frozen=True):
@@ -32,8 +32,8 @@
     def add(self, replica: str, now: timedelta) -> None:
         """Records a failure of the replica and starts or extends its exclusion."""
         last = self.by_replica.get(replica)
-        is_repeated = last is not None and now - last.until < EXCLUSION_FORGOTTEN_AFTER
-        pause = min(last.pause * 2, MAX_EXCLUSION) if last is not None and is_repeated else EXCLUSION
+        is_repeated = last is not None and now - last.until < EXCLUSION_RESET_AFTER
+        pause = min(last.pause * 2, MAX_EXCLUSION) if last is not None and is_repeated else EXCLUSION_TIME
         self.by_replica[replica] = _Exclusion(now + pause, pause)
 
     def is_excluded(self, replica: str, now: timedelta) -> bool:
--- a/sumachook/consensus/state.py
+++ b/sumachook/consensus/state.py
@@ -12,7 +12,7 @@
 from sumachook.consensus.messages import Message
 from sumachook.consensus.options import Options
 from sumachook.consensus.storage import FILE, Record, Restored, all_records
-from sumachook.consensus.timing import LEAVING_KNOWN_FOR, MAX_LOG_RECORDS, REMOVAL_SUSPECTED_AFTER, SILENCE
+from sumachook.consensus.timing import LEAVING_NOTICE_TIMEOUT, MAX_LOG_RECORDS, REMOVAL_SUSPECTED_AFTER, SILENCE_TIMEOUT
 from sumachook.consensus.views import NO_VIEW, Role, ViewId
 from sumachook.consensus.voting_members import VotingMembers
 from sumachook.host import effects as host_effects
@@ -85,7 +85,7 @@
         self.highest_number = 0
         self.leader: str | None = None
         self.leader_address: str | None = None
-        self.leader_heard_at = now - SILENCE * 10
+        self.leader_heard_at = now - SILENCE_TIMEOUT * 10
         self.retry_at = now + timedelta(seconds=random.uniform(0.1, 0.3))
         self.heard_at: dict[str, timedelta] = {}
         self.guard, self.freshness = LeaseGuard(), Freshness(random.getrandbits(NONCE_BITS))
@@ -123,17 +123,17 @@
         """Whether this replica is an active member of its installed view and has promised no higher one."""
         return self.role is Role.MEMBER and self.view == self.promised
 
-    def hears(self, name: str, now: timedelta, within: timedelta = SILENCE) -> bool:
+    def hears(self, name: str, now: timedelta, within: timedelta = SILENCE_TIMEOUT) -> bool:
         """Whether a message of the named replica arrived less than `within` ago."""
         return name in self.heard_at and now - self.heard_at[name] < within
 
     def knows_leaving(self, name: str, now: timedelta) -> bool:
-        """Whether the named voter has announced its shutdown within `LEAVING_KNOWN_FOR`."""
-        return name in self.leaving_at and now - self.leaving_at[name] < LEAVING_KNOWN_FOR
+        """Whether the named voter has announced its shutdown within `LEAVING_NOTICE_TIMEOUT`."""
+        return name in self.leaving_at and now - self.leaving_at[name] < LEAVING_NOTICE_TIMEOUT
 
     def hears_no_leader(self, now: timedelta) -> bool:
-        """Whether no leader has been heard for more than `SILENCE`."""
-        return now - self.leader_heard_at > SILENCE
+        """Whether no leader has been heard for more than `SILENCE_TIMEOUT`."""
+        return now - self.leader_heard_at > SILENCE_TIMEOUT
 
     def may_be_removed(self, now: timedelta) -> bool:
         """Whether this replica has heard no leader for so long that it may have been removed without knowing it."""
--- a/sumachook/consensus/view_maintenance.py
+++ b/sumachook/consensus/view_maintenance.py
@@ -9,7 +9,7 @@
 from sumachook.consensus.progress import Progress
 from sumachook.consensus.slow_members import SlowMembers
 from sumachook.consensus.state import ReplicaState
-from sumachook.consensus.timing import LEARNER_DISCOVERY, REJOIN_AFTER, SILENCE, STEP_BACK_AFTER
+from sumachook.consensus.timing import LEARNER_DISCOVERY_TIME, REJOIN_AFTER, SILENCE_TIMEOUT, STEP_DOWN_AFTER
 from sumachook.host.effects import Effect
 
 
@@ -57,13 +57,13 @@
                 return self._start_without({name}, "Starting a view without a leaving replica.", now)
             silence = now - state.heard_at[name]
             is_stalled = self.progress.is_stalled(name, now)
-            if silence > SILENCE or is_stalled or name in superseded:
+            if silence > SILENCE_TIMEOUT or is_stalled or name in superseded:
                 rest = self.leader.hears(set(state.voting_members.addresses) - superseded - {name}, now)
                 if state.voting_members.has_quorum(rest):
                     self.slow_members.add(name, now)
                     lost = set(state.voting_members.addresses) - rest
                     return self._start_without(lost, "Starting a view without failed replicas.", now)
-            if silence > STEP_BACK_AFTER or self.progress.owing_for(name, now) > SILENCE * 3:
+            if silence > STEP_DOWN_AFTER or self.progress.owing_for(name, now) > SILENCE_TIMEOUT * 3:
                 return self.leader.step_back("No majority acknowledges entries, leader is stepping down.", now)
         return []
 
@@ -77,8 +77,8 @@
         return not is_replaceable and state.voting_members.has_quorum(rest)
 
     def may_replace(self, now: timedelta) -> bool:
-        """Whether a learner can replace a voter; a new leader assumes so for `LEARNER_DISCOVERY`."""
-        return bool(self.learners.present(now)) or now - self.leader.led_since < LEARNER_DISCOVERY
+        """Whether a learner can replace a voter; a new leader assumes so for `LEARNER_DISCOVERY_TIME`."""
+        return bool(self.learners.present(now)) or now - self.leader.led_since < LEARNER_DISCOVERY_TIME
 
     def _start_without(self, lost: set[str], text: str, now: timedelta) -> list[Effect]:
         note = self.state.note("warning", text, replicas=sorted(lost))
--- a/sumachook/consensus/voter.py
+++ b/sumachook/consensus/voter.py
@@ -7,7 +7,7 @@
 from sumachook.consensus.messages import Prepare, PreVote, PreVoteGranted, Promise, TakeOver, Yield
 from sumachook.consensus.state import ReplicaState
 from sumachook.consensus.storage import promise_record
-from sumachook.consensus.timing import SILENCE
+from sumachook.consensus.timing import SILENCE_TIMEOUT
 from sumachook.consensus.views import NO_VIEW, Role
 from sumachook.host.effects import Effect, Send
 
@@ -44,7 +44,7 @@
             return []
         if view > state.promised:  # a resent request must not extend the candidate's time
             state.leader_heard_at = now
-            state.retry_at = now + SILENCE + timedelta(seconds=state.random.uniform(0.1, 0.5))
+            state.retry_at = now + SILENCE_TIMEOUT + timedelta(seconds=state.random.uniform(0.1, 0.5))
         state.promised, state.role, state.leader = view, Role.IDLE, None
         return [state.store((promise_record(view),), PromiseSynced(view, address))]
 
@@ -73,7 +73,7 @@
         state = self.state
         state.guard.release(message.view)
         if sender == state.leader and message.view == state.view and state.role is Role.MEMBER:
-            state.leader_heard_at, state.retry_at = now - SILENCE * 1.01, now
+            state.leader_heard_at, state.retry_at = now - SILENCE_TIMEOUT * 1.01, now
         return []
 
     def _knows(self, sender: str, now: timedelta) -> bool:
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -11,7 +11,7 @@
     LEASE_GUARD,
     MAX_TICK_GAP,
     PROMISE_WAIT,
-    SILENCE,
+    SILENCE_TIMEOUT,
 )
 from sumachook.consensus.voting_members import VotingMembers
 from sumachook.host.effects import Send
@@ -76,7 +76,7 @@
 def test_a_member_that_doubted_its_leader_and_hears_it_again_is_a_member_again():
     """Else a view of two stands for ever, heard by all and acknowledging nothing."""
     replica = make_member()
-    replica.state.leader_heard_at = replica.state.retry_at = NOW - SILENCE * 2
+    replica.state.leader_heard_at = replica.state.retry_at = NOW - SILENCE_TIMEOUT * 2
     assert sent_messages(tick(replica, NOW), messages.PreVote) and replica.role is Role.PRE_VOTING
     receive(replica, "a", heartbeat_message(2), NOW + INSTALL_TIMEOUT / 2)
     tick(replica, NOW + INSTALL_TIMEOUT * 1.1)
