--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -154,8 +154,8 @@
     Mutation(
         5,
         "the ack does not wait for the disks of all members",
-        "reached = min(self.progress.acked.get(name, 0) for name in state.members)",
-        "reached = max(self.progress.acked.get(name, 0) for name in state.members)",
+        "acked_end = min(self.progress.acked.get(name, 0) for name in state.members)",
+        "acked_end = max(self.progress.acked.get(name, 0) for name in state.members)",
         "tests/consensus/test_replica.py",
         "not_by_a_majority",
     ),
--- a/harness/mutations/model_checker.py
+++ b/harness/mutations/model_checker.py
@@ -14,7 +14,7 @@
         "leaders",
         "who acknowledged a round promises a view to anybody",
         "consensus/lease.py",
-        "if self.until is None or now >= self.until or (run and run == self.run):",
+        "if self.bound_until is None or now >= self.bound_until or (run_number and run_number == self.run_number):",
         "if True:",
         "no_deviation and started_anew",
     ),
@@ -45,10 +45,10 @@
         "durable",
         "a change is committed when the leader alone has it on its disk",
         "consensus/leader.py",
-        "reached = min(self.progress.acked.get(name, 0) for name in state.members)\n"
-        "        if reached <= state.committed:\n            return []\n        if not self._is_held_by_quorum(reached):",
-        "reached = max(self.progress.acked.get(name, 0) for name in state.members)\n"
-        "        if reached <= state.committed:\n            return []\n        if False:",
+        "acked_end = min(self.progress.acked.get(name, 0) for name in state.members)\n"
+        "        if acked_end <= state.committed:\n            return []\n        if not self._is_held_by_quorum(acked_end):",
+        "acked_end = max(self.progress.acked.get(name, 0) for name in state.members)\n"
+        "        if acked_end <= state.committed:\n            return []\n        if False:",
         "no_deviation and disks_stalled",
     ),
     _mutation(
@@ -70,15 +70,15 @@
         "no-change",
         "a replica that hears no leader never stands",
         "consensus/candidate.py",
-        "if not state.hears_no_leader(now) or not state.is_voter:",
+        "if not state.leader_timed_out(now) or not state.is_voter:",
         "if True:",
     ),
     _mutation(
         "catch-up",
         "who is out of the view stays out",
         "consensus/view_maintenance.py",
-        "return self._is_new(name) or self.progress.healthy_for(name, now) > REJOIN_AFTER",
-        "return self._is_new(name)",
+        "return self._is_new_voter(name) or self.progress.healthy_for(name, now) > REJOIN_AFTER",
+        "return self._is_new_voter(name)",
     ),
     _mutation(
         "stale-read",
--- a/sumachook/consensus/candidate.py
+++ b/sumachook/consensus/candidate.py
@@ -24,8 +24,8 @@
         "state",
         "slow_members",
         "installer",
-        "accepted",
-        "starts",
+        "granted_by",
+        "run_numbers",
         "token",
         "is_unanimous",
         "pre_votes_sent_at",
@@ -34,18 +34,18 @@
         "released",
         "started_at",
         "majority_at",
-        "sent_at",
+        "prepares_sent_at",
     )
 
     def __init__(self, state: ReplicaState, slow_members: SlowMembers, installer: Installer, now: timedelta) -> None:
         self.state, self.slow_members, self.installer = state, slow_members, installer
-        self.accepted: set[str] = set()
-        self.starts: dict[str, int] = {}  # run numbers of voters that may be bound by a lease from before a restart
+        self.granted_by: set[str] = set()
+        self.run_numbers: dict[str, int] = {}  # of voters that may be bound by a lease from before a restart
         self.token, self.is_unanimous = 0, False
         self.promises: dict[str, Promise] = {}
         self.suspected: set[str] = set()
         self.released: ViewId = NO_VIEW
-        self.pre_votes_sent_at = self.started_at = self.sent_at = now
+        self.pre_votes_sent_at = self.started_at = self.prepares_sent_at = now
         self.majority_at: timedelta | None = None
 
     # pre-vote
@@ -53,14 +53,14 @@
     def tick_idle(self, now: timedelta) -> list[Effect]:
         """Starts or repeats the pre-vote once no leader has been heard within `SILENCE_TIMEOUT`."""
         state = self.state
-        if not state.hears_no_leader(now) or not state.is_voter:
+        if not state.leader_timed_out(now) or not state.is_voter:
             return []
         if state.role is Role.PRE_VOTING:
             return self._send_pre_votes(now) if now >= self.pre_votes_sent_at + PRE_VOTE_INTERVAL else []
-        if now < state.retry_at or state.is_leaving:
+        if now < state.next_election_at or state.is_leaving:
             return []
         state.role, state.candidacy = Role.PRE_VOTING, state.next_view()
-        self.accepted, self.starts, self.token = set(), {}, state.random.getrandbits(NONCE_BITS)
+        self.granted_by, self.run_numbers, self.token = set(), {}, state.random.getrandbits(NONCE_BITS)
         self.suspected = {state.leader} - {None, state.name}  # type: ignore[assignment]
         for name in self.suspected:
             state.heard_at[name] = state.leader_heard_at
@@ -73,27 +73,27 @@
     def on_pre_vote_granted(self, sender: str, message: PreVoteGranted, now: timedelta) -> list[Effect]:
         """Counts a pre-vote grant; starts the election once a quorum has granted and no lease binds this replica."""
         state = self.state
-        if state.role is not Role.PRE_VOTING or message.view != state.candidacy or not state.hears_no_leader(now):
+        if state.role is not Role.PRE_VOTING or message.view != state.candidacy or not state.leader_timed_out(now):
             return []
         if message.token != self.token:
             return []
-        self.starts.pop(sender, None)
+        self.run_numbers.pop(sender, None)
         if message.start:
-            self.starts[sender] = message.start
+            self.run_numbers[sender] = message.start
         else:
-            self.accepted.add(sender)
-        if self._has_all(now):
+            self.granted_by.add(sender)
+        if self._all_voters_granted(now):
             return self.start(now, self.suspected, is_unanimous=True)
         is_free = state.guard.permits(state.name, NO_VIEW, now)
-        if not is_free or not state.voting_members.has_quorum({state.name, *self.accepted}):
+        if not is_free or not state.voting_members.has_quorum({state.name, *self.granted_by}):
             return []
         return self.start(now, self.suspected)
 
-    def _has_all(self, now: timedelta) -> bool:
+    def _all_voters_granted(self, now: timedelta) -> bool:
         """Whether all voters have granted the pre-vote, so none leads and no lease from before a restart is valid."""
         guard = self.state.guard
-        is_free = guard.permits(self.state.name, NO_VIEW, now, guard.run)
-        return is_free and set(self.state.other_voters) <= self.accepted | set(self.starts)
+        is_free = guard.permits(self.state.name, NO_VIEW, now, guard.run_number)
+        return is_free and set(self.state.other_voters) <= self.granted_by | set(self.run_numbers)
 
     # collection of promises
 
@@ -111,7 +111,7 @@
         state.candidacy = state.promised = state.next_view()
         self.suspected, self.released, self.is_unanimous = set(suspected), released, is_unanimous
         records = ((first_record,) if first_record else ()) + (promise_record(state.candidacy),)
-        return [state.store(records, CandidacySynced(state.candidacy))]
+        return [state.append_records(records, CandidacySynced(state.candidacy))]
 
     def start_without(self, late: set[str], now: timedelta) -> list[Effect]:
         """Restarts the election without these members, which made no progress in installing the last view."""
@@ -131,11 +131,11 @@
 
     def _send_prepares(self, now: timedelta) -> list[Effect]:
         """Sends `Prepare` to every voter that has not promised yet."""
-        state, self.sent_at = self.state, now
+        state, self.prepares_sent_at = self.state, now
         voters = tuple(state.voting_members.addresses)
-        starts = self.starts if self.is_unanimous else {}
+        run_numbers = self.run_numbers if self.is_unanimous else {}
         return [
-            Send(address, Prepare(state.candidacy, voters, self.released, starts.get(name, 0)))
+            Send(address, Prepare(state.candidacy, voters, self.released, run_numbers.get(name, 0)))
             for name, address in state.other_voters.items()
             if name not in self.promises
         ]
@@ -155,7 +155,7 @@
             return out
         if now - self.started_at > PREPARE_TIMEOUT:
             self.state.back_off(now)
-        elif self.promises and now - self.sent_at >= PREPARE_INTERVAL:
+        elif self.promises and now - self.prepares_sent_at >= PREPARE_INTERVAL:
             return self._send_prepares(now)
         return []
 
@@ -170,13 +170,13 @@
         is_full = set(voting_members.addresses) - self.suspected <= set(self.promises)
         if not is_full and now - self.majority_at < PROMISE_WAIT:
             return []
-        best = self._best()
+        best = self._best_voter()
         if best != state.name:
             state.back_off(now)
             return [Send(voting_members.addresses[best], TakeOver(state.candidacy, self.released, {}))]
         return self._install(now)
 
-    def _best(self) -> str:
+    def _best_voter(self) -> str:
         """Returns the voter with the highest installed view, then the longest log; ties go to this replica."""
         state = self.state
         voters = [name for name in self.promises if name in state.voting_members.addresses]
@@ -192,7 +192,7 @@
             state.back_off(now)
             return []
         for name in state.voting_members.addresses:
-            if name not in self.promises and state.hears(name, now):
+            if name not in self.promises and state.has_heard(name, now):
                 self.slow_members.add(name, now)  # it is reachable but has not promised, so its disk is slow
         return self.installer.start(tuple(sorted(members)), self.promises, now)
 
@@ -201,7 +201,7 @@
         state = self.state
         members = {name for name in self.promises if name in state.voting_members.addresses}
         checks: tuple[Callable[[str], bool], ...] = (
-            lambda name: state.knows_leaving(name, now),
+            lambda name: state.is_known_leaving(name, now),
             self._is_lagging,
             lambda name: self.slow_members.is_excluded(name, now),
         )
--- a/sumachook/consensus/catch_up.py
+++ b/sumachook/consensus/catch_up.py
@@ -32,23 +32,23 @@
     `cursor` is the end of the local log prefix that is assumed to match the leader's log.
     """
 
-    __slots__ = ("state", "followed", "cursor", "asked_at", "transfer")
+    __slots__ = ("state", "followed", "cursor", "fetch_sent_at", "transfer")
 
     def __init__(self, state: ReplicaState, followed: FollowedLog) -> None:
         self.state, self.followed = state, followed
         self.cursor = 0
-        self.asked_at: timedelta | None = None
+        self.fetch_sent_at: timedelta | None = None
         self.transfer: _Transfer | None = None
 
     def begin(self) -> None:
         """Starts fetching from another leader, at the end of the local log."""
-        self.cursor, self.asked_at = self.state.log.end, None
+        self.cursor, self.fetch_sent_at = self.state.log.end, None
 
     def fetch(self, now: timedelta) -> list[Effect]:
         """Sends the next `Fetch`, unless a response is outstanding for less than `FETCH_RETRY_INTERVAL`."""
-        if self.asked_at is not None and now - self.asked_at < FETCH_RETRY_INTERVAL:
+        if self.fetch_sent_at is not None and now - self.fetch_sent_at < FETCH_RETRY_INTERVAL:
             return []
-        self.asked_at = now
+        self.fetch_sent_at = now
         followed, transfer = self.followed, self.transfer
         self.cursor = max(followed.matched, min(self.cursor, self.state.log.end))
         digest = self.state.log.digest_at(self.cursor) or b""
@@ -56,7 +56,7 @@
         return [Send(followed.address, Fetch(followed.view, self.cursor + 1, digest, number, offset))]
 
     def _fetch_next(self, now: timedelta) -> list[Effect]:
-        self.asked_at = None
+        self.fetch_sent_at = None
         return self.fetch(now) if self.followed.is_behind or self.cursor < self.followed.end else []
 
     def on_entries(self, message: Entries, now: timedelta) -> list[Effect]:
@@ -69,7 +69,7 @@
                 return []  # the leader is about to install another view
             self.cursor = self.followed.matched
             return self._fetch_next(now)
-        out = self.followed.take(message.first, message.entries)
+        out = self.followed.merge_entries(message.first, message.entries)
         self.cursor = self.followed.matched
         return out + self._fetch_next(now)
 
@@ -80,7 +80,7 @@
         data = self._assemble(message)
         out: list[Effect] = []
         if data is not None:
-            out = self.followed.take(message.number, (data,))
+            out = self.followed.merge_entries(message.number, (data,))
             self.cursor = self.followed.matched
         return out + self._fetch_next(now)
 
@@ -91,14 +91,14 @@
             return []
         if state.log.digest_at(message.number) == message.digest:  # the local log already contains these entries
             self.cursor = message.number
-            return followed.take(message.number + 1, ()) + self._fetch_next(now)
+            return followed.merge_entries(message.number + 1, ()) + self._fetch_next(now)
         data = self._assemble(message)
         out: list[Effect] = []
         if data is not None:
-            out = state.adopt(decode_snapshot(data))
+            out = state.install_snapshot(decode_snapshot(data))
             state.followed = followed.view
-            self.cursor = followed.matched = followed.stored = message.number
-            out.append(state.rewrite(EntriesSynced(followed.view, followed.address, message.number)))
+            self.cursor = followed.matched = followed.submitted = message.number
+            out.append(state.rewrite_records(EntriesSynced(followed.view, followed.address, message.number)))
         return out + self._fetch_next(now)
 
     def _assemble(self, part: EntryPart | SnapshotPart) -> bytes | None:
--- a/sumachook/consensus/departure.py
+++ b/sumachook/consensus/departure.py
@@ -14,37 +14,37 @@
 class Departure:
     """Hands over leadership, asks to be replaced, and emits `Departed` once no data depends on this replica."""
 
-    __slots__ = ("state", "leader", "begun_at", "notify_at", "will_be_replaced", "is_over")
+    __slots__ = ("state", "leader", "begun_at", "next_notice_at", "will_be_replaced", "has_departed")
 
     def __init__(self, state: ReplicaState, leader: Leader) -> None:
         self.state, self.leader = state, leader
         self.begun_at: timedelta | None = None
-        self.notify_at: timedelta | None = None
+        self.next_notice_at: timedelta | None = None
         self.will_be_replaced: bool | None = None
-        self.is_over = False
+        self.has_departed = False
 
     def begin(self, now: timedelta) -> list[Effect]:
         """Starts the shutdown; a replica without voting members departs at once."""
         if self.begun_at is not None:
             return []
         self.state.is_leaving = True
-        self.begun_at = self.notify_at = now
+        self.begun_at = self.next_notice_at = now
         if self.state.is_blank:
             return self._depart()
         return self.tick(now)
 
     def tick(self, now: timedelta) -> list[Effect]:
         """Hands over leadership, or resends `ReplicaLeaving` to the leader every `LEAVING_INTERVAL`."""
-        state, is_leaving = self.state, self.begun_at is not None and not self.is_over
+        state, is_leaving = self.state, self.begun_at is not None and not self.has_departed
         if state.role is Role.LEADING and (is_leaving or self._is_removed()):
             return self._hand_over(now)
         if not is_leaving:
             return []
-        if self.notify_at is not None and now < self.notify_at:
+        if self.next_notice_at is not None and now < self.next_notice_at:
             return []
-        self.notify_at = now + LEAVING_INTERVAL
+        self.next_notice_at = now + LEAVING_INTERVAL
         address = state.leader_address
-        if address is None or state.leader == state.name or state.hears_no_leader(now):
+        if address is None or state.leader == state.name or state.leader_timed_out(now):
             return []
         return [Send(address, ReplicaLeaving(state.name))]
 
@@ -56,18 +56,18 @@
     def _hand_over(self, now: timedelta) -> list[Effect]:
         """Releases the lease and sends `TakeOver` to the best member, so that the election needs no timeout."""
         state, acked = self.state, self.leader.progress.acked
-        heard = [name for name in state.members if name in state.other_voters and state.hears(name, now)]
+        reachable = [name for name in state.members if name in state.other_voters and state.has_heard(name, now)]
         is_settled = self.leader.is_idle() and state.committed == state.log.end
-        if not heard or not (is_settled or now - (self.begun_at or now) > HANDOVER_TIMEOUT):
+        if not reachable or not (is_settled or now - (self.begun_at or now) > HANDOVER_TIMEOUT):
             return []
-        best = max(heard, key=lambda name: (acked.get(name, 0), name))
+        best = max(reachable, key=lambda name: (acked.get(name, 0), name))
         address = state.voting_members.addresses.get(best)
         if address is None:
             return []
-        self.leader.lease.forget()
+        self.leader.lease.invalidate()
         state.back_off(now)
-        note = state.note("info", "Leadership handed over to another replica.", replica=best)
-        return [note, Send(address, TakeOver(state.view, state.view, self.leader.learners.present(now)))]
+        log_line = state.log_line("info", "Leadership handed over to another replica.", replica=best)
+        return [log_line, Send(address, TakeOver(state.view, state.view, self.leader.learners.present(now)))]
 
     def on_leaving_noted(self, message: LeavingNoted) -> list[Effect]:
         """Records whether the leader has a learner that can replace this replica."""
@@ -77,11 +77,11 @@
     def on_heartbeat(self, message: Heartbeat, now: timedelta) -> list[Effect]:
         """Departs once a leader with a lease has committed all local entries in a view without this replica."""
         state = self.state
-        if self.begun_at is None or self.is_over or not message.has_lease or message.view < state.followed:
+        if self.begun_at is None or self.has_departed or not message.has_lease or message.view < state.followed:
             return []
         is_outside = state.name not in message.members and state.role is Role.IDLE
-        holds_nothing_more = state.log.end <= message.committed
-        if not is_outside or not holds_nothing_more:
+        has_no_extra_entries = state.log.end <= message.committed
+        if not is_outside or not has_no_extra_entries:
             return []
         voting_members = state.voting_members
         is_replaced = voting_members.leaving == state.name and voting_members.joining in message.members
@@ -90,15 +90,15 @@
         return []
 
     def _depart(self) -> list[Effect]:
-        self.is_over = True
+        self.has_departed = True
         return [Departed()]
 
 
-def note_leaving(
+def record_leaving(
     state: ReplicaState, message: ReplicaLeaving, address: str, has_replacement: bool, now: timedelta
 ) -> list[Effect]:
     """Records at the leader that a voter is leaving, and replies with `LeavingNoted`."""
     if state.role is not Role.LEADING:
         return []
-    state.leaving_at[message.replica] = now
+    state.leaving_heard_at[message.replica] = now
     return [Send(address, LeavingNoted(has_replacement))]
--- a/sumachook/consensus/followed_log.py
+++ b/sumachook/consensus/followed_log.py
@@ -17,12 +17,12 @@
     the disk under this leader, and `state.synced` the end of the part that is durable.
     """
 
-    __slots__ = ("state", "view", "address", "matched", "stored", "committed", "end")
+    __slots__ = ("state", "view", "address", "matched", "submitted", "committed", "end")
 
     def __init__(self, state: ReplicaState) -> None:
         self.state = state
         self.view, self.address = NO_VIEW, ""
-        self.matched = self.stored = self.committed = self.end = 0
+        self.matched = self.submitted = self.committed = self.end = 0
 
     def begin(self, view: ViewId, address: str) -> bool:
         """Starts following the leader of this view; returns whether the view differs from the previous one."""
@@ -34,30 +34,30 @@
             view == state.view == state.followed
         )  # this view was installed before a restart, so the whole local log belongs to it
         self.matched = state.log.end if is_own_view else state.delivered
-        self.stored = state.synced = self.matched if is_own_view else 0
+        self.submitted = state.synced = self.matched if is_own_view else 0
         return True
 
-    def note(self, committed: int, end: int) -> None:
+    def record_leader_progress(self, committed: int, end: int) -> None:
         """Records the commit number and the end of the log that the leader announced."""
         self.committed, self.end = max(self.committed, committed), max(self.end, end)
 
     @property
     def is_behind(self) -> bool:
         """Whether the leader has entries that were not submitted to the local disk."""
-        return self.stored < self.end
+        return self.submitted < self.end
 
-    def take(self, first: int, entries: Sequence[bytes]) -> list[Effect]:
+    def merge_entries(self, first: int, entries: Sequence[bytes]) -> list[Effect]:
         """Appends entries that follow a matching prefix; truncates the local log at the first difference."""
         state, log = self.state, self.state.log
         new = log.merge(first, entries)
         matched = max(self.matched, first - 1 + len(entries))
-        if new is None and matched <= self.stored and state.followed == self.view:
+        if new is None and matched <= self.submitted and state.followed == self.view:
             return []
-        self.matched = self.stored = matched
+        self.matched = self.submitted = matched
         state.followed = self.view
         start = log.end + 1 if new is None else new
         record = entries_record(self.view, start, log.entries[start - log.base - 1 :])
-        return [state.store((record,), EntriesSynced(self.view, self.address, matched))]
+        return [state.append_records((record,), EntriesSynced(self.view, self.address, matched))]
 
     def deliver(self) -> list[Effect]:
         """Delivers the entries that are both committed and durable."""
--- a/sumachook/consensus/follower.py
+++ b/sumachook/consensus/follower.py
@@ -29,7 +29,7 @@
         self.synced_view = state.view
 
     def _follow(self, sender: str, address: str, view: ViewId, now: timedelta) -> None:
-        self.state.follow(sender, address, now)
+        self.state.set_leader(sender, address, now)
         if self.followed.begin(view, address):
             self.catch_up.begin()
 
@@ -46,11 +46,11 @@
         if self.joining is not None and self.joining.view == view and state.role is Role.JOINING:
             return self.catch_up.fetch(now)  # the leader has resent the message
         state.promised, state.role, self.joining = view, Role.JOINING, message
-        self.followed.note(0, message.end)
+        self.followed.record_leader_progress(0, message.end)
         agrees = state.log.digest_at(message.first - 1) == message.previous
         if agrees and message.first - 1 + len(message.entries) == message.end:
             return self._install(message, message.first, message.entries)
-        out = self.followed.take(message.first, message.entries) if agrees else []
+        out = self.followed.merge_entries(message.first, message.entries) if agrees else []
         return out + (self.finish_joining() or self.catch_up.fetch(now))
 
     def finish_joining(self) -> list[Effect]:
@@ -63,12 +63,12 @@
     def _install(self, message: Install, first: int, entries: Sequence[bytes]) -> list[Effect]:
         state, log = self.state, self.state.log
         new = log.merge(first, entries)
-        log.cut(message.end)
+        log.truncate_after(message.end)
         state.view, state.members, state.followed = message.view, message.members, message.view
-        self.joining, self.followed.matched, self.followed.stored = None, message.end, message.end
+        self.joining, self.followed.matched, self.followed.submitted = None, message.end, message.end
         start = message.end + 1 if new is None else new
         record = view_record(message.view, message.members, start, log.entries[start - log.base - 1 :])
-        return [state.store((record,), ViewSynced(message.view, self.followed.address, message.end))]
+        return [state.append_records((record,), ViewSynced(message.view, self.followed.address, message.end))]
 
     def on_view_synced(self, event: ViewSynced, now: timedelta) -> list[Effect]:
         """Becomes a member of the view, which is now durable with its log, and acknowledges the installation."""
@@ -82,7 +82,7 @@
     def tick(self, now: timedelta) -> list[Effect]:
         """Cancels joining a view if its leader has not been heard within `SILENCE_TIMEOUT`."""
         state = self.state
-        if state.role is Role.JOINING and state.hears_no_leader(now):
+        if state.role is Role.JOINING and state.leader_timed_out(now):
             state.role = Role.IDLE
         return []
 
@@ -96,8 +96,8 @@
         if message.first - 1 > followed.matched or state.log.digest_at(message.first - 1) != message.previous:
             return []
         state.leader_heard_at = now
-        followed.note(message.committed, message.end)
-        out = followed.take(message.first, message.entries)
+        followed.record_leader_progress(message.committed, message.end)
+        out = followed.merge_entries(message.first, message.entries)
         if not out and state.promised <= message.view and state.synced == followed.matched:
             out.append(Send(address, Appended(message.view, state.synced)))  # the leader has resent the entries
         out += followed.deliver()
@@ -115,18 +115,18 @@
     def on_heartbeat(self, sender: str, address: str, message: Heartbeat, now: timedelta) -> list[Effect]:
         """Follows the leader unless its view is lower than a known one, and acknowledges the heartbeat round."""
         state, view = self.state, message.view
-        known = max(state.followed, state.guard.view)
+        highest_known = max(state.followed, state.guard.view)
         is_own = state.role in CANDIDATE_ROLES and state.candidacy > view
-        if view < known or is_own:
-            promised = max(state.promised, known)
+        if view < highest_known or is_own:
+            promised = max(state.promised, highest_known)
             return [Send(address, HeartbeatAck(view, message.round, promised, 0, state.is_blank, 0))]
         if state.role in CANDIDATE_ROLES:
             state.back_off(now)
         self._follow(sender, address, view, now)
-        self._resume(message)
-        self.followed.note(message.committed, message.end)
+        self._restore_membership(message)
+        self.followed.record_leader_progress(message.committed, message.end)
         out = self.followed.deliver()
-        self._take_proof(message, now)
+        self._update_lease_state(message, now)
         own_round = state.freshness.begin_round(now)
         ack = HeartbeatAck(view, message.round, state.promised, state.synced, state.is_blank, own_round)
         out.append(Send(address, ack))
@@ -134,7 +134,7 @@
             out += self.catch_up.fetch(now)
         return out
 
-    def _resume(self, message: Heartbeat) -> None:
+    def _restore_membership(self, message: Heartbeat) -> None:
         """Restores membership after an abandoned pre-vote or a restart; every entry it acknowledged is durable."""
         state, view = self.state, message.view
         if state.role is Role.PRE_VOTING or (state.role is Role.MEMBER and view > state.view):
@@ -143,7 +143,7 @@
         if state.role is Role.IDLE and is_installed and state.name in message.members:
             state.role = Role.MEMBER
 
-    def _take_proof(self, message: Heartbeat, now: timedelta) -> None:
+    def _update_lease_state(self, message: Heartbeat, now: timedelta) -> None:
         """Binds this replica to the leader's lease, and updates its freshness from the echo of its own round."""
         state = self.state
         if state.promised <= message.view:
--- a/sumachook/consensus/installer.py
+++ b/sumachook/consensus/installer.py
@@ -20,14 +20,14 @@
     attempt (`Candidate.start_without`).
     """
 
-    __slots__ = ("state", "leader", "installed", "known", "progress_at", "sent_at")
+    __slots__ = ("state", "leader", "installed", "known_ends", "progress_at", "installs_sent_at")
 
     def __init__(self, state: ReplicaState, leader: Leader, now: timedelta) -> None:
         self.state, self.leader = state, leader
         self.installed: set[str] = set()
-        self.known: dict[str, int] = {}
+        self.known_ends: dict[str, int] = {}
         self.progress_at: dict[str, timedelta] = {}
-        self.sent_at = now
+        self.installs_sent_at = now
 
     def start(self, members: tuple[str, ...], promises: Mapping[str, Promise], now: timedelta) -> list[Effect]:
         """Persists the view locally and sends `Install` to the other members."""
@@ -36,11 +36,11 @@
         state.members = members
         state.view = state.followed = state.candidacy
         self.installed, self.progress_at = set(), dict.fromkeys(members, now)
-        self.known = {name: self._known_end(promises[name]) for name in members}
+        self.known_ends = {name: self._known_end(promises[name]) for name in members}
         self.leader.prepare_to_lead(now)
         record = view_record(state.view, members, state.log.end + 1, ())
         return [
-            state.store((record,), OwnViewSynced(state.view)),
+            state.append_records((record,), OwnViewSynced(state.view)),
             *self._send_installs(now),
             *self.leader.heartbeat(now),
         ]
@@ -51,15 +51,15 @@
         return promise.end if log.digest_at(promise.end) == promise.digest else promise.delivered
 
     def _send_installs(self, now: timedelta) -> list[Effect]:
-        state, self.sent_at = self.state, now
+        state, self.installs_sent_at = self.state, now
         missing = [name for name in state.members if name != state.name and name not in self.installed]
         addresses = state.voting_members.addresses
         return [Send(addresses[name], self._message_for(name)) for name in missing if name in addresses]
 
     def _message_for(self, name: str) -> Install:
         state, log = self.state, self.state.log
-        start = max(self.known[name], log.base)
-        entries = log.since(start + 1, CHUNK_BYTES)
+        start = max(self.known_ends[name], log.base)
+        entries = log.entries_from(start + 1, CHUNK_BYTES)
         return Install(state.view, state.members, start + 1, log.end, log.digest_at(start) or b"", entries)
 
     def on_installed(self, sender: str, message: Installed, now: timedelta) -> list[Effect]:
@@ -68,15 +68,15 @@
         if state.role is not Role.INSTALLING or message.view != state.candidacy or sender not in state.members:
             return []
         state.heard_at[sender] = now
-        return self._done(sender, now)
+        return self._mark_installed(sender, now)
 
     def on_own_view_synced(self, event: OwnViewSynced, now: timedelta) -> list[Effect]:
         """Counts this replica, which has synced the view to its own disk."""
         if event.view != self.state.candidacy or self.state.role is not Role.INSTALLING:
             return []
-        return self._done(self.state.name, now)
+        return self._mark_installed(self.state.name, now)
 
-    def _done(self, name: str, now: timedelta) -> list[Effect]:
+    def _mark_installed(self, name: str, now: timedelta) -> list[Effect]:
         self.installed.add(name)
         if set(self.state.members) <= self.installed:
             return self.leader.lead(now)
@@ -96,4 +96,4 @@
         if self.state.name in self.late_members(now):
             self.state.back_off(now, pause=SILENCE_TIMEOUT * 2)
             return []
-        return self._send_installs(now) if now - self.sent_at >= RESEND_INTERVAL else []
+        return self._send_installs(now) if now - self.installs_sent_at >= RESEND_INTERVAL else []
--- a/sumachook/consensus/leader.py
+++ b/sumachook/consensus/leader.py
@@ -32,37 +32,37 @@
         "learners",
         "progress",
         "lease",
-        "waiting",
+        "queued_changes",
         "is_syncing",
-        "sync_at",
-        "sent_at",
-        "heartbeat_at",
+        "sync_started_at",
+        "entries_sent_at",
+        "next_heartbeat_at",
         "echoes",
-        "first_end",
-        "is_announced",
-        "led_since",
+        "initial_end",
+        "is_lease_announced",
+        "leading_since",
     )
 
     def __init__(self, state: ReplicaState, learners: Learners, progress: Progress, now: timedelta) -> None:
         self.state, self.learners, self.progress = state, learners, progress
         self.lease = LeaderLease()
-        self.waiting: list[bytes] = []
+        self.queued_changes: list[bytes] = []
         self.is_syncing = False
-        self.sync_at = self.sent_at = self.heartbeat_at = self.led_since = now
+        self.sync_started_at = self.entries_sent_at = self.next_heartbeat_at = self.leading_since = now
         self.echoes: dict[str, int] = {}
-        self.first_end = 0
-        self.is_announced = False
+        self.initial_end = 0
+        self.is_lease_announced = False
 
     # start and end of leadership
 
     def prepare_to_lead(self, now: timedelta) -> None:
         """Resets the leader's state while its view is being installed, so that heartbeat rounds can start."""
         state = self.state
-        self.lease.forget()
+        self.lease.invalidate()
         self.progress.reset()
-        self.waiting, self.is_syncing, self.heartbeat_at, self.is_announced = [], False, now, False
+        self.queued_changes, self.is_syncing, self.next_heartbeat_at, self.is_lease_announced = [], False, now, False
         if state.leader != state.name:
-            self.led_since = now
+            self.leading_since = now
         state.leader, state.leader_address, state.leader_heard_at = state.name, state.address, now
         for name in state.voting_members.addresses:  # non-members count as absent since last heard
             state.heard_at[name] = now if name in state.members else state.heard_at.get(name, now)
@@ -70,32 +70,32 @@
     def lead(self, now: timedelta) -> list[Effect]:
         """Starts leading the view, which all members have synced."""
         state = self.state
-        state.role, state.synced, self.first_end = Role.LEADING, state.log.end, state.log.end
+        state.role, state.synced, self.initial_end = Role.LEADING, state.log.end, state.log.end
         for name in state.members:
             self.progress.acknowledge(name, state.log.end, now)
             state.heard_at[name] = now
         if state.log.end == 1:
-            self.waiting.append(pack_entry(("founded",)))
-        note = state.note("info", f"Replica leads view {state.view.number}.", members=list(state.members))
+            self.queued_changes.append(pack_entry(("founded",)))
+        log_line = state.log_line("info", f"Replica leads view {state.view.number}.", members=list(state.members))
         return [
-            note,
+            log_line,
             ViewChanged(state.view, state.members),
             *self._commit(now),
             *self.heartbeat(now),
             *self._flush(now),
         ]
 
-    def step_back(self, reason: str, now: timedelta) -> list[Effect]:
+    def step_down(self, reason: str, now: timedelta) -> list[Effect]:
         """Steps down and sends `Yield` to the other voters, so that they need not wait for a heartbeat timeout."""
         state = self.state
-        self.lease.forget()
+        self.lease.invalidate()
         state.back_off(now, pause=SILENCE_TIMEOUT * 2)
-        return [state.note("warning", reason), *state.send_to_voters(Yield(state.view))]
+        return [state.log_line("warning", reason), *state.send_to_voters(Yield(state.view))]
 
     def has_lease(self, now: timedelta) -> bool:
         """Whether the leader holds its lease, so that no other view can have acknowledged a change unknown to it."""
         state = self.state
-        is_leading = state.role is Role.LEADING and state.committed >= self.first_end
+        is_leading = state.role is Role.LEADING and state.committed >= self.initial_end
         return is_leading and self.lease.is_held(state.name, state.voting_members, now)
 
     # replication and commit of entries
@@ -104,24 +104,24 @@
         """Queues a change for the log, or rejects it if this replica does not lead or the queue is full."""
         if self.state.role is not Role.LEADING:
             return [Refuse(change, RefusalReason.NO_VIEW)]
-        if len(self.waiting) >= MAX_QUEUED_PROPOSALS:
+        if len(self.queued_changes) >= MAX_QUEUED_PROPOSALS:
             return [Refuse(change, RefusalReason.TOO_MANY)]
-        self.waiting.append(pack_entry(change))
+        self.queued_changes.append(pack_entry(change))
         return self._flush(now)
 
     def _flush(self, now: timedelta) -> list[Effect]:
         """Appends all queued changes as one batch, unless a disk sync of the previous batch is outstanding."""
-        if self.is_syncing or not self.waiting:
+        if self.is_syncing or not self.queued_changes:
             return []
-        state, batch, self.waiting = self.state, tuple(self.waiting), []
+        state, batch, self.queued_changes = self.state, tuple(self.queued_changes), []
         first = state.log.end + 1
         state.log.extend(batch)
-        self.is_syncing, self.sync_at = True, now
+        self.is_syncing, self.sync_started_at = True, now
         record = entries_record(state.view, first, batch)
-        store = state.store((record,), OwnEntriesSynced(state.view, state.log.end))
-        return [store, *self._send_entries(first, self._followers(now), now)]
+        store = state.append_records((record,), OwnEntriesSynced(state.view, state.log.end))
+        return [store, *self._send_entries(first, self._append_receivers(now), now)]
 
-    def _followers(self, now: timedelta) -> dict[str, str]:
+    def _append_receivers(self, now: timedelta) -> dict[str, str]:
         """Returns the addresses of the members and of learners that have caught up."""
         state = self.state
         voters = state.other_voters
@@ -132,9 +132,9 @@
 
     def _send_entries(self, first: int, targets: dict[str, str], now: timedelta) -> list[Effect]:
         """Sends entries from `first` on, as many as fit into one message; the receivers fetch the others."""
-        state, log, self.sent_at = self.state, self.state.log, now
+        state, log, self.entries_sent_at = self.state, self.state.log, now
         previous = log.digest_at(first - 1) or b""
-        entries = log.since(first, CHUNK_BYTES)
+        entries = log.entries_from(first, CHUNK_BYTES)
         message = Append(state.view, first, log.end, state.committed, previous, entries)
         return [Send(address, message) for address in targets.values()]
 
@@ -159,15 +159,15 @@
     def _commit(self, now: timedelta) -> list[Effect]:
         """Commits entries synced by every member of the view and by a quorum of the voting members as of that entry."""
         state, log = self.state, self.state.log
-        reached = min(self.progress.acked.get(name, 0) for name in state.members)
-        if reached <= state.committed:
+        acked_end = min(self.progress.acked.get(name, 0) for name in state.members)
+        if acked_end <= state.committed:
             return []
-        if not self._is_held_by_quorum(reached):
-            reached = min(reached, log.last_voting_members_change - 1)
-            if reached <= state.committed or not self._is_held_by_quorum(reached):
+        if not self._is_held_by_quorum(acked_end):
+            acked_end = min(acked_end, log.last_voting_members_change - 1)
+            if acked_end <= state.committed or not self._is_held_by_quorum(acked_end):
                 return []
-        state.committed = reached
-        return state.deliver(reached) + self.heartbeat(now)
+        state.committed = acked_end
+        return state.deliver(acked_end) + self.heartbeat(now)
 
     def _is_held_by_quorum(self, number: int) -> bool:
         holders = {name for name, end in self.progress.acked.items() if end >= number}
@@ -177,7 +177,7 @@
 
     def heartbeat(self, now: timedelta) -> list[Effect]:
         """Sends a new heartbeat round to the other voters and to recently heard learners."""
-        state, self.heartbeat_at = self.state, now + HEARTBEAT_INTERVAL
+        state, self.next_heartbeat_at = self.state, now + HEARTBEAT_INTERVAL
         number, has_lease = self.lease.begin_round(now), self.has_lease(now)
         names = {address: name for name, address in state.other_voters.items()}
         names |= {address: name for name, address in self.learners.present(now).items()}
@@ -200,15 +200,15 @@
     def on_heartbeat_ack(self, sender: str, address: str, message: HeartbeatAck, now: timedelta) -> list[Effect]:
         """Counts a heartbeat acknowledgement for the lease, as of the time at which its round was sent."""
         state = self.state
-        state.highest_number = max(state.highest_number, message.promised.number)
+        state.highest_view_number = max(state.highest_view_number, message.promised.number)
         if message.view != state.view or state.role not in (Role.LEADING, Role.INSTALLING):
             return []
         self.echoes[sender] = message.own_round
         state.heard_at[sender] = now
         if sender not in state.voting_members.addresses:
-            self.learners.note(sender, address, now)
+            self.learners.record(sender, address, now)
         if message.promised <= state.view:
-            self.lease.prove(sender, message.round)
+            self.lease.record_ack(sender, message.round)
         elif sender in state.members:
             state.back_off(now)  # a member promised a higher view while this replica was away: this view ended
             return []
@@ -220,9 +220,9 @@
 
     def _announce_lease(self, now: timedelta) -> list[Effect]:
         """Sends the first heartbeat under a new lease at once, because members' states are not fresh before it."""
-        if self.is_announced or not self.has_lease(now):
+        if self.is_lease_announced or not self.has_lease(now):
             return []
-        self.is_announced = True
+        self.is_lease_announced = True
         return self.heartbeat(now)
 
     def resend(self, now: timedelta) -> list[Effect]:
@@ -230,23 +230,23 @@
         state, acked = self.state, self.progress.acked
         late = {name for name in state.members if name != state.name and acked.get(name, 0) < state.log.end}
         targets = {name: address for name, address in state.other_voters.items() if name in late}
-        if not targets or now - self.sent_at <= RESEND_INTERVAL:
+        if not targets or now - self.entries_sent_at <= RESEND_INTERVAL:
             return []
         first = min(acked.get(name, 0) for name in targets) + 1
         return self._send_entries(max(first, state.log.base + 1), targets, now)
 
     def tick(self, now: timedelta) -> list[Effect]:
         """Sends the next heartbeat round if it is due, and resends unacknowledged entries."""
-        return (self.heartbeat(now) if now >= self.heartbeat_at else []) + self.resend(now)
+        return (self.heartbeat(now) if now >= self.next_heartbeat_at else []) + self.resend(now)
 
     def is_disk_stalled(self, now: timedelta) -> bool:
         """Whether a sync of the leader's own disk has been outstanding for more than `SILENCE_TIMEOUT`."""
-        return self.is_syncing and now - self.sync_at > SILENCE_TIMEOUT
+        return self.is_syncing and now - self.sync_started_at > SILENCE_TIMEOUT
 
     def is_idle(self) -> bool:
         """Whether no change is queued or waiting for the leader's disk."""
-        return not self.is_syncing and not self.waiting
+        return not self.is_syncing and not self.queued_changes
 
-    def hears(self, names: Iterable[str], now: timedelta) -> set[str]:
+    def recently_heard(self, names: Iterable[str], now: timedelta) -> set[str]:
         """Returns those of the named replicas that were heard within `SILENCE_TIMEOUT`; this replica always counts."""
-        return {name for name in names if name == self.state.name or self.state.hears(name, now)}
+        return {name for name in names if name == self.state.name or self.state.has_heard(name, now)}
--- a/sumachook/consensus/lease.py
+++ b/sumachook/consensus/lease.py
@@ -29,31 +29,31 @@
 class LeaderLease:
     """A leader's lease: valid while a quorum has acknowledged a recent round and promised no higher view."""
 
-    __slots__ = ("rounds", "proved_at")
+    __slots__ = ("rounds", "acked_at")
 
     def __init__(self) -> None:
         self.rounds = _Rounds()
-        self.proved_at: dict[str, timedelta] = {}
+        self.acked_at: dict[str, timedelta] = {}
 
     def begin_round(self, now: timedelta) -> int:
         """Starts a round that is sent at `now` and returns its number."""
         return self.rounds.begin(now)
 
-    def prove(self, replica: str, number: int) -> None:
+    def record_ack(self, replica: str, number: int) -> None:
         """Records that a replica has acknowledged this round; a round that is no longer remembered does not count."""
         sent_at = self.rounds.sent_at.get(number)
         if sent_at is not None:
-            self.proved_at[replica] = max(sent_at, self.proved_at.get(replica, sent_at))
+            self.acked_at[replica] = max(sent_at, self.acked_at.get(replica, sent_at))
 
     def is_held(self, leader: str, voting_members: VotingMembers, now: timedelta) -> bool:
         """Whether a quorum, with the leader, has acknowledged rounds sent less than `LEASE` ago."""
-        proved = {replica for replica, sent_at in self.proved_at.items() if now - sent_at < LEASE}
-        return voting_members.has_quorum({leader, *proved})
+        acked = {replica for replica, sent_at in self.acked_at.items() if now - sent_at < LEASE}
+        return voting_members.has_quorum({leader, *acked})
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Discards all acknowledgements and rounds, which ends the lease."""
         self.rounds.sent_at.clear()
-        self.proved_at.clear()
+        self.acked_at.clear()
 
 
 class LeaseGuard:
@@ -63,23 +63,23 @@
     promises only to a leader that has since shown a lease.
     """
 
-    __slots__ = ("until", "view", "run")
+    __slots__ = ("bound_until", "view", "run_number")
 
     def __init__(self) -> None:
-        self.until: timedelta | None = None
+        self.bound_until: timedelta | None = None
         self.view = NO_VIEW
-        self.run = 0  # number of this process run until its first acknowledgement, then 0
+        self.run_number = 0  # number of this process run until its first acknowledgement, then 0
 
-    def start(self, now: timedelta, run: int) -> None:
-        """Binds the replica after a restart with a non-blank disk; `run` is a non-zero number of this process run."""
-        self.until, self.view, self.run = now + LEASE_GUARD, NO_VIEW, run
+    def start(self, now: timedelta, run_number: int) -> None:
+        """Binds the replica after a restart with a non-blank disk; `run_number` is not 0, one per process run."""
+        self.bound_until, self.view, self.run_number = now + LEASE_GUARD, NO_VIEW, run_number
 
     def acknowledge(self, view: ViewId, now: timedelta) -> None:
         """Binds the replica to the leader of `view` for `LEASE_GUARD`, because it acknowledges a heartbeat round."""
-        if not self._is_unknown(now):
+        if not self._is_bound_to_unknown(now):
             self.view = view
-        self.run = 0
-        self.until = now + LEASE_GUARD if self.until is None else max(self.until, now + LEASE_GUARD)
+        self.run_number = 0
+        self.bound_until = now + LEASE_GUARD if self.bound_until is None else max(self.bound_until, now + LEASE_GUARD)
 
     def recognize(self, view: ViewId) -> None:
         """Binds the replica to the leader of `view`, which has held a lease since this replica was started."""
@@ -88,19 +88,19 @@
     def release(self, view: ViewId) -> None:
         """Unbinds the replica from the leader of `view`, which has released its lease."""
         if view == self.view and view != NO_VIEW:
-            self.until = None
+            self.bound_until = None
 
-    def permits(self, candidate: str, released: ViewId, now: timedelta, run: int = 0) -> bool:
+    def permits(self, candidate: str, released: ViewId, now: timedelta, run_number: int = 0) -> bool:
         """Whether the replica may promise a view to this candidate; `released` is a view whose lease has been released.
 
-        `run` is not 0 if every voter, this one in that process run, has granted the pre-vote, so that none leads.
+        `run_number` is not 0 if every voter has granted the pre-vote, this one in that process run, so that none leads.
         """
-        if self.until is None or now >= self.until or (run and run == self.run):
+        if self.bound_until is None or now >= self.bound_until or (run_number and run_number == self.run_number):
             return True
         return self.view != NO_VIEW and (candidate == self.view.replica or released == self.view)
 
-    def _is_unknown(self, now: timedelta) -> bool:
-        return self.until is not None and now < self.until and self.view == NO_VIEW
+    def _is_bound_to_unknown(self, now: timedelta) -> bool:
+        return self.bound_until is not None and now < self.bound_until and self.view == NO_VIEW
 
 
 class Freshness:
@@ -136,7 +136,7 @@
         """Whether the state was complete less than `FRESH_FOR` ago."""
         return self.complete_as_of is not None and now - self.complete_as_of < FRESH_FOR
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Discards all acknowledgements and rounds, which ends the lease."""
         self.rounds.sent_at.clear()
         self.complete_as_of = None
--- a/sumachook/consensus/log.py
+++ b/sumachook/consensus/log.py
@@ -66,12 +66,12 @@
     return Snapshot(document.number, bytes(document.state), document.voting_members, document.digest)
 
 
-def state_of(snapshot: Snapshot) -> Any:
+def decode_state(snapshot: Snapshot) -> Any:
     """Decodes the embedding program's state from a snapshot; JSON arrays become tuples."""
     return as_tuples(msgspec.json.decode(snapshot.state))
 
 
-def _chained(digest: bytes, entry: bytes) -> bytes:
+def _chained_digest(digest: bytes, entry: bytes) -> bytes:
     return blake2b(digest + entry, digest_size=8).digest()
 
 
@@ -83,7 +83,7 @@
     >>> log.extend([pack_entry(("found", {"a": "x:1", "b": "y:2"})), pack_entry(("seat-out", "b"))])
     >>> log.end, log.voting_members.addresses
     (2, {'a': 'x:1'})
-    >>> log.cut(1); log.voting_members.addresses
+    >>> log.truncate_after(1); log.voting_members.addresses
     {'a': 'x:1', 'b': 'y:2'}
     >>> log.merge(1, [log.entry(1), b'["founded"]', b'["x"]']), log.merge(2, [b'["founded"]']), log.end
     (2, None, 3)
@@ -136,7 +136,7 @@
         """Appends entries with their digests, and records each change of the voting members."""
         for entry in entries:
             self.entries.append(entry)
-            self.digests.append(_chained(self.digests[-1], entry))
+            self.digests.append(_chained_digest(self.digests[-1], entry))
             self.size += len(entry)
             if entry.startswith(VOTING_MEMBERS_CHANGE_PREFIXES):
                 after = self.voting_members.after(read_entry(entry))
@@ -150,12 +150,12 @@
         for number, entry in enumerate(entries, first):
             if number <= self.base or (number <= self.end and self.entry(number) == entry):
                 continue
-            self.cut(number - 1)
+            self.truncate_after(number - 1)
             self.extend(entries[number - first :])
             return number
         return None
 
-    def cut(self, last: int) -> None:
+    def truncate_after(self, last: int) -> None:
         """Removes all entries after `last`."""
         kept = max(0, last - self.base)
         self.size -= sum(map(len, self.entries[kept:]))
@@ -164,7 +164,7 @@
         while self.voting_members_history[-1].number > last and len(self.voting_members_history) > 1:
             self.voting_members_history.pop()
 
-    def since(self, first: int, max_bytes: int) -> tuple[bytes, ...]:
+    def entries_from(self, first: int, max_bytes: int) -> tuple[bytes, ...]:
         """Returns consecutive entries from `first` on, with a total size of at most `max_bytes`."""
         chosen: list[bytes] = []
         size = 0
--- a/sumachook/consensus/log_server.py
+++ b/sumachook/consensus/log_server.py
@@ -29,7 +29,7 @@
             return []
         state.heard_at[sender] = now
         self.installer.note_progress(sender, now)
-        self.progress.note_transfer(sender, now)
+        self.progress.record_transfer(sender, now)
         if sender in self.served:
             self.queued[sender] = (address, message)
             return []
@@ -59,7 +59,7 @@
         digest = log.digest_at(last)
         if digest is None or digest != message.digest:
             return Entries(state.view, message.first, False, b"", ())
-        entries = log.since(message.first, CHUNK_BYTES)
+        entries = log.entries_from(message.first, CHUNK_BYTES)
         if not entries and last < log.end:
             return self._entry_part(message)
         return Entries(state.view, message.first, True, digest, entries)
--- a/sumachook/consensus/membership.py
+++ b/sumachook/consensus/membership.py
@@ -32,57 +32,57 @@
             return None
         if state.voting_members.is_joint:
             return self._end_replacement(now)
-        ready = self._ready(now)
+        ready = self._ready_learners(now)
         if not ready:
             return None
         name, address = next(iter(ready.items()))
-        if self._may_grow(len(ready)):
+        if self._can_grow(len(ready)):
             return ("seat-in", name, address)
-        lost = self._to_replace(now)
+        lost = self._voter_to_replace(now)
         if lost is None or state.voting_members.size < 3:
             return None
         return ("seat-replace", lost, name, address)
 
-    def _ready(self, now: timedelta) -> dict[str, str]:
+    def _ready_learners(self, now: timedelta) -> dict[str, str]:
         """Returns the learners that are steadily heard, caught up and not leaving; the longest known come first."""
-        state, steady = self.state, self.learners.steady(now)
+        state, stable = self.state, self.learners.stable(now)
         return {
             name: address
-            for name, address in steady.items()
-            if self.progress.is_caught_up(name, now) and not state.knows_leaving(name, now)
+            for name, address in stable.items()
+            if self.progress.is_caught_up(name, now) and not state.is_known_leaving(name, now)
         }
 
     def _end_replacement(self, now: timedelta) -> Change | None:
         voting_members, state = self.state.voting_members, self.state
         if voting_members.joining in state.members:
             return ("seat-out", voting_members.leaving)
-        if voting_members.joining is not None and not state.hears(voting_members.joining, now, SILENCE_TIMEOUT):
+        if voting_members.joining is not None and not state.has_heard(voting_members.joining, now, SILENCE_TIMEOUT):
             return ("seat-out", voting_members.joining)
         return None
 
-    def _may_grow(self, ready: int) -> bool:
+    def _can_grow(self, ready_count: int) -> bool:
         """Whether voters may be added: two at a time, or one to an even number.
 
         The view must remain a majority of the enlarged group.
         """
         size, wanted = self.state.voting_members.size, self.state.options.wanted_voters
         is_uneven = size % 2 == 0 and size < wanted
-        is_pair = size + 2 <= wanted and ready >= 2
+        is_pair = size + 2 <= wanted and ready_count >= 2
         grown = size + 1 if is_uneven else size + 2
         return (is_uneven or is_pair) and len(self.state.members) >= majority_of(grown)
 
-    def _to_replace(self, now: timedelta) -> str | None:
+    def _voter_to_replace(self, now: timedelta) -> str | None:
         """Returns a voter with a lost disk, else a leaving one, else the one absent longest beyond `replace_after`."""
         state, superseded = self.state, self.learners.superseded(now)
-        away = {
+        absent_for = {
             name: now - state.heard_at.setdefault(name, now)
             for name in state.voting_members.addresses
             if name not in state.members
         }
-        lost = [name for name in away if name in superseded or away[name] > state.options.replace_after]
-        lost += [name for name in state.other_voters if state.knows_leaving(name, now) and name not in lost]
+        lost = [name for name in absent_for if name in superseded or absent_for[name] > state.options.replace_after]
+        lost += [name for name in state.other_voters if state.is_known_leaving(name, now) and name not in lost]
 
         def urgency(name: str) -> tuple[bool, bool, timedelta, str]:
-            return (name in superseded, state.knows_leaving(name, now), away.get(name, timedelta(0)), name)
+            return (name in superseded, state.is_known_leaving(name, now), absent_for.get(name, timedelta(0)), name)
 
         return max(lost, key=urgency, default=None)
--- a/sumachook/consensus/progress.py
+++ b/sumachook/consensus/progress.py
@@ -7,7 +7,7 @@
 from sumachook.consensus.timing import CAUGHT_UP_TIMEOUT, SILENCE_TIMEOUT
 
 
-class _Debt(NamedTuple):
+class _PendingAck(NamedTuple):
     """An unacknowledged log end of a replica, and when it was first noted or the replica last fetched entries."""
 
     end: int
@@ -17,18 +17,18 @@
 class Progress:
     """Per replica: the acknowledged log end, the oldest unacknowledged end, and since when it has been caught up."""
 
-    __slots__ = ("state", "acked", "owed", "caught_up_at", "healthy_since")
+    __slots__ = ("state", "acked", "pending_acks", "caught_up_at", "healthy_since")
 
     def __init__(self, state: ReplicaState) -> None:
         self.state = state
         self.acked: dict[str, int] = {}
-        self.owed: dict[str, _Debt] = {}
+        self.pending_acks: dict[str, _PendingAck] = {}
         self.caught_up_at: dict[str, timedelta] = {}
         self.healthy_since: dict[str, timedelta] = {}
 
     def reset(self) -> None:
         """Discards all acknowledgements, which do not apply to another view."""
-        self.acked, self.owed, self.caught_up_at, self.healthy_since = {}, {}, {}, {}
+        self.acked, self.pending_acks, self.caught_up_at, self.healthy_since = {}, {}, {}, {}
 
     def acknowledge(self, name: str, end: int, now: timedelta) -> bool:
         """Records the log end that a replica has synced; returns whether it differs from the recorded one."""
@@ -52,22 +52,22 @@
         """Returns how long the replica has been caught up without interruption."""
         return now - self.healthy_since[name] if self.is_caught_up(name, now) else timedelta(0)
 
-    def note_transfer(self, name: str, now: timedelta) -> None:
+    def record_transfer(self, name: str, now: timedelta) -> None:
         """Restarts the stall timeout of a replica, because it is fetching the entries that it lacks."""
-        if name in self.owed:
-            self.owed[name] = _Debt(self.owed[name].end, now)
+        if name in self.pending_acks:
+            self.pending_acks[name] = _PendingAck(self.pending_acks[name].end, now)
 
     def is_stalled(self, name: str, now: timedelta) -> bool:
         """Whether a member's oldest unacknowledged entry has been outstanding for more than `SILENCE_TIMEOUT`."""
         end, acked = self.state.log.end, self.acked.get(name, 0)
-        owed, since = self.owed.get(name, _Debt(0, now))
-        if acked >= owed:
-            self.owed[name] = _Debt(end, now)
+        pending_end, since = self.pending_acks.get(name, _PendingAck(0, now))
+        if acked >= pending_end:
+            self.pending_acks[name] = _PendingAck(end, now)
             if acked >= end:
-                del self.owed[name]
+                del self.pending_acks[name]
             return False
         return now - since > SILENCE_TIMEOUT
 
-    def owing_for(self, name: str, now: timedelta) -> timedelta:
+    def ack_pending_for(self, name: str, now: timedelta) -> timedelta:
         """Returns how long the oldest unacknowledged entry of a member has been outstanding."""
-        return now - self.owed[name].since if name in self.owed else timedelta(0)
+        return now - self.pending_acks[name].since if name in self.pending_acks else timedelta(0)
--- a/sumachook/consensus/proposals.py
+++ b/sumachook/consensus/proposals.py
@@ -32,10 +32,10 @@
 
 
 class _Pending(NamedTuple):
-    """A change that has been waiting for the next leader since `at`."""
+    """A change that has been waiting for the next leader since `queued_at`."""
 
     change: Any
-    at: timedelta
+    queued_at: timedelta
 
 
 class ProposalAssembler:
@@ -46,12 +46,12 @@
     def __init__(self) -> None:
         self.partial: dict[str, _Partial] = {}
 
-    def take(self, sender: str, part: Propose, now: timedelta) -> Any | None:
+    def add_part(self, sender: str, part: Propose, now: timedelta) -> Any | None:
         """Adds a part and returns the decoded change after the last one, else None."""
         if part.total > MAX_PROPOSAL_BYTES:
             return None
         if part.offset == 0:
-            self._forget_old(now)
+            self._drop_expired(now)
             self.partial[sender] = _Partial(part.number, bytearray(), now)
         partial = self.partial.get(sender)
         if partial is None or partial.number != part.number or len(partial.data) != part.offset:
@@ -62,7 +62,7 @@
         del self.partial[sender]
         return as_tuples(msgspec.json.decode(bytes(partial.data)))
 
-    def _forget_old(self, now: timedelta) -> None:
+    def _drop_expired(self, now: timedelta) -> None:
         oldest = now - PARTIAL_PROPOSAL_TIMEOUT
         self.partial = {sender: item for sender, item in self.partial.items() if item.at > oldest}
 
@@ -80,7 +80,7 @@
 
     def propose(self, change: Any, now: timedelta) -> list[Effect]:
         """Appends the change as leader, forwards it to the leader, or queues it until there is one."""
-        if self._can_order():
+        if self._can_append():
             return self.leader.propose(change, now)
         if address := self._leader_address(now):
             self.number += 1
@@ -92,28 +92,28 @@
 
     def on_propose(self, sender: str, message: Propose, now: timedelta) -> list[Effect]:
         """Appends a change received from another replica; passes it on while leadership is being handed over."""
-        change = self.assembler.take(sender, message, now)
+        change = self.assembler.add_part(sender, message, now)
         is_handing_over = self.state.is_leaving or self.state.role in (Role.PREPARING, Role.INSTALLING)
-        if change is None or not (self._can_order() or is_handing_over):
+        if change is None or not (self._can_append() or is_handing_over):
             return []
         return self.propose(change, now)
 
-    def settle(self, now: timedelta) -> list[Effect]:
+    def process_pending(self, now: timedelta) -> list[Effect]:
         """Proposes queued changes again once a leader is known, and rejects those queued beyond `PROPOSAL_TIMEOUT`."""
         if not self.pending:
             return []
-        if not self._can_order() and not self._leader_address(now):
-            overdue = [change for change, at in self.pending if now - at > PROPOSAL_TIMEOUT]
-            self.pending = [item for item in self.pending if now - item.at <= PROPOSAL_TIMEOUT]
+        if not self._can_append() and not self._leader_address(now):
+            overdue = [change for change, queued_at in self.pending if now - queued_at > PROPOSAL_TIMEOUT]
+            self.pending = [item for item in self.pending if now - item.queued_at <= PROPOSAL_TIMEOUT]
             return [Refuse(change, RefusalReason.NO_VIEW) for change in overdue]
         pending, self.pending = self.pending, []
         return [effect for change, _ in pending for effect in self.propose(change, now)]
 
-    def _can_order(self) -> bool:
+    def _can_append(self) -> bool:
         return self.state.role is Role.LEADING and not self.state.is_leaving
 
     def _leader_address(self, now: timedelta) -> str | None:
         """Returns the address of another replica that leads and was heard within `SILENCE_TIMEOUT`, or None."""
         state = self.state
         is_other = state.leader is not None and state.leader != state.name and state.role in (Role.MEMBER, Role.IDLE)
-        return state.leader_address if is_other and not state.hears_no_leader(now) else None
+        return state.leader_address if is_other and not state.leader_timed_out(now) else None
--- a/sumachook/consensus/reads.py
+++ b/sumachook/consensus/reads.py
@@ -39,7 +39,7 @@
         """Starts a read; answers at once if this replica holds the leader lease or has heard no leader."""
         if self.leader.has_lease(now):
             return [Readable(token)]
-        if self.state.hears_no_leader(now):
+        if self.state.leader_timed_out(now):
             return [Unreadable(token, None)]
         self.last += 1
         read = self.waiting[self.last] = _Read(token, now)
@@ -56,7 +56,7 @@
     def _leader_address(self, now: timedelta) -> str | None:
         state = self.state
         is_other = state.leader not in (None, state.name) and state.role in (Role.MEMBER, Role.IDLE)
-        return state.leader_address if is_other and not state.hears_no_leader(now) else None
+        return state.leader_address if is_other and not state.leader_timed_out(now) else None
 
     def on_read_index(self, address: str, message: ReadIndex, now: timedelta) -> list[Effect]:
         """Answers a follower's `ReadIndex`; the answer is valid only while this replica holds the leader lease."""
@@ -70,14 +70,14 @@
             read.must_deliver = message.committed
         return []
 
-    def settle(self, now: timedelta) -> list[Effect]:
+    def process_waiting(self, now: timedelta) -> list[Effect]:
         """Answers reads whose commit number is delivered, fails those past `READ_TIMEOUT`, and retries the others."""
         out: list[Effect] = []
         for number, read in list(self.waiting.items()):
             has_delivered = read.must_deliver is not None and self.state.delivered >= read.must_deliver
             if has_delivered or self.leader.has_lease(now):
                 out.append(Readable(read.token))
-            elif now - read.begun_at > READ_TIMEOUT or self.state.hears_no_leader(now):
+            elif now - read.begun_at > READ_TIMEOUT or self.state.leader_timed_out(now):
                 out.append(Unreadable(read.token, self._leader_address(now)))
             else:
                 out += self._ask(number, read, now) if read.must_deliver is None else []
--- a/sumachook/consensus/replica.py
+++ b/sumachook/consensus/replica.py
@@ -7,13 +7,13 @@
 
 from sumachook.consensus import events, messages
 from sumachook.consensus.candidate import Candidate
-from sumachook.consensus.departure import Departure, note_leaving
+from sumachook.consensus.departure import Departure, record_leaving
 from sumachook.consensus.follower import Follower
 from sumachook.consensus.founding import Founding
 from sumachook.consensus.installer import Installer
 from sumachook.consensus.leader import Leader
 from sumachook.consensus.learners import Learners
-from sumachook.consensus.log import Log, state_of
+from sumachook.consensus.log import Log, decode_state
 from sumachook.consensus.log_server import LogServer
 from sumachook.consensus.membership import Membership
 from sumachook.consensus.options import Options
@@ -120,7 +120,7 @@
 
     def snapshot(self) -> tuple[int, Any]:
         """Returns the number and state of the log's snapshot, from which the program restores its state at startup."""
-        return self.log.base, state_of(self.log.snapshot)
+        return self.log.base, decode_state(self.log.snapshot)
 
     def is_fresh(self, now: timedelta) -> bool:
         """Whether the state contains every change acknowledged more than `FRESH_FOR` ago.
@@ -136,7 +136,7 @@
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
         """Handles an event and returns the effects that the host must carry out in order."""
-        self._notice_gap(now)
+        self._handle_tick_gap(now)
         match event:
             case events.Tick(cores):
                 out = self._tick(cores, now)
@@ -153,7 +153,7 @@
                 return self.reads.request(token, now)
             case events.StepBackRequested():
                 out = (
-                    self.leader.step_back("Disk is not writable, leader is stepping down.", now)
+                    self.leader.step_down("Disk is not writable, leader is stepping down.", now)
                     if self.role is Role.LEADING
                     else []
                 )
@@ -161,14 +161,14 @@
                 out = self.departure.begin(now)
             case _:
                 out = self._on_synced(event, now)
-        return out + self.proposals.settle(now) + self.reads.settle(now)
+        return out + self.proposals.process_pending(now) + self.reads.process_waiting(now)
 
-    def _notice_gap(self, now: timedelta) -> None:
+    def _handle_tick_gap(self, now: timedelta) -> None:
         """Drops leases and freshness after a pause of the process; a long pause also ends leadership or an election."""
         gap = now - self.last_tick
         if gap > MAX_TICK_GAP:
-            self.leader.lease.forget()
-            self.state.freshness.forget()
+            self.leader.lease.invalidate()
+            self.state.freshness.invalidate()
         if gap > SILENCE_TIMEOUT and self.role in LEADER_ROLES:
             self.state.back_off(now)
 
@@ -182,7 +182,7 @@
                 return out + self.candidate.tick_preparing(now)
             case Role.INSTALLING:
                 return out + self._tick_installing(now)
-        if self.state.is_blank and self.state.hears_no_leader(now):
+        if self.state.is_blank and self.state.leader_timed_out(now):
             return out + self.founding.tick(cores, now)
         self.follower.tick(now)
         return out + self.learners.tick(cores, now) + self.candidate.tick_idle(now)
@@ -233,9 +233,9 @@
                 return self.follower.catch_up.on_entry_part(message, now) + self.follower.finish_joining()
             case messages.SnapshotPart():
                 return self.follower.catch_up.on_snapshot_part(message, now) + self.follower.finish_joining()
-        return self._receive_about_views(sender, address, message, now)
+        return self._receive_view_message(sender, address, message, now)
 
-    def _receive_about_views(
+    def _receive_view_message(
         self, sender: str, address: str, message: messages.Message, now: timedelta
     ) -> list[Effect]:
         match message:
@@ -248,7 +248,7 @@
             case messages.Promise():
                 return self.candidate.on_promise(sender, message, now)
             case messages.TakeOver():
-                self.learners.note_all(message.learners, now)
+                self.learners.record_all(message.learners, now)
                 return self.voter.on_take_over(sender, message, now)
             case messages.Yield():
                 return self.voter.on_yield(sender, message, now)
@@ -256,9 +256,9 @@
                 return self.follower.on_install(sender, address, message, now)
             case messages.Installed():
                 return self.installer.on_installed(sender, message, now)
-        return self._receive_about_voting_members(sender, address, message, now)
+        return self._receive_membership_message(sender, address, message, now)
 
-    def _receive_about_voting_members(
+    def _receive_membership_message(
         self, sender: str, address: str, message: messages.Message, now: timedelta
     ) -> list[Effect]:
         match message:
@@ -268,7 +268,7 @@
                 return self.learners.on_announcement(sender, message, now)
             case messages.ReplicaLeaving():
                 has_replacement = self.view_maintenance.may_replace(now)
-                return note_leaving(self.state, message, address, has_replacement, now)
+                return record_leaving(self.state, message, address, has_replacement, now)
             case messages.LeavingNoted():
                 return self.departure.on_leaving_noted(message)
             case messages.ReadIndex():
--- a/sumachook/consensus/slow_members.py
+++ b/sumachook/consensus/slow_members.py
@@ -24,18 +24,18 @@
     True
     """
 
-    __slots__ = ("by_replica",)
+    __slots__ = ("exclusions",)
 
     def __init__(self) -> None:
-        self.by_replica: dict[str, _Exclusion] = {}
+        self.exclusions: dict[str, _Exclusion] = {}
 
     def add(self, replica: str, now: timedelta) -> None:
         """Records a failure of the replica and starts or extends its exclusion."""
-        last = self.by_replica.get(replica)
+        last = self.exclusions.get(replica)
         is_repeated = last is not None and now - last.until < EXCLUSION_RESET_AFTER
         pause = min(last.pause * 2, MAX_EXCLUSION) if last is not None and is_repeated else EXCLUSION_TIME
-        self.by_replica[replica] = _Exclusion(now + pause, pause)
+        self.exclusions[replica] = _Exclusion(now + pause, pause)
 
     def is_excluded(self, replica: str, now: timedelta) -> bool:
         """Whether the replica must be kept out of the view at this time."""
-        return replica in self.by_replica and now < self.by_replica[replica].until
+        return replica in self.exclusions and now < self.exclusions[replica].until
--- a/sumachook/consensus/state.py
+++ b/sumachook/consensus/state.py
@@ -8,7 +8,7 @@
 from sumachook.consensus.effects import Compact, Deliver, Restore
 from sumachook.consensus.events import DiskSynced
 from sumachook.consensus.lease import Freshness, LeaseGuard
-from sumachook.consensus.log import Log, Snapshot, state_of
+from sumachook.consensus.log import Log, Snapshot, decode_state
 from sumachook.consensus.messages import Message
 from sumachook.consensus.options import Options
 from sumachook.consensus.storage import FILE, Record, Restored, all_records
@@ -47,16 +47,16 @@
         "synced",
         "role",
         "candidacy",
-        "highest_number",
+        "highest_view_number",
         "leader",
         "leader_address",
         "leader_heard_at",
-        "retry_at",
+        "next_election_at",
         "heard_at",
         "guard",
         "freshness",
         "is_leaving",
-        "leaving_at",
+        "leaving_heard_at",
         "record_count",
     )
 
@@ -82,15 +82,15 @@
         self.synced = self.log.end
         self.role = Role.IDLE
         self.candidacy: ViewId = NO_VIEW
-        self.highest_number = 0
+        self.highest_view_number = 0
         self.leader: str | None = None
         self.leader_address: str | None = None
         self.leader_heard_at = now - SILENCE_TIMEOUT * 10
-        self.retry_at = now + timedelta(seconds=random.uniform(0.1, 0.3))
+        self.next_election_at = now + timedelta(seconds=random.uniform(0.1, 0.3))
         self.heard_at: dict[str, timedelta] = {}
         self.guard, self.freshness = LeaseGuard(), Freshness(random.getrandbits(NONCE_BITS))
         self.is_leaving = False
-        self.leaving_at: dict[str, timedelta] = {}
+        self.leaving_heard_at: dict[str, timedelta] = {}
         self.record_count = 0
         if not self.is_blank or self.promised != NO_VIEW:
             self.guard.start(now, random.getrandbits(NONCE_BITS) + 1)
@@ -123,15 +123,15 @@
         """Whether this replica is an active member of its installed view and has promised no higher one."""
         return self.role is Role.MEMBER and self.view == self.promised
 
-    def hears(self, name: str, now: timedelta, within: timedelta = SILENCE_TIMEOUT) -> bool:
+    def has_heard(self, name: str, now: timedelta, within: timedelta = SILENCE_TIMEOUT) -> bool:
         """Whether a message of the named replica arrived less than `within` ago."""
         return name in self.heard_at and now - self.heard_at[name] < within
 
-    def knows_leaving(self, name: str, now: timedelta) -> bool:
+    def is_known_leaving(self, name: str, now: timedelta) -> bool:
         """Whether the named voter has announced its shutdown within `LEAVING_NOTICE_TIMEOUT`."""
-        return name in self.leaving_at and now - self.leaving_at[name] < LEAVING_NOTICE_TIMEOUT
+        return name in self.leaving_heard_at and now - self.leaving_heard_at[name] < LEAVING_NOTICE_TIMEOUT
 
-    def hears_no_leader(self, now: timedelta) -> bool:
+    def leader_timed_out(self, now: timedelta) -> bool:
         """Whether no leader has been heard for more than `SILENCE_TIMEOUT`."""
         return now - self.leader_heard_at > SILENCE_TIMEOUT
 
@@ -142,7 +142,11 @@
     def next_view(self) -> ViewId:
         """Returns a view of this replica with a higher number than any known view."""
         highest = max(
-            self.promised.number, self.view.number, self.candidacy.number, self.followed.number, self.highest_number
+            self.promised.number,
+            self.view.number,
+            self.candidacy.number,
+            self.followed.number,
+            self.highest_view_number,
         )
         return ViewId(highest + 1, self.name)
 
@@ -151,9 +155,9 @@
     def back_off(self, now: timedelta, pause: timedelta = timedelta(0)) -> None:
         """Stops leading or an election, and waits a random 0.2 to 0.9 s plus `pause` before the next election."""
         self.role = Role.IDLE
-        self.retry_at = now + timedelta(seconds=self.random.uniform(0.2, 0.9)) + pause
+        self.next_election_at = now + timedelta(seconds=self.random.uniform(0.2, 0.9)) + pause
 
-    def follow(self, leader: str, address: str, now: timedelta) -> None:
+    def set_leader(self, leader: str, address: str, now: timedelta) -> None:
         """Records the current leader and the time at which it was heard."""
         self.leader, self.leader_address, self.leader_heard_at = leader, address, now
 
@@ -161,23 +165,23 @@
         """Returns effects that send the message to every other voter."""
         return [Send(address, message) for address in dict.fromkeys(self.other_voters.values())]
 
-    def store(self, records: tuple[Record, ...], done: DiskSynced | None) -> Effect:
+    def append_records(self, records: tuple[Record, ...], done: DiskSynced | None) -> Effect:
         """Returns the effect that appends records to the log file; the host reports `done` once they are durable."""
         self.record_count += len(records)
         return AppendRecords(FILE, records, done)
 
-    def rewrite(self, done: DiskSynced | None) -> Effect:
+    def rewrite_records(self, done: DiskSynced | None) -> Effect:
         """Returns the effect that rewrites the log file from the current state."""
         self.record_count = 0
         return RewriteRecords(FILE, all_records(self.name, self), done)
 
-    def adopt(self, snapshot: Snapshot) -> list[Effect]:
+    def install_snapshot(self, snapshot: Snapshot) -> list[Effect]:
         """Replaces the log, which ends before the leader's snapshot or differs from it, by that snapshot."""
         self.log = Log(snapshot)
         if snapshot.number <= self.delivered:
             return []
         self.delivered = self.committed = snapshot.number
-        return [Restore(snapshot.number, state_of(snapshot))]
+        return [Restore(snapshot.number, decode_state(snapshot))]
 
     def deliver(self, up_to: int) -> list[Effect]:
         """Delivers entries up to number `up_to`, which must be committed and durable."""
@@ -207,8 +211,8 @@
         if not self.should_compact():
             return []
         self.log.compact(self.delivered, self.take_snapshot())
-        return [self.rewrite(None)]
+        return [self.rewrite_records(None)]
 
-    def note(self, level: str, text: str, **details: Any) -> Effect:
+    def log_line(self, level: str, text: str, **details: Any) -> Effect:
         """Returns the effect that writes a line to the program's log."""
         return host_effects.Log(level, LOG_COMPONENT, text, details)
--- a/sumachook/consensus/storage.py
+++ b/sumachook/consensus/storage.py
@@ -37,17 +37,17 @@
                 case ("snapshot", number, state, voting_members, digest):
                     self.log = Log(_snapshot(number, state, voting_members, digest))
                 case ("view", view, members, first, entries):
-                    self._take_entries(ViewId(*view), first, entries)
+                    self._replace_entries(ViewId(*view), first, entries)
                     self.view, self.members = ViewId(*view), tuple(members)
                     self.promised = max(self.promised, self.view)
                 case ("entries", view, first, entries):
-                    self._take_entries(ViewId(*view), first, entries)
+                    self._replace_entries(ViewId(*view), first, entries)
                 case (kind, *_) if kind != IDENTITY:
                     raise ValueError(f"unknown record {kind!r} in the log file: it was written by another version")
 
-    def _take_entries(self, view: ViewId, first: int, entries: Iterable[str]) -> None:
+    def _replace_entries(self, view: ViewId, first: int, entries: Iterable[str]) -> None:
         self.followed = max(self.followed, view)
-        self.log.cut(first - 1)
+        self.log.truncate_after(first - 1)
         self.log.extend([entry.encode() for entry in entries])
 
 
--- a/sumachook/consensus/voter.py
+++ b/sumachook/consensus/voter.py
@@ -24,10 +24,10 @@
         """Grants a pre-vote if the candidate's log is no worse, no leader is active and no lease binds this replica."""
         state = self.state
         # A leader that requests a pre-vote does not lead any more.
-        hears_other = sender != state.leader and not state.hears_no_leader(now)
-        if state.role is Role.LEADING or hears_other or not self._knows(sender, now):
+        has_other_leader = sender != state.leader and not state.leader_timed_out(now)
+        if state.role is Role.LEADING or has_other_leader or not self._accepts_candidate(sender, now):
             return []
-        start = 0 if state.guard.permits(sender, NO_VIEW, now) else state.guard.run
+        start = 0 if state.guard.permits(sender, NO_VIEW, now) else state.guard.run_number
         is_bound = not start and not state.guard.permits(sender, NO_VIEW, now)
         if is_bound or (state.view, state.log.end) > (message.installed, message.end):
             return []
@@ -38,15 +38,15 @@
         state, view = self.state, message.view
         if view < state.promised or (view == state.promised and state.view == view):
             return []
-        if state.name not in message.voters or not self._knows(sender, now):
+        if state.name not in message.voters or not self._accepts_candidate(sender, now):
             return []
         if not state.guard.permits(sender, message.released, now, message.start):
             return []
         if view > state.promised:  # a resent request must not extend the candidate's time
             state.leader_heard_at = now
-            state.retry_at = now + SILENCE_TIMEOUT + timedelta(seconds=state.random.uniform(0.1, 0.5))
+            state.next_election_at = now + SILENCE_TIMEOUT + timedelta(seconds=state.random.uniform(0.1, 0.5))
         state.promised, state.role, state.leader = view, Role.IDLE, None
-        return [state.store((promise_record(view),), PromiseSynced(view, address))]
+        return [state.append_records((promise_record(view),), PromiseSynced(view, address))]
 
     def on_promise_synced(self, event: PromiseSynced) -> list[Effect]:
         """Sends a durable promise to the candidate, with a description of the local log."""
@@ -65,7 +65,7 @@
         state.guard.release(message.released)
         if message.view < state.promised or not state.guard.permits(sender, message.released, now):
             return []
-        state.highest_number = max(state.highest_number, message.view.number)
+        state.highest_view_number = max(state.highest_view_number, message.view.number)
         return self.candidate.start(now, suspected=set(), released=message.released)
 
     def on_yield(self, sender: str, message: Yield, now: timedelta) -> list[Effect]:
@@ -73,10 +73,10 @@
         state = self.state
         state.guard.release(message.view)
         if sender == state.leader and message.view == state.view and state.role is Role.MEMBER:
-            state.leader_heard_at, state.retry_at = now - SILENCE_TIMEOUT * 1.01, now
+            state.leader_heard_at, state.next_election_at = now - SILENCE_TIMEOUT * 1.01, now
         return []
 
-    def _knows(self, sender: str, now: timedelta) -> bool:
+    def _accepts_candidate(self, sender: str, now: timedelta) -> bool:
         state = self.state
         return (
             not state.voting_members.addresses or sender in state.voting_members.addresses or state.may_be_removed(now)
--- a/tests/consensus/test_log.py
+++ b/tests/consensus/test_log.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sumachook.consensus import ViewId, events, messages
-from sumachook.consensus.log import Log, decode_snapshot, state_of
+from sumachook.consensus.log import Log, decode_snapshot, decode_state
 from sumachook.consensus.proposals import ProposalAssembler, split_proposal
 from sumachook.consensus.storage import Restored, all_records
 from sumachook.consensus.timing import (
@@ -50,7 +50,7 @@
     log.compact(3, state)
     state["duties"]["placer"] = ("b", 2)
     snapshot = decode_snapshot(log.encoded_snapshot().data)
-    assert snapshot == log.snapshot and state_of(snapshot) == {"duties": {"placer": ("a", 1)}}
+    assert snapshot == log.snapshot and decode_state(snapshot) == {"duties": {"placer": ("a", 1)}}
     other = Log(snapshot)
     other.extend([b'["y"]'])
     assert other.digest_at(4) == digest and other.voting_members == voting_members and other.voting_members.is_joint
@@ -127,8 +127,8 @@
 def test_a_proposal_in_parts_comes_out_whole_and_one_with_a_gap_does_not():
     change = ("apply", "x" * (CHUNK_BYTES * 2))
     parts, assembler = list(split_proposal(1, change)), ProposalAssembler()
-    assert [assembler.take("a", part, NOW) for part in parts] == [None, None, change]
-    assert [assembler.take("a", part, NOW) for part in (parts[0], parts[2])] == [None, None]
+    assert [assembler.add_part("a", part, NOW) for part in parts] == [None, None, change]
+    assert [assembler.add_part("a", part, NOW) for part in (parts[0], parts[2])] == [None, None]
 
 
 # the wire
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -76,7 +76,7 @@
 def test_a_member_that_doubted_its_leader_and_hears_it_again_is_a_member_again():
     """Else a view of two stands for ever, heard by all and acknowledging nothing."""
     replica = make_member()
-    replica.state.leader_heard_at = replica.state.retry_at = NOW - SILENCE_TIMEOUT * 2
+    replica.state.leader_heard_at = replica.state.next_election_at = NOW - SILENCE_TIMEOUT * 2
     assert sent_messages(tick(replica, NOW), messages.PreVote) and replica.role is Role.PRE_VOTING
     receive(replica, "a", heartbeat_message(2), NOW + INSTALL_TIMEOUT / 2)
     tick(replica, NOW + INSTALL_TIMEOUT * 1.1)
@@ -195,9 +195,9 @@
 def test_guard_lease_and_freshness_by_themselves():
     lease, voting_members = LeaderLease(), VotingMembers(ADDRESSES)
     number = lease.begin_round(NOW)
-    lease.prove("b", number + 1)
+    lease.record_ack("b", number + 1)
     assert not lease.is_held("a", voting_members, NOW)
-    lease.prove("b", number)
+    lease.record_ack("b", number)
     assert lease.is_held("a", voting_members, NOW + LEASE * 0.99) and not lease.is_held(
         "a", voting_members, NOW + LEASE
     )
@@ -209,7 +209,7 @@
     assert guard.permits("b", NO_VIEW, NOW)
     freshness = Freshness()
     own_round = freshness.begin_round(NOW)
-    freshness.forget()
+    freshness.invalidate()
     freshness.confirm(own_round)
     assert not freshness.is_fresh(NOW)
 
