--- a/harness/experiments/replacements.py
+++ b/harness/experiments/replacements.py
@@ -10,7 +10,7 @@
 
 from sumachook.control_state.fields import CompletedRequest
 from sumachook.control_state.results import rejected
-from tests.consensus.test_losses import _add, _apply, _cores, _deployment, _holds, _time, _wipe
+from tests.consensus.test_losses import _add, _apply, _cores, _deployment, _has_full_view, _seconds_until, _wipe
 from tests.deployment_fixtures import box_of, compact_after, leader
 
 LIMIT = 10
@@ -21,7 +21,7 @@
     deployment = _deployment(seed, voters)
     for number in range(4, voters + 1):
         _add(deployment, number)
-    assert deployment.run_until(lambda: _holds(deployment, voters), 8)
+    assert deployment.run_until(lambda: _has_full_view(deployment, voters), 8)
     if is_large:
         compact_after(deployment, 10)
         for core in deployment.machines("core"):
@@ -35,7 +35,7 @@
 
 
 def _full(deployment, voters, node):
-    return _holds(deployment, voters) and node in leader(deployment).consensus.members
+    return _has_full_view(deployment, voters) and node in leader(deployment).consensus.members
 
 
 def _replaced(deployment, voters, lost, how):
@@ -55,7 +55,7 @@
         node = _add(deployment, 20).machine.node
         deployment.run(3)
         deployment.stop(lost)
-    return _time(
+    return _seconds_until(
         deployment,
         lambda: _full(deployment, voters, node) and (how != "planned" or deployment.boxes[lost].machine is None),
         LIMIT,
--- a/harness/mutations/consensus.py
+++ b/harness/mutations/consensus.py
@@ -26,7 +26,7 @@
         "return self.role is Role.MEMBER and self.view == self.promised",
         "return self.role in (Role.MEMBER, Role.IDLE)",
         REPLICA,
-        "promised_a_higher_view",
+        "after_promising_a_higher_view",
     ),
     _mutation(
         "the longest log counts, not the highest view's",
@@ -34,7 +34,7 @@
         "key=lambda name: (self.promises[name].installed, self.promises[name].end, name == state.name)",
         "key=lambda name: (self.promises[name].end, name == state.name)",
         REPLICA,
-        "highest_view",
+        "highest_view_wins",
     ),
     _mutation(
         "a member that doubted its leader stays out",
@@ -42,7 +42,7 @@
         "if state.role is Role.IDLE and is_installed and state.name in message.members:",
         "if False:",
         REPLICA,
-        "member_again",
+        "rejoins_the_view",
     ),
     _mutation(
         "an acknowledgement proves its sender as of when it arrives",
@@ -58,7 +58,7 @@
         "if message.promised <= state.view:",
         "if True:",
         REPLICA,
-        "promised_a_higher_view_proves_nothing",
+        "higher_promise_does_not_renew",
     ),
     _mutation(
         "a leader does not forget its proofs after a pause",
@@ -66,7 +66,7 @@
         "            self.leader.lease.invalidate()\n",
         "",
         REPLICA,
-        "who_was_away",
+        "drops_its_lease_after_a_pause",
     ),
     _mutation(
         "who acknowledged a round promises a view to anybody",
@@ -74,7 +74,7 @@
         "if not state.guard.permits(sender, message.released, now, message.start):",
         "if False:",
         REPLICA,
-        "who_acknowledged_a_round",
+        "until_the_lease_expires",
     ),
     _mutation(
         "no guard after a start",
@@ -82,7 +82,7 @@
         "            self.guard.start(now, random.getrandbits(NONCE_BITS) + 1)\n",
         "            pass\n",
         REPLICA,
-        "started_anew_may_have",
+        "until_the_lease_guard_expires",
     ),
     _mutation(
         "a view need not wait for leases though a voter did not answer",
@@ -90,7 +90,7 @@
         "return is_free and set(self.state.other_voters) <= self.granted_by | set(self.run_numbers)",
         "return is_free",
         REPLICA,
-        "every_voter_was_just_started",
+        "once_all_restarted_voters_have_granted",
     ),
     _mutation(
         "who acknowledged a round since it told its run promises all the same",
@@ -98,7 +98,7 @@
         "        self.run_number = 0\n        self.bound_until = now",
         "        self.bound_until = now",
         REPLICA,
-        "since_it_told_its_run",
+        "since_its_grant",
     ),
     _mutation(
         "after a start any leader passes the guard",
@@ -106,7 +106,7 @@
         "        if not self._is_bound_to_unknown(now):\n            self.view = view\n",
         "        self.view = view\n",
         REPLICA,
-        "obeys_a_leader_that_holds",
+        "has_since_shown_a_lease",
     ),
     _mutation(
         "a member is fresh as of when a heartbeat arrives",
@@ -138,7 +138,7 @@
         "Freshness(random.getrandbits(NONCE_BITS))",
         "Freshness()",
         REPLICA,
-        "process_before",
+        "previous_process",
     ),
     _mutation(
         "reads of every process begin with the same number",
@@ -146,7 +146,7 @@
         "self.last = state.random.getrandbits(NONCE_BITS)",
         "self.last = 0",
         REPLICA,
-        "process_before",
+        "previous_process",
     ),
     _mutation(
         "entries of a lower view are taken again",
@@ -154,7 +154,7 @@
         "highest_known = max(state.followed, state.guard.view)",
         "highest_known = max(state.view, state.guard.view)",
         LOG,
-        "never_takes_entries_of_a_lower_view",
+        "rejects_entries_of_a_lower_view",
     ),
     _mutation(
         "a fetch drops the whole tail",
@@ -162,7 +162,7 @@
         "if number <= self.base or (number <= self.end and self.entry(number) == entry):",
         "if number <= self.base:",
         LOG,
-        "cuts_its_log_at_the_first_difference",
+        "only_at_the_first_difference",
     ),
     _mutation(
         "a snapshot is not copied when it is taken",
@@ -170,7 +170,7 @@
         "return as_tuples(msgspec.json.decode(snapshot.state))",
         "return None",
         LOG,
-        "later_changes_of_the_state",
+        "later_state_changes",
     ),
     _mutation(
         "large entries are sent whole",
@@ -194,7 +194,7 @@
         "if not self._is_held_by_quorum(acked_end):\n            acked_end",
         "if False:\n            acked_end",
         REPLICA,
-        "quorum_of_the_roster_that_it_makes",
+        "quorum_of_the_new_ones",
     ),
     _mutation(
         "the one that is replaced goes before the other is in the view",
@@ -202,7 +202,7 @@
         "if voting_members.joining in state.members:",
         "if True:",
         REPLICA,
-        "until_the_other_is_in_the_view",
+        "until_its_successor_is_in_the_view",
     ),
     _mutation(
         "a replacement counts as four plain voters",
@@ -210,7 +210,7 @@
         "if self.joining is None or self.leaving is None:",
         "if True:",
         FLEET,
-        "dies_while",
+        "fails_during_a_replacement",
     ),
     _mutation(
         "one that replaces a voter at its own address speaks to itself",
@@ -226,7 +226,7 @@
         "is_valid = self.leader.has_lease(now)",
         "is_valid = True",
         REPLICA,
-        "answers_no_read",
+        "invalid_read_index_answers",
     ),
     _mutation(
         "a leader that is no voter any more goes on",
@@ -234,7 +234,7 @@
         "return not state.is_voter and state.log.last_voting_members_change <= state.committed",
         "return False",
         REPLICA,
-        "no_voter_any_more",
+        "no_longer_a_voter",
     ),
     _mutation(
         "the log is bounded in entries only",
@@ -250,7 +250,7 @@
         "if new is None and matched <= self.submitted and state.followed == self.view:",
         "if new is None and matched <= self.matched and state.followed == self.view:",
         LOG,
-        "lacks_nothing",
+        "with_a_complete_log_acknowledges",
     ),
     _mutation(
         "the roster grows beyond what the view is a majority of",
@@ -258,7 +258,7 @@
         "return (is_uneven or is_pair) and len(self.state.members) >= majority_of(grown)",
         "return is_uneven or is_pair",
         FLEET,
-        "no_majority_of_it",
+        "no_majority_of_them",
     ),
     _mutation(
         "an empty disk at a voter's address proves nothing",
@@ -266,7 +266,7 @@
         "if name in superseded or absent_for[name] > state.options.replace_after]",
         "if absent_for[name] > state.options.replace_after]",
         FLEET,
-        "old_address",
+        "lost_its_disk",
     ),
     _mutation(
         "a removed replica does not offer itself again",
@@ -274,7 +274,7 @@
         "if not is_outside and not state.may_be_removed(now):",
         "if True:",
         FLEET,
-        "let_in_again",
+        "become_a_voter_again",
     ),
     _mutation(
         "a leader that steps back does not say so",
--- a/tests/consensus/replica_fixtures.py
+++ b/tests/consensus/replica_fixtures.py
@@ -1,4 +1,4 @@
-"""A single replica in the states from which tests begin, and the messages that it gets."""
+"""Fixtures for tests of a single replica: initial states and the messages that it receives."""
 
 from datetime import timedelta
 from random import Random
@@ -18,22 +18,22 @@
 
 
 def make_replica(records=RECORDS, name="c", now=NOW):
-    """A replica started from records."""
+    """Returns a replica that was started from log records."""
     return Replica(name, f"{name}:1", (), Random(1), dict, records, Options(), now)
 
 
 def receive(replica, sender, message, now=NOW):
-    """The effects of a message of another replica."""
+    """Delivers a message of another replica and returns the effects."""
     return replica.take(MessageReceived(sender, ADDRESSES[sender], message), now)
 
 
 def heartbeat_message(number=1, view=VIEW, committed=2, has_lease=True, echo=0, members=("a", "b", "c"), end=2):
-    """A heartbeat of a."""
+    """Returns a heartbeat of leader "a"."""
     return messages.Heartbeat(view, number, committed, end, has_lease, members, echo)
 
 
 def make_member(now=NOW):
-    """c in view 4, led by a; its guard after the start is over."""
+    """Returns replica "c" as a member of view 4, led by "a", with its lease guard after the start expired."""
     replica = make_replica(now=now - SECOND)
     tick(replica, now)
     receive(replica, "a", heartbeat_message(), now)
@@ -42,33 +42,33 @@
 
 
 def tick(replica, now):
-    """The effects of a tick."""
+    """Sends a tick and returns the effects."""
     return replica.take(events.Tick(()), now)
 
 
 def sent_messages(out, kind):
-    """The messages of this type among the effects."""
+    """Returns the sent messages of type `kind` among the effects."""
     return [effect.message for effect in out if isinstance(effect, Send) and isinstance(effect.message, kind)]
 
 
 def appended_records(out):
-    """The effects that append records."""
+    """Returns the effects that append records to the log file."""
     return [effect for effect in out if isinstance(effect, AppendRecords)]
 
 
 def append_message(replica, first=3, entries=(b'["founded"]',), view=VIEW, committed=2):
-    """New entries of the leader."""
+    """Returns an `Append` message with new entries of the leader."""
     previous = replica.log.digest_at(first - 1) or b""
     return messages.Append(view, first, first - 1 + len(entries), committed, previous, entries)
 
 
 def prepare_message(view, released=NO_VIEW):
-    """A candidate's request for a promise."""
+    """Returns a candidate's `Prepare` message to voters "a", "b" and "c"."""
     return messages.Prepare(view, ("a", "b", "c"), released)
 
 
 def make_leader(now=NOW):
-    """c leads view 5 of b and c; a is away."""
+    """Returns replica "c" as leader of view 5 with members "b" and "c"; "a" is unreachable."""
     replica = make_member(now - SECOND)
     tick(replica, now)
     replica.candidate.start(now, {"a"})
@@ -80,7 +80,7 @@
 
 
 def receive_promise(replica, sender, now):
-    """The effects of another voter's promise."""
+    """Delivers another voter's promise to the candidate and returns the effects."""
     view = replica.state.candidacy
     replica.take(events.CandidacySynced(view), now)
     return receive(replica, sender, messages.Promise(view, VIEW, 2, 2, replica.log.digest_at(2), 1), now)
--- a/tests/consensus/test_log.py
+++ b/tests/consensus/test_log.py
@@ -1,4 +1,4 @@
-"""Single replicas, message by message: log, snapshots, records and what goes over the wire."""
+"""Tests of single replicas: log, snapshots, log file records, and encoding of messages."""
 
 import pytest
 
@@ -30,10 +30,10 @@
     tick,
 )
 
-# log, snapshots and records
+# log, snapshots and log file records
 
 
-def test_records_read_back_give_the_same_replica():
+def test_replaying_the_log_file_restores_the_same_state():
     replica = make_member()
     (store,) = appended_records(receive(replica, "a", append_message(replica, entries=(b'["x"]', b'["y"]'))))
     for records in (RECORDS + store.records, all_records("c", replica.state)):
@@ -43,7 +43,7 @@
         assert (restored.view, restored.members, restored.promised) == (VIEW, ("a", "b", "c"), VIEW)
 
 
-def test_a_snapshot_keeps_state_roster_and_digest_and_later_changes_of_the_state_do_not_reach_it():
+def test_a_snapshot_contains_state_voting_members_and_digest_and_ignores_later_state_changes():
     log, state = Log(), {"duties": {"placer": ("a", 1)}}
     log.extend([FOUND.encode(), b'["x"]', b'["seat-replace","c","d","d:1"]', b'["y"]'])
     digest, voting_members = log.digest_at(4), log.voting_members
@@ -56,16 +56,16 @@
     assert other.digest_at(4) == digest and other.voting_members == voting_members and other.voting_members.is_joint
 
 
-def test_a_follower_cuts_its_log_at_the_first_difference_only():
-    """Given a tail that agrees up to its third entry, what agrees is kept even where the leader sends it anew."""
+def test_merge_truncates_the_log_only_at_the_first_difference():
+    """Entries equal to the leader's are kept, even if it sends them again: they may be acknowledged already."""
     log = Log()
     log.extend([FOUND.encode(), b'["x"]', b'["y"]', b'["old"]', b'["older"]'])
     assert log.merge(2, [b'["x"]', b'["y"]']) is None and log.end == 5
     assert log.merge(3, [b'["y"]', b'["new"]']) == 4 and log.entries[3:] == [b'["new"]']
 
 
-def test_a_learner_never_takes_entries_of_a_lower_view_than_before():
-    """It may be one of those on whose disks an acknowledged entry lies."""
+def test_a_learner_rejects_entries_of_a_lower_view():
+    """Overwriting its entries could destroy one that was acknowledged because this learner had stored it."""
     records = (*RECORDS, ("entries", (7, "b"), 3, ('["kept"]',)))
     replica = make_replica(records)
     out = receive(replica, "a", heartbeat_message(1, view=ViewId(6, "a"), end=3))
@@ -74,15 +74,15 @@
     assert replica.state.leader is None
 
 
-def test_a_learner_that_was_started_anew_and_lacks_nothing_says_so():
-    """Given a learner whose disk holds all that its leader has, also all in a snapshot, it has caught up once its disk says so."""
+def test_a_restarted_learner_with_a_complete_log_acknowledges_it():
+    """Without the acknowledgement the leader never regards it as caught up; the log may also be all in a snapshot."""
     before = make_replica((*RECORDS, ("entries", (7, "b"), 3, ('["kept"]',))))
     before.log.compact(3, {})
     for records in (all_records("c", before.state), (*RECORDS, ("entries", (7, "b"), 3, ('["kept"]',)))):
-        _assert_it_says_that_it_has_all(make_replica(records))
+        _assert_acknowledges_complete_log(make_replica(records))
 
 
-def _assert_it_says_that_it_has_all(replica):
+def _assert_acknowledges_complete_log(replica):
     (fetch,) = sent_messages(
         receive(replica, "b", heartbeat_message(1, view=ViewId(7, "b"), end=3, committed=3)), messages.Fetch
     )
@@ -94,8 +94,8 @@
     )
 
 
-def test_a_large_entry_and_a_snapshot_are_fetched_in_parts_and_go_on_after_a_cut():
-    """Given an entry of three chunks, each answer is at most one chunk, and a lost answer costs only itself."""
+def test_a_large_entry_is_fetched_in_parts_and_the_transfer_resumes_after_a_lost_part():
+    """An entry of three chunks needs four answers of at most one chunk if one answer is lost."""
     leader, large = make_leader(), pack_entry(("apply", "x" * (CHUNK_BYTES * 2 + 9)))
     (store,) = appended_records(leader.take(events.ProposalMade(("apply", "x" * (CHUNK_BYTES * 2 + 9))), NOW))
     leader.take(store.done, NOW)
@@ -111,7 +111,7 @@
         for fetch in fetches:
             for answer in sent_messages(receive(leader, "b", fetch, now), messages.Message):
                 answers.append(answer)
-                if len(answers) == 3:  # lost on its way
+                if len(answers) == 3:  # this answer is lost
                     now += SECOND / 2
                     asked += sent_messages(
                         receive(learner, "c", heartbeat_message(2, view=leader.view, end=3, members=("b", "c")), now),
@@ -124,23 +124,23 @@
     assert len(parts) == 4 and all(len(part.data) <= CHUNK_BYTES for part in parts)
 
 
-def test_a_proposal_in_parts_comes_out_whole_and_one_with_a_gap_does_not():
+def test_a_proposal_in_parts_is_reassembled_and_one_with_a_missing_part_is_dropped():
     change = ("apply", "x" * (CHUNK_BYTES * 2))
     parts, assembler = list(split_proposal(1, change)), ProposalAssembler()
     assert [assembler.add_part("a", part, NOW) for part in parts] == [None, None, change]
     assert [assembler.add_part("a", part, NOW) for part in (parts[0], parts[2])] == [None, None]
 
 
-# the wire
+# encoding of messages
 
 
-def test_the_codec_knows_the_fields_of_every_message():
+def test_message_schemas_list_the_fields_of_every_message():
     assert set(messages.TYPES.values()) == set(messages.Message.__subclasses__())
     for kind, message_type in messages.TYPES.items():
         assert tuple(name for name, _ in FIELDS[kind]) == message_type.__struct_fields__
 
 
-def test_messages_survive_the_wire_and_malformed_ones_are_dropped():
+def test_messages_round_trip_through_the_codec_and_malformed_ones_are_rejected():
     codec = Codec("c", "a", "a:1", 1)
     for message in (
         heartbeat_message(),
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -1,4 +1,4 @@
-"""The ordered control state under loss of disks, machines and power: cores only, in virtual time."""
+"""Tests of the replicated control state under loss of disks, machines and power: cores only, simulated time."""
 
 from datetime import timedelta
 from random import Random
@@ -20,7 +20,7 @@
 
 
 def _deployment(seed, wanted_voters=3, voter_away=1.5):
-    """Three cores in a view that holds an applied catalogue; each core wants so many seats."""
+    """Returns a deployment of three cores with a leader and an applied catalogue; `wanted_voters` is the target."""
     deployment = Deployment(spec(), seed, edges=0, voter_away=voter_away, wanted_voters=wanted_voters)
     assert deployment.run_until(lambda: leader(deployment) is not None, 10)
     assert _apply(deployment, "first", deployment.spec.catalogue, part=False)
@@ -29,7 +29,7 @@
 
 
 def _add(deployment, number):
-    """A core machine with an empty disk at an address that nobody had."""
+    """Adds a core machine with an empty disk at an unused address."""
     node = {
         "name": f"core-{number}",
         "role": "core",
@@ -52,8 +52,8 @@
     return answer is not None and answer[0] == 200
 
 
-def _holds(deployment, voters):
-    """Whether a view of just so many seats works, with a roster of the same, at every one the same."""
+def _has_full_view(deployment, voters):
+    """Whether a leader exists, its view and the voting members count `voters`, and all are fresh and up to date."""
     core = leader(deployment)
     running = list(deployment.machines("core"))
     return (
@@ -68,39 +68,41 @@
     )
 
 
-def _knows(deployment, *names):
+def _has_routes(deployment, *names):
     core = leader(deployment)
     return core is not None and set(names) <= {route.name for route in core.state.catalogue.routes}
 
 
-def _time(deployment, is_reached, within):
-    """The seconds until it was reached, or None if it was not within these."""
+def _seconds_until(deployment, is_reached, within):
+    """Runs the simulation until the condition is met; returns the seconds it took, or None after `within` seconds."""
     before = deployment.now
     return (deployment.now - before).total_seconds() if deployment.run_until(is_reached, within) else None
 
 
 @pytest.mark.parametrize("is_leader", (True, False))
-def test_empty_disk_at_the_old_address_is_a_full_seat_soon(is_leader):
-    """Given a core whose disk is lost, it stands in roster and view within three seconds of its start; the next loss is survived."""
+def test_a_core_that_lost_its_disk_is_a_voter_again_within_three_seconds(is_leader):
+    """A core started with an empty disk is a voter and member within 3 s, so the group survives the next loss."""
     deployment = _deployment(201, voter_away=60)
-    head = box_of(deployment, leader(deployment)).name
-    lost = head if is_leader else next(name for name in CORES if name != head)
+    leader_name = box_of(deployment, leader(deployment)).name
+    lost = leader_name if is_leader else next(name for name in CORES if name != leader_name)
     _wipe(deployment, lost)
     deployment.run(0.3)
     deployment.start(lost)
     voter = deployment.boxes[lost].machine.node
-    took = _time(deployment, lambda: _holds(deployment, 3) and voter in leader(deployment).consensus.members, 3)
-    assert took is not None
+    duration = _seconds_until(
+        deployment, lambda: _has_full_view(deployment, 3) and voter in leader(deployment).consensus.members, 3
+    )
+    assert duration is not None
     assert _apply(deployment, "between")
-    deployment.vanish(next(name for name in CORES if name not in (lost, head)))
-    assert _time(deployment, lambda: leader(deployment) is not None, 2) is not None and _apply(
+    deployment.vanish(next(name for name in CORES if name not in (lost, leader_name)))
+    assert _seconds_until(deployment, lambda: leader(deployment) is not None, 2) is not None and _apply(
         deployment, "after", at=lost
     )
-    assert _knows(deployment, "between", "after")
+    assert _has_routes(deployment, "between", "after")
 
 
-def test_all_disks_are_lost_one_by_one_every_four_seconds():
-    """Given each disk lost in turn, four seconds apart, twice over, every change that was acknowledged stays."""
+def test_losing_each_disk_in_turn_every_four_seconds_loses_no_change():
+    """Every acknowledged change survives if each of three disks is lost twice, in turn, every four seconds."""
     deployment, names = _deployment(202, voter_away=60), []
     for turn in range(6):
         names.append(f"turn-{turn}")
@@ -108,30 +110,32 @@
         _wipe(deployment, CORES[turn % 3])
         deployment.start(CORES[turn % 3])
         deployment.run(4)
-    assert _holds(deployment, 3) and _knows(deployment, *names)
+    assert _has_full_view(deployment, 3) and _has_routes(deployment, *names)
 
 
 @pytest.mark.parametrize("is_leader", (True, False))
-def test_machine_gone_for_good_is_replaced_at_a_new_address(is_leader):
-    """Given a core gone for good and an empty one elsewhere 0.3 s later, the new one is a full seat within 3.7 s of its start."""
+def test_a_permanently_lost_machine_is_replaced_at_a_new_address(is_leader):
+    """An empty core started elsewhere 0.3 s after the loss is a voter and member within 3.7 s of its start."""
     deployment = _deployment(203)
-    head = box_of(deployment, leader(deployment)).name
-    lost = head if is_leader else next(name for name in CORES if name != head)
+    leader_name = box_of(deployment, leader(deployment)).name
+    lost = leader_name if is_leader else next(name for name in CORES if name != leader_name)
     deployment.vanish(lost)
     deployment.run(0.3)
     voter = _add(deployment, 4).machine.node
     assert (
-        _time(deployment, lambda: _holds(deployment, 3) and voter in leader(deployment).consensus.members, 3.7)
+        _seconds_until(
+            deployment, lambda: _has_full_view(deployment, 3) and voter in leader(deployment).consensus.members, 3.7
+        )
         is not None
     )
     deployment.vanish(next(name for name in CORES if name != lost))
-    assert _time(deployment, lambda: leader(deployment) is not None, 2) is not None and _apply(
+    assert _seconds_until(deployment, lambda: leader(deployment) is not None, 2) is not None and _apply(
         deployment, "after", at="core-4"
     )
 
 
-def test_newcomer_that_is_lost_as_soon_as_it_is_a_seat_is_replaced_too():
-    """Given a newcomer that is gone in the moment in which it comes into the roster, the next newcomer takes its seat."""
+def test_a_new_voter_that_fails_at_once_is_replaced_too():
+    """If a new core fails the moment it becomes a voter, the next new core replaces it."""
     deployment = _deployment(208)
     lost = next(name for name in CORES if name != box_of(deployment, leader(deployment)).name)
     deployment.vanish(lost)
@@ -140,45 +144,48 @@
         deployment.run(0.001)
     deployment.vanish("core-4")
     _add(deployment, 5)
-    assert _time(deployment, lambda: _holds(deployment, 3), 3.7) is not None
+    assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 3.7) is not None
 
 
-def test_node_that_is_only_started_again_keeps_its_seat():
-    """Given a core that is killed and started with its disk, the roster stays as it was."""
+def test_a_restarted_core_stays_a_voter():
+    """A core that is killed and restarted with its disk does not change the voting members."""
     deployment = _deployment(204)
     before = dict(leader(deployment).consensus.voting_members)
     for name in CORES:
         deployment.kill(name)
         deployment.run(0.3)
         deployment.start(name)
-        assert deployment.run_until(lambda: _holds(deployment, 3), 4), name
+        assert deployment.run_until(lambda: _has_full_view(deployment, 3), 4), name
     assert leader(deployment).consensus.voting_members == before
 
 
-def test_roster_grows_from_three_to_five_and_never_rests_at_four():
-    """Given cores that want five seats, one blank core alone is not taken in; with a second both are."""
+def test_voting_members_grow_from_three_to_five_and_never_stay_at_four():
+    """With five wanted voters, a single blank core is not added; with a second one both are."""
     deployment = _deployment(205, wanted_voters=5)
     _add(deployment, 4)
     deployment.run(4)
-    assert _holds(deployment, 3)
+    assert _has_full_view(deployment, 3)
     _add(deployment, 5)
-    assert _time(deployment, lambda: _holds(deployment, 5), 3) is not None
+    assert _seconds_until(deployment, lambda: _has_full_view(deployment, 5), 3) is not None
     for name in ("core-1", "core-4"):
         deployment.vanish(name)
-    assert _time(deployment, lambda: leader(deployment) is not None, 2.5) is not None and _apply(deployment, "two-lost")
+    assert _seconds_until(deployment, lambda: leader(deployment) is not None, 2.5) is not None and _apply(
+        deployment, "two-lost"
+    )
 
 
-def test_five_blank_cores_that_start_together_found_with_three_and_grow():
-    """Given five blank cores of which three are named as founders, the three found and the others join; none waits for another's seat."""
+def test_five_blank_cores_create_a_group_of_three_and_grow_to_five():
+    """Three configured founders of five blank cores create the group, and the other two join without waiting."""
     deployment = Deployment(spec(), 206, edges=0, voter_away=1.5, wanted_voters=5)
     for number in (4, 5):
         _add(deployment, number)
-    assert _time(deployment, lambda: leader(deployment) is not None, 3) is not None
-    assert _time(deployment, lambda: _holds(deployment, 5), 4) is not None
+    assert _seconds_until(deployment, lambda: leader(deployment) is not None, 3) is not None
+    assert _seconds_until(deployment, lambda: _has_full_view(deployment, 5), 4) is not None
 
 
-def test_roster_does_not_grow_while_the_view_would_be_no_majority_of_it():
-    """Given a view of two of three, two newcomers wait, lest a majority arise that knows nothing; with the third back, five stand."""
+def test_voting_members_do_not_grow_while_the_view_would_be_no_majority_of_them():
+    """With a view of two of three voters, two new cores must wait: with five voters, a majority could lack acknowledged
+    changes. Once the third voter is back, there are five."""
     deployment = _deployment(209, wanted_voters=5, voter_away=60)
     lost = next(name for name in CORES if name != box_of(deployment, leader(deployment)).name)
     deployment.kill(lost)
@@ -188,18 +195,20 @@
     deployment.run(4)
     assert len(leader(deployment).consensus.voting_members) == 3 and _apply(deployment, "of-two")
     deployment.start(lost)
-    assert _time(deployment, lambda: _holds(deployment, 5), 4) is not None and _knows(deployment, "of-two")
+    assert _seconds_until(deployment, lambda: _has_full_view(deployment, 5), 4) is not None and _has_routes(
+        deployment, "of-two"
+    )
 
 
 @pytest.mark.parametrize("is_elsewhere", (False, True))
-def test_two_of_five_are_lost_at_once_and_replaced(is_elsewhere):
-    """Given five seats of which two lose their disks, or are gone for good, five stand again within 3.7 s of the newcomers' start."""
+def test_two_of_five_voters_lost_at_once_are_replaced(is_elsewhere):
+    """If two of five voters lose their disks or their machines, there are five again 3.7 s after the new ones start."""
     deployment = _deployment(206, wanted_voters=5)
     _add(deployment, 4)
     _add(deployment, 5)
-    assert deployment.run_until(lambda: _holds(deployment, 5), 6) and _apply(deployment, "before")
-    head = box_of(deployment, leader(deployment)).name
-    lost = [head, next(name for name in CORES if name != head)]
+    assert deployment.run_until(lambda: _has_full_view(deployment, 5), 6) and _apply(deployment, "before")
+    leader_name = box_of(deployment, leader(deployment)).name
+    lost = [leader_name, next(name for name in CORES if name != leader_name)]
     for name in lost:
         if is_elsewhere:
             deployment.vanish(name)
@@ -211,37 +220,45 @@
             _add(deployment, 6 + place)
         else:
             deployment.start(name)
-    assert _time(deployment, lambda: _holds(deployment, 5), 3.7) is not None and _knows(deployment, "before")
+    assert _seconds_until(deployment, lambda: _has_full_view(deployment, 5), 3.7) is not None and _has_routes(
+        deployment, "before"
+    )
 
 
-def test_removed_seat_that_comes_back_with_its_disk_is_let_in_again():
-    """Given a core that was cut off and replaced meanwhile, it fills the next vacancy when it is back."""
+def test_a_removed_voter_that_returns_with_its_disk_can_become_a_voter_again():
+    """A core that was replaced during a partition becomes a voter again at the next vacancy after it returns."""
     deployment = _deployment(207)
     deployment.cut(["core-3"], ["core-1", "core-2"])
     _add(deployment, 4)
     deployment.cut(["core-3"], ["core-4"])
     former = deployment.boxes["core-3"].machine.node
-    assert deployment.run_until(lambda: _holds(deployment, 3) and former not in leader(deployment).consensus.members, 5)
+    assert deployment.run_until(
+        lambda: _has_full_view(deployment, 3) and former not in leader(deployment).consensus.members, 5
+    )
     deployment.heal()
     deployment.run(3)
-    assert _holds(deployment, 3) and _apply(deployment, "without")
+    assert _has_full_view(deployment, 3) and _apply(deployment, "without")
     deployment.vanish("core-1")
-    assert deployment.run_until(lambda: _holds(deployment, 3) and former in leader(deployment).consensus.members, 6)
-    assert _knows(deployment, "without")
+    assert deployment.run_until(
+        lambda: _has_full_view(deployment, 3) and former in leader(deployment).consensus.members, 6
+    )
+    assert _has_routes(deployment, "without")
     deployment.kill("core-3")
     deployment.start("core-3")
-    assert deployment.run_until(lambda: _holds(deployment, 3) and former in leader(deployment).consensus.members, 5)
+    assert deployment.run_until(
+        lambda: _has_full_view(deployment, 3) and former in leader(deployment).consensus.members, 5
+    )
 
 
 @pytest.mark.parametrize("wiped", CORES)
-def test_disk_lost_and_power_lost_elsewhere_right_after_an_ack(wiped):
-    """Given an ack, one disk lost and power lost everywhere in the same instant, the change is there when all are started."""
+def test_an_acknowledged_change_survives_a_lost_disk_and_a_power_loss_everywhere(wiped):
+    """One disk is lost and power fails everywhere right after an acknowledgement; the change exists after a restart."""
     for step in range(3):
         deployment = _deployment(210 + step)
-        if step == 1:  # the view is of two
+        if step == 1:  # the view has two members
             deployment.kill(next(name for name in CORES if name != wiped))
             deployment.run(1.5)
-        if step == 2:  # one seat is quite new
+        if step == 2:  # one voter is new
             _wipe(deployment, next(name for name in CORES if name != wiped))
             deployment.start(next(name for name in CORES if name != wiped))
             deployment.run(4)
@@ -252,27 +269,31 @@
         deployment.run(0.5)
         for name in CORES:
             deployment.start(name)
-        assert _time(deployment, lambda: _holds(deployment, 3), 4) is not None and _knows(deployment, "last-word")
+        assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 4) is not None and _has_routes(
+            deployment, "last-word"
+        )
 
 
-def test_empty_disk_whose_seeds_are_all_gone_is_found_by_the_leader_s_beats():
-    """Given cores that were swapped for others since the seeds were written, one whose disk is lost is a full seat soon."""
+def test_a_core_with_an_empty_disk_and_outdated_seeds_is_found_through_heartbeats():
+    """After all cores named as seeds were replaced, a core that lost its disk is a voter again within 3 s."""
     deployment = _deployment(215)
     for place, name in enumerate(CORES):
         _add(deployment, 4 + place)
         deployment.run(2)
         deployment.vanish(name)
-        assert deployment.run_until(lambda: _holds(deployment, 3), 5), name
+        assert deployment.run_until(lambda: _has_full_view(deployment, 3), 5), name
         deployment.run(1)
     assert _apply(deployment, "before")
     _wipe(deployment, "core-5")
     deployment.run(0.3)
     deployment.start("core-5")
-    assert _time(deployment, lambda: _holds(deployment, 3), 3) is not None and _knows(deployment, "before")
+    assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 3) is not None and _has_routes(
+        deployment, "before"
+    )
 
 
-def test_order_at_a_core_that_does_not_lead_is_delivered_everywhere_without_waiting_for_a_pulse():
-    """Given links of 3 ms and disks of 2 ms at most, an order is delivered at all cores within 18 ms, whenever it comes."""
+def test_a_change_proposed_at_a_follower_is_delivered_everywhere_without_waiting_for_a_heartbeat():
+    """With links of 3 ms and disks of 2 ms at most, a change is delivered at all cores within 18 ms at any time."""
     deployment = _deployment(270)
     deployment.run(5)
     other = next(core for core in deployment.machines("core") if core is not leader(deployment))
@@ -284,8 +305,8 @@
         assert all(core.state.number > before for core in deployment.machines("core")), step
 
 
-def test_restart_of_all_works_soon():
-    """Given three cores, or two of three, started within 0.3 s of each other, a view works within 1.2 s of the last start."""
+def test_a_restart_of_all_cores_forms_a_view_within_1200_ms():
+    """Three cores, or two of three, started within 0.3 s have a leader at most 1.2 s after the last start."""
     worst = 0
     for seed in range(8):
         deployment = _deployment(220 + seed)
@@ -295,14 +316,14 @@
         for name in CORES[: 2 + seed % 2]:
             deployment.start(name)
             deployment.run(deployment.random.uniform(0, 0.15))
-        took = _time(deployment, lambda: leader(deployment) is not None, 1.2)
-        assert took is not None, seed
-        worst = max(worst, took)
+        duration = _seconds_until(deployment, lambda: leader(deployment) is not None, 1.2)
+        assert duration is not None, seed
+        worst = max(worst, duration)
     print("restart to view", worst)
 
 
-def test_killed_leader_is_followed_soon():
-    """Given a leader that is killed, or killed and started at once, another view works within 1.6 s."""
+def test_a_killed_leader_is_replaced_within_1600_ms():
+    """A new leader exists within 1.6 s, whether the old one stays down or restarts after 0.2 s."""
     worst = 0
     for seed in range(8):
         deployment = _deployment(230 + seed)
@@ -311,41 +332,41 @@
         if seed % 2:
             deployment.run(0.2)
             deployment.start(lost)
-        took = _time(deployment, lambda: leader(deployment) is not None, 1.6)
-        assert took is not None, seed
-        worst = max(worst, took)
+        duration = _seconds_until(deployment, lambda: leader(deployment) is not None, 1.6)
+        assert duration is not None, seed
+        worst = max(worst, duration)
     print("killed leader to view", worst)
 
 
 @pytest.mark.parametrize("is_leader", (True, False))
-def test_stalled_disk_does_not_hold_up_the_view(is_leader):
-    """Given a disk that stalls for long, at the leader or another, a change is acknowledged within 1.5 s, and the next at once."""
+def test_a_stalled_disk_does_not_block_the_view(is_leader):
+    """With a disk stalled for 9 s, a change is acknowledged within 1.5 s at the leader, 1.3 s at another member."""
     deployment = _deployment(240)
-    head = box_of(deployment, leader(deployment)).name
-    slow = head if is_leader else next(name for name in CORES if name != head)
-    rest = next(name for name in CORES if name not in (head, slow))
+    leader_name = box_of(deployment, leader(deployment)).name
+    slow = leader_name if is_leader else next(name for name in CORES if name != leader_name)
+    rest = next(name for name in CORES if name not in (leader_name, slow))
     deployment.boxes[slow].disk.stalled_until = deployment.now + timedelta(seconds=9)
     before = deployment.now
     assert _apply(deployment, "stalled", at=rest)
-    took = deployment.now - before
-    print("stalled, leader" if is_leader else "stalled, member", took)
-    assert took < timedelta(seconds=1.5 if is_leader else 1.3)
+    duration = deployment.now - before
+    print("stalled, leader" if is_leader else "stalled, member", duration)
+    assert duration < timedelta(seconds=1.5 if is_leader else 1.3)
 
 
-@pytest.mark.parametrize("is_deaf", (True, False))
+@pytest.mark.parametrize("is_inbound_cut", (True, False))
 @pytest.mark.parametrize("is_leader", (True, False))
-def test_one_way_cuts_do_not_hold_up_the_view(is_deaf, is_leader):
-    """Given one that hears but is not heard, or the other way round, a change is acknowledged within two seconds, and goes on being so."""
+def test_one_way_partitions_do_not_block_the_view(is_inbound_cut, is_leader):
+    """If a core can only send or only receive, a change is acknowledged within 2 s, and later ones within 1 s each."""
     deployment = _deployment(250)
-    head = box_of(deployment, leader(deployment)).name
-    odd = head if is_leader else next(name for name in CORES if name != head)
-    rest = [name for name in CORES if name != odd]
-    deployment.cut(*((rest, [odd]) if is_deaf else ([odd], rest)), one_way=True)
+    leader_name = box_of(deployment, leader(deployment)).name
+    affected = leader_name if is_leader else next(name for name in CORES if name != leader_name)
+    rest = [name for name in CORES if name != affected]
+    deployment.cut(*((rest, [affected]) if is_inbound_cut else ([affected], rest)), one_way=True)
     before = deployment.now
     assert _apply(deployment, "cut", at=rest[0])
-    took = deployment.now - before
-    print("one way", is_deaf, is_leader, took)
-    assert took < timedelta(seconds=2)
+    duration = deployment.now - before
+    print("one way", is_inbound_cut, is_leader, duration)
+    assert duration < timedelta(seconds=2)
     for step in range(8):
         before = deployment.now
         assert _apply(deployment, f"on-{step}", at=rest[step % 2]) and deployment.now - before < timedelta(seconds=1), (
@@ -355,9 +376,9 @@
 
 
 def test_short_stalls_do_not_change_the_view():
-    """Given disks and machines that stand still for half a second each now and then, the view stays."""
+    """Stalls of a disk or a machine of half a second each do not cause a view change."""
     deployment = _deployment(260)
-    ballot = leader(deployment).consensus.view
+    view = leader(deployment).consensus.view
     for step in range(12):
         box = deployment.boxes[CORES[step % 3]]
         if step % 2:
@@ -367,18 +388,18 @@
         deployment.run(0.5)
         deployment.wake(box.name)
         assert _apply(deployment, f"step-{step}", at=CORES[(step + 1) % 3])
-    assert leader(deployment).consensus.view == ballot
+    assert leader(deployment).consensus.view == view
 
 
-# cuts that deliver late what they held
+# partitions that deliver buffered messages late
 
 
-def _whole(seed, voters):
-    """A town whose view is of so many seats."""
+def _deployment_with_voters(seed, voters):
+    """Returns a deployment whose view has `voters` members."""
     deployment = _deployment(seed, voters)
     for number in range(4, voters + 1):
         _add(deployment, number)
-    assert deployment.run_until(lambda: _holds(deployment, voters), 8)
+    assert deployment.run_until(lambda: _has_full_view(deployment, voters), 8)
     return deployment
 
 
@@ -387,28 +408,34 @@
 
 
 def _is_current(core, acked, now):
-    """Whether a core that vouches for its state has all that was acknowledged more than its bound ago."""
+    """Whether the core's state contains every change acknowledged at least `FRESH_FOR` ago."""
     known = {route.name for route in core.state.catalogue.routes}
     return all(name in known for at, name in acked if now - at >= FRESH_FOR)
 
 
 @pytest.mark.parametrize("voters", (3, 5))
-def test_nobody_vouches_for_an_old_state_however_late_links_deliver_what_they_held_up(voters):
-    """Given links that are cut and deliver late, freezes, and changes all the while, no core calls its state fresh that lacks what was
-    acknowledged 0.8 s before, and never do two leaders hold a lease at once."""
+def test_no_core_reports_an_old_state_as_fresh_however_late_links_deliver(voters):
+    """Links are cut and deliver late, cores freeze, and changes continue: no core whose state lacks a change that was
+    acknowledged 0.8 s before calls it fresh, and no two leaders hold a lease at the same time."""
     for seed in (301, 302, 303):
-        deployment, random, acked, asked, undo = _whole(seed, voters), Random(seed), [], {}, []
-        end, next_order, next_trouble, number = (
+        deployment, random, acked, requests, pending_repairs = (
+            _deployment_with_voters(seed, voters),
+            Random(seed),
+            [],
+            {},
+            [],
+        )
+        end, next_order, next_fault, number = (
             deployment.now + timedelta(seconds=20),
             deployment.now,
             deployment.now,
             0,
         )
         while deployment.now < end:
-            if deployment.now >= next_trouble:
-                next_trouble = deployment.now + timedelta(seconds=random.uniform(0.2, 1.2))
-                undo.append(
-                    (deployment.now + timedelta(seconds=random.uniform(0.3, 1.4)), _disturb(deployment, random))
+            if deployment.now >= next_fault:
+                next_fault = deployment.now + timedelta(seconds=random.uniform(0.2, 1.2))
+                pending_repairs.append(
+                    (deployment.now + timedelta(seconds=random.uniform(0.3, 1.4)), _inject_fault(deployment, random))
                 )
             if deployment.now >= next_order:
                 next_order, number = deployment.now + timedelta(seconds=random.uniform(0.1, 0.4)), number + 1
@@ -418,26 +445,26 @@
                     "doc": {"routes": [{"name": f"c{number}", "target": "refund-01"}]},
                 }
                 http_address = random.choice(_cores(deployment)).http_address
-                asked[deployment.operator().ask(f"http://{http_address}/operator/apply", "POST", doc)] = f"c{number}"
+                requests[deployment.operator().ask(f"http://{http_address}/operator/apply", "POST", doc)] = f"c{number}"
             deployment.run(0.02)
-            for at, stop in [item for item in undo if item[0] <= deployment.now]:
-                undo.remove((at, stop))
-                stop()
+            for at, repair in [item for item in pending_repairs if item[0] <= deployment.now]:
+                pending_repairs.remove((at, repair))
+                repair()
             answers = deployment.operator().answers
-            done = [place for place in asked if place in answers]
-            acked += [(deployment.now, asked.pop(place)) for place in done if answers[place][0] == 200]
-            sure = [
+            done = [place for place in requests if place in answers]
+            acked += [(deployment.now, requests.pop(place)) for place in done if answers[place][0] == 200]
+            fresh = [
                 box.machine
                 for box in _cores(deployment)
                 if not box.is_frozen and box.machine.consensus.is_fresh(deployment.now)
             ]
-            assert all(_is_current(core, acked, deployment.now) for core in sure), (seed, deployment.now)
-            assert sum(core.consensus.role == "leading" for core in sure) <= 1, (seed, deployment.now)
+            assert all(_is_current(core, acked, deployment.now) for core in fresh), (seed, deployment.now)
+            assert sum(core.consensus.role == "leading" for core in fresh) <= 1, (seed, deployment.now)
         assert len(acked) > 10
 
 
-def _disturb(deployment, random):
-    """Cuts one core from some others, or freezes it; gives what ends that."""
+def _inject_fault(deployment, random):
+    """Cuts one core from some others, or freezes it; returns a function that ends the fault."""
     box = random.choice(_cores(deployment))
     if random.random() < 0.3 and not box.is_frozen:
         deployment.freeze(box.name)
@@ -448,45 +475,45 @@
 
 
 @pytest.mark.parametrize("is_leader", (True, False))
-def test_a_core_cut_off_for_twenty_seconds_answers_no_read_and_the_others_do(is_leader):
-    """Given a core cut off for 20 s by links that deliver late, no read is answered there 0.8 s later, and all are elsewhere."""
-    deployment = _whole(310, 3)
-    head = box_of(deployment, leader(deployment)).name
-    lone = head if is_leader else next(name for name in CORES if name != head)
-    links = deployment.cut([lone], deployment.inside(lone), holds=True)
-    answers = _note_reads(deployment)
+def test_an_isolated_core_answers_no_reads_while_the_others_do(is_leader):
+    """A core isolated for 20 s by links that deliver late answers no read from 0.8 s on; the other cores answer all."""
+    deployment = _deployment_with_voters(310, 3)
+    leader_name = box_of(deployment, leader(deployment)).name
+    isolated = leader_name if is_leader else next(name for name in CORES if name != leader_name)
+    links = deployment.cut([isolated], deployment.inside(isolated), holds=True)
+    answers = _record_reads(deployment)
     for step in range(20):
         deployment.run(1)
-        assert _apply(deployment, f"without-{step}", at=next(name for name in CORES if name != lone))
+        assert _apply(deployment, f"without-{step}", at=next(name for name in CORES if name != isolated))
         for name in CORES:
             deployment._hand(deployment.boxes[name], ReadRequested(f"{name}/{step}"))
     deployment.heal(links)
     deployment.run(0.6)
     readable = {token for token, is_readable in answers.items() if is_readable}
-    assert not any(token.startswith(f"{lone}/") for token in readable)
+    assert not any(token.startswith(f"{isolated}/") for token in readable)
     assert len(readable) >= 36
-    assert deployment.run_until(lambda: _holds(deployment, 3), 3)
+    assert deployment.run_until(lambda: _has_full_view(deployment, 3), 3)
 
 
-def _note_reads(deployment):
-    """The answers to reads, by token, from now on."""
+def _record_reads(deployment):
+    """Records whether each read is answered from now on, by token."""
     answers = {}
     for core in deployment.machines("core"):
 
-        def note(message, now, handle=core.consensus.take):
+        def record(message, now, handle=core.consensus.take):
             out = handle(message, now)
             reads = [effect for effect in out if isinstance(effect, Readable | Unreadable)]
             answers.update({effect.token: isinstance(effect, Readable) for effect in reads})
             return out
 
-        core.consensus = _Noted(core.consensus, note)
+        core.consensus = _ReadRecorder(core.consensus, record)
         core.routing = CoreRouting(core)
         core.dispatcher = EventDispatcher(core.event_handlers())
     return answers
 
 
-class _Noted:
-    """A replica whose answers are noted."""
+class _ReadRecorder:
+    """Wraps a replica and records its answers to reads."""
 
     def __init__(self, replica, take):
         self.replica, self.take = replica, take
@@ -495,21 +522,23 @@
         return getattr(self.replica, name)
 
 
-# a second loss, planned leaves
+# a second loss, planned shutdowns
 
 
 @pytest.mark.parametrize("voters", (3, 5))
 @pytest.mark.parametrize("is_leader", (True, False))
-def test_a_second_loss_right_after_a_planned_replacement_is_borne(is_leader, voters):
-    """Given a newcomer that stands ready and a seat that is told to leave, its machine goes once it has ended; 0.3 s later another is
-    gone with its disk, and a view works all the same with all that was acknowledged."""
+def test_a_second_loss_right_after_a_planned_replacement_is_survived(is_leader, voters):
+    """A voter shuts down while a learner is ready, and its machine is removed; 0.3 s later a minority of the voters is
+    lost with their disks. A leader must exist within 3 s with every acknowledged change."""
     for seed in range(320, 323):
-        deployment = _whole(seed, voters)
+        deployment = _deployment_with_voters(seed, voters)
         _add(deployment, 9)
         deployment.run(3)
-        head = box_of(deployment, leader(deployment)).name
+        leader_name = box_of(deployment, leader(deployment)).name
         leaving = (
-            head if is_leader else next(box.name for box in _cores(deployment) if box.name not in (head, "core-9"))
+            leader_name
+            if is_leader
+            else next(box.name for box in _cores(deployment) if box.name not in (leader_name, "core-9"))
         )
         assert _apply(deployment, "before")
         deployment.stop(leaving)
@@ -520,37 +549,36 @@
         for name in lost:
             _wipe(deployment, name)
             deployment.vanish(name)
-        assert _time(deployment, lambda: leader(deployment) is not None, 3) is not None, seed
-        assert _apply(deployment, "after") and _knows(deployment, "before", "after")
+        assert _seconds_until(deployment, lambda: leader(deployment) is not None, 3) is not None, seed
+        assert _apply(deployment, "after") and _has_routes(deployment, "before", "after")
 
 
-def test_the_leader_is_told_to_leave_and_nobody_waits_for_its_silence():
-    """Given a leader that is told to leave, with a newcomer or without, orders at another core are acknowledged within 0.5 s."""
+def test_a_leader_that_shuts_down_hands_over_without_a_timeout():
+    """While a leader shuts down, with a learner or without, changes at other cores are acknowledged within 0.5 s."""
     for has_newcomer in (True, False):
-        deployment = _whole(330, 3)
+        deployment = _deployment_with_voters(330, 3)
         if has_newcomer:
             _add(deployment, 4)
             deployment.run(3)
-        head = box_of(deployment, leader(deployment)).name
-        other = next(name for name in CORES if name != head)
-        deployment.stop(head)
+        leader_name = box_of(deployment, leader(deployment)).name
+        other = next(name for name in CORES if name != leader_name)
+        deployment.stop(leader_name)
         for step in range(10):
             before = deployment.now
             assert _apply(deployment, f"step-{step}", at=other) and deployment.now - before < timedelta(seconds=0.5)
-        assert deployment.run_until(lambda: deployment.boxes[head].machine is None, 2)
+        assert deployment.run_until(lambda: deployment.boxes[leader_name].machine is None, 2)
         if has_newcomer:
-            assert _time(deployment, lambda: _holds(deployment, 3), 1) is not None
+            assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 1) is not None
         else:
-            assert (
-                len(leader(deployment).consensus.voting_members) == 3
-            )  # it keeps its seat and comes back with its disk
-            deployment.start(head)
-            assert _time(deployment, lambda: _holds(deployment, 3), 3) is not None
+            assert len(leader(deployment).consensus.voting_members) == 3  # it stays a voter and returns with its disk
+            deployment.start(leader_name)
+            assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 3) is not None
 
 
-def test_all_cores_are_replaced_in_a_planned_way_one_after_the_other():
-    """Given each core replaced in turn, its successor started first, the roster never has fewer than three and orders never wait long."""
-    deployment, names = _whole(331, 3), []
+def test_planned_replacement_of_all_cores_in_turn_keeps_three_voters():
+    """Each core is replaced after its successor has started: there are never fewer than three voters, and no change
+    takes longer than 1 s."""
+    deployment, names = _deployment_with_voters(331, 3), []
     for turn, leaving in enumerate(CORES):
         newcomer = _add(deployment, 4 + turn).name
         deployment.run(1)
@@ -558,17 +586,17 @@
         while deployment.boxes[leaving].machine is not None:
             names.append(f"turn-{turn}-{len(names)}")
             before = deployment.now
-            asked = next(box.name for box in _cores(deployment) if box.name not in (leaving, newcomer))
-            assert _apply(deployment, names[-1], at=asked) and deployment.now - before < timedelta(seconds=1)
-            head = leader(deployment)
-            assert head is None or len(head.consensus.voting_members) >= 3
+            other = next(box.name for box in _cores(deployment) if box.name not in (leaving, newcomer))
+            assert _apply(deployment, names[-1], at=other) and deployment.now - before < timedelta(seconds=1)
+            leading_core = leader(deployment)
+            assert leading_core is None or len(leading_core.consensus.voting_members) >= 3
         deployment.vanish(leaving)
-        assert _time(deployment, lambda: _holds(deployment, 3), 1) is not None
-    assert _knows(deployment, *names)
+        assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 1) is not None
+    assert _has_routes(deployment, *names)
 
 
-def test_a_newcomer_that_dies_while_it_replaces_a_dead_seat_does_not_stop_the_two_that_are_left():
-    """Given a seat gone for good and a newcomer gone at any moment of its becoming one, the two that are left go on."""
+def test_a_new_voter_that_fails_during_a_replacement_does_not_block_the_other_two():
+    """A voter is lost for good, and its successor fails at any moment of the replacement: the other two continue."""
     for step in range(12):
         deployment = _deployment(340)
         lost = next(name for name in CORES if name != box_of(deployment, leader(deployment)).name)
@@ -579,7 +607,9 @@
         )
         deployment.run(0.002 * step)
         deployment.vanish("core-4")
-        assert _time(deployment, lambda deployment=deployment: leader(deployment) is not None, 2) is not None, step
+        assert (
+            _seconds_until(deployment, lambda deployment=deployment: leader(deployment) is not None, 2) is not None
+        ), step
         assert _apply(deployment, "goes-on"), step
 
 
@@ -591,26 +621,26 @@
 
 
 def _large(number, size=900):
-    """A change that is refused and stands in the log all the same; its name is random, so that it does not compress."""
+    """Returns a change that is rejected but stays in the log; its names are random, so that it does not compress."""
     random = Random(number)
     return {"routes": [{"name": f"{random.getrandbits(160):x}", "target": "refund-01"} for _ in range(size)]}
 
 
 def _longest_message(deployment):
-    """Notes the longest message between nodes from now on, in a list of one."""
-    longest, hear = [0], deployment._heard
+    """Records the length of the longest message between nodes from now on, in a list with one item."""
+    longest, receive = [0], deployment._heard
 
     def heard(other, raw):
         longest[0] = max(longest[0], len(raw))
-        hear(other, raw)
+        receive(other, raw)
 
     deployment._heard = heard
     return longest
 
 
-def test_long_log_of_large_changes_holds_up_neither_a_late_member_nor_a_restart_of_all():
-    """Given 250 changes of 60 KB while a core is down, it catches up within 4 s of its start, and a view works within 4 s of a restart of
-    all; the log stays within its bounds and no message is larger than a chunk."""
+def test_a_long_log_of_large_changes_delays_neither_a_late_member_nor_a_restart_of_all():
+    """After 250 changes of 60 KB while a core was down, it catches up within 4 s of its start, and a leader exists
+    within 4 s of a restart of all cores; the log stays within its limits."""
     deployment = _deployment(350)
     down = next(name for name in CORES if name != box_of(deployment, leader(deployment)).name)
     deployment.kill(down)
@@ -621,37 +651,37 @@
     log = leader(deployment).consensus.log
     assert log.size <= MAX_LOG_BYTES + CHUNK_BYTES and len(log.entries) <= MAX_LOG_ENTRIES + 1
     deployment.start(down)
-    assert _time(deployment, lambda: _holds(deployment, 3), 4) is not None
+    assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 4) is not None
     for name in CORES:
         deployment.kill(name)
     for name in CORES:
         deployment.start(name)
-    assert _time(deployment, lambda: leader(deployment) is not None, 4) is not None
+    assert _seconds_until(deployment, lambda: leader(deployment) is not None, 4) is not None
 
 
-def test_change_of_four_mebibytes_goes_through_every_core_and_is_caught_up_with():
-    """Given a body as large as an operator may send, at the leader and elsewhere, it is answered, and a core that was down gets it."""
+def test_a_change_of_four_mebibytes_commits_at_every_core_and_is_fetched_by_a_late_one():
+    """A body of the largest allowed size is committed at the leader and at a follower; a late core fetches it."""
     deployment = _deployment(351)
-    head = box_of(deployment, leader(deployment)).name
-    down, other = [name for name in CORES if name != head]
+    leader_name = box_of(deployment, leader(deployment)).name
+    down, other = [name for name in CORES if name != leader_name]
     deployment.kill(down)
     deployment.run(2)
     doc = _large(1, 40000)
     assert 2 << 20 < len(str(doc)) < 4 << 20
-    for number, name in enumerate((head, other)):
+    for number, name in enumerate((leader_name, other)):
         before = leader(deployment).state.number
         deployment.ask(name, "POST", "/operator/apply", {"request": f"huge-{number}", "doc": doc, "part": True})
         assert leader(deployment).state.number > before, name
-        assert leader(deployment) is deployment.boxes[head].machine
+        assert leader(deployment) is deployment.boxes[leader_name].machine
     deployment.start(down)
-    assert _time(deployment, lambda: _holds(deployment, 3), 4) is not None
+    assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 4) is not None
 
 
 @pytest.mark.parametrize("voters", (3, 5))
 @pytest.mark.parametrize("is_leader", (True, False))
-def test_large_state_is_learned_by_an_empty_disk_within_three_seconds(is_leader, voters):
-    """Given a state of 3 MB that stands in snapshots, a core whose disk is lost is a full seat within three seconds of its start."""
-    deployment = _whole(352, voters)
+def test_a_large_state_is_transferred_to_an_empty_disk_within_three_seconds(is_leader, voters):
+    """With a state of 3 MB in snapshots, a core that lost its disk is a voter and member within 3 s of its start."""
+    deployment = _deployment_with_voters(352, voters)
     compact_after(deployment, 10)
     for core in deployment.machines("core"):
         core.state.requests = {
@@ -661,17 +691,18 @@
         assert _apply(deployment, f"more-{number}")
     log = leader(deployment).consensus.log
     assert log.base > 0 and len(log.snapshot.state) > 3_000_000
-    head = box_of(deployment, leader(deployment)).name
-    lost = head if is_leader else next(name for name in CORES if name != head)
+    leader_name = box_of(deployment, leader(deployment)).name
+    lost = leader_name if is_leader else next(name for name in CORES if name != leader_name)
     _wipe(deployment, lost)
     deployment.run(0.3)
     deployment.start(lost)
-    took = _time(
+    duration = _seconds_until(
         deployment,
         lambda: (
-            _holds(deployment, voters) and deployment.boxes[lost].machine.node in leader(deployment).consensus.members
+            _has_full_view(deployment, voters)
+            and deployment.boxes[lost].machine.node in leader(deployment).consensus.members
         ),
         3,
     )
-    assert took is not None
+    assert duration is not None
     assert deployment.boxes[lost].machine.state.requests == leader(deployment).state.requests
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -1,4 +1,4 @@
-"""Single replicas, message by message: views, leases, votes, the commit rule and elections."""
+"""Tests of single replicas: views, leases, votes, the commit rule and elections."""
 
 from random import Random
 
@@ -42,7 +42,7 @@
 # promises and views
 
 
-def test_who_promised_a_higher_view_takes_nothing_more_of_the_old_one():
+def test_after_promising_a_higher_view_a_replica_rejects_entries_and_installs_of_lower_views():
     replica = make_member()
     assert len(appended_records(receive(replica, "a", append_message(replica)))) == 1
     stopped, later = make_member(), NOW + LEASE_GUARD * 1.1
@@ -58,8 +58,8 @@
     assert receive(stopped, "a", prepare_message(OLD), later) == []
 
 
-def test_the_log_of_the_highest_view_is_taken_not_the_longest():
-    """Given a candidate with the longer log and a voter with the higher view, the voter is asked to take over."""
+def test_the_voter_with_the_highest_view_wins_over_the_longest_log():
+    """A candidate with a longer log asks a voter with a higher view to take over, lest acknowledged entries be lost."""
     replica, later = make_member(), NOW + SECOND
     tick(replica, later)
     replica.log.extend([b'["x"]', b'["y"]'])
@@ -73,8 +73,8 @@
     assert replica.role is Role.IDLE and replica.view == VIEW
 
 
-def test_a_member_that_doubted_its_leader_and_hears_it_again_is_a_member_again():
-    """Else a view of two stands for ever, heard by all and acknowledging nothing."""
+def test_a_member_that_hears_its_leader_again_after_a_pre_vote_rejoins_the_view():
+    """Otherwise a view of two remains forever: its heartbeats arrive, but no entry is acknowledged."""
     replica = make_member()
     replica.state.leader_heard_at = replica.state.next_election_at = NOW - SILENCE_TIMEOUT * 2
     assert sent_messages(tick(replica, NOW), messages.PreVote) and replica.role is Role.PRE_VOTING
@@ -83,7 +83,7 @@
     assert len(appended_records(receive(replica, "a", append_message(replica), NOW + INSTALL_TIMEOUT * 1.2))) == 1
 
 
-def test_a_leader_whose_only_member_takes_nothing_steps_back():
+def test_a_leader_whose_only_member_acknowledges_no_entries_steps_down():
     leader = make_leader()
     (store,) = appended_records(leader.take(events.ProposalMade(("founded",)), NOW))
     leader.take(store.done, NOW)
@@ -103,14 +103,14 @@
 
 
 def _next_round(leader, now):
-    """Ticks until the leader sends another round; its number and when it was sent."""
+    """Ticks until the leader sends another heartbeat round; returns its number and the time."""
     while True:
         now += SECOND / 20
         if rounds := sent_messages(tick(leader, now), messages.Heartbeat):
             return rounds[0].round, now
 
 
-def test_a_lease_counts_from_when_the_round_was_sent_however_late_the_answer_comes():
+def test_a_lease_counts_from_when_its_round_was_sent_however_late_the_acknowledgement():
     leader = make_leader()
     number, sent_at = _next_round(leader, NOW)
     late = sent_at + LEASE - SECOND / 100
@@ -119,7 +119,7 @@
     assert leader.is_fresh(late) and not leader.is_fresh(sent_at + LEASE)
 
 
-def test_an_answer_of_one_that_promised_a_higher_view_proves_nothing():
+def test_an_acknowledgement_with_a_higher_promise_does_not_renew_the_lease():
     leader = make_leader()
     number, sent_at = _next_round(leader, NOW)
     _ack(leader, "a", number, sent_at, promised=ViewId(9, "a"))
@@ -128,23 +128,23 @@
     assert leader.is_fresh(sent_at)
 
 
-def test_who_was_away_forgets_its_lease_before_it_takes_what_lay_in_its_buffer():
+def test_a_leader_drops_its_lease_after_a_pause_before_it_handles_buffered_messages():
     leader = make_leader()
     number, sent_at = _next_round(leader, NOW)
     tick(leader, sent_at)
-    woken = sent_at + MAX_TICK_GAP * 1.1
-    _ack(leader, "b", number, woken)
-    assert not leader.is_fresh(woken)
-    tick(leader, woken)
-    assert not leader.is_fresh(woken)
-    number, sent_at = _next_round(leader, woken)
+    resumed_at = sent_at + MAX_TICK_GAP * 1.1
+    _ack(leader, "b", number, resumed_at)
+    assert not leader.is_fresh(resumed_at)
+    tick(leader, resumed_at)
+    assert not leader.is_fresh(resumed_at)
+    number, sent_at = _next_round(leader, resumed_at)
     _ack(leader, "b", number, sent_at)
     assert leader.is_fresh(sent_at)
 
 
-def test_who_acknowledged_a_round_promises_nothing_to_others_until_the_lease_is_over():
-    """Only its own leader, or a candidate whom that leader released, passes before."""
-    for sender, released, is_given in (
+def test_a_replica_that_acknowledged_a_round_promises_nothing_to_others_until_the_lease_expires():
+    """Exceptions are its own leader and a candidate that presents the lease released by that leader."""
+    for sender, released, is_promised in (
         ("b", NO_VIEW, False),
         ("b", VIEW, True),
         ("b", OLD, False),
@@ -152,13 +152,13 @@
     ):
         replica = make_member()
         out = receive(replica, sender, prepare_message(ViewId(5, sender), released), NOW + LEASE)
-        assert bool(appended_records(out)) == is_given, (sender, released)
+        assert bool(appended_records(out)) == is_promised, (sender, released)
     replica = make_member()
     tick(replica, NOW + LEASE_GUARD)
     assert appended_records(receive(replica, "b", prepare_message(ViewId(5, "b")), NOW + LEASE_GUARD))
 
 
-def test_who_was_started_anew_may_have_acknowledged_a_round_and_promises_nothing_for_a_while():
+def test_a_restarted_replica_promises_nothing_until_the_lease_guard_expires():
     replica = make_replica(now=NOW)
     assert receive(replica, "b", prepare_message(ViewId(5, "b")), NOW + LEASE_GUARD / 2) == []
     assert receive(replica, "b", prepare_message(ViewId(5, "b"), VIEW), NOW + LEASE_GUARD / 2) == []
@@ -167,7 +167,7 @@
     assert appended_records(receive(blank, "b", prepare_message(ViewId(1, "b")), NOW))
 
 
-def test_one_that_was_started_anew_obeys_a_leader_that_holds_a_lease_since():
+def test_a_restarted_replica_promises_to_a_leader_that_has_since_shown_a_lease():
     replica = make_replica(now=NOW)
     own_round = sent_messages(receive(replica, "a", heartbeat_message(1), NOW), messages.HeartbeatAck)[0].own_round
     assert receive(replica, "a", prepare_message(ViewId(5, "a")), NOW) == []
@@ -177,7 +177,7 @@
     assert appended_records(receive(replica, "a", prepare_message(ViewId(5, "a")), NOW))
 
 
-def test_a_member_is_fresh_as_of_when_it_sent_the_round_that_comes_back():
+def test_a_member_is_fresh_as_of_when_it_sent_the_echoed_round():
     replica = make_member()
     own_round = sent_messages(receive(replica, "a", heartbeat_message(2), NOW), messages.HeartbeatAck)[0].own_round
     assert not replica.is_fresh(NOW)
@@ -186,13 +186,13 @@
     receive(replica, "a", heartbeat_message(3, echo=own_round, has_lease=False), late)
     assert not replica.is_fresh(late)
     receive(replica, "a", heartbeat_message(4, echo=own_round, committed=9), late)
-    assert not replica.is_fresh(late)  # it has not delivered all that
+    assert not replica.is_fresh(late)  # it has not delivered all committed entries
     receive(replica, "a", heartbeat_message(5, echo=own_round), late)
     tick(replica, late)
     assert replica.is_fresh(late) and not replica.is_fresh(NOW + FRESH_FOR)
 
 
-def test_guard_lease_and_freshness_by_themselves():
+def test_lease_guard_leader_lease_and_freshness_in_isolation():
     lease, voting_members = LeaderLease(), VotingMembers(ADDRESSES)
     number = lease.begin_round(NOW)
     lease.record_ack("b", number + 1)
@@ -214,12 +214,12 @@
     assert not freshness.is_fresh(NOW)
 
 
-# what belongs to the process before
+# messages for a previous process or replica at the same address
 
 
-def test_echoes_and_answers_to_the_process_before_count_nothing():
-    """Given a core that was started anew, a heartbeat that lay in a link and echoes a round of the process before proves nothing,
-    and the leader's answer to a read of that process answers no other."""
+def test_echoes_and_read_answers_for_a_previous_process_are_ignored():
+    """After a restart, a delayed heartbeat that echoes a round of the previous process must not make the state fresh,
+    and a delayed answer to a read of that process must not answer another read."""
     before, now = make_member(), NOW + SECOND
     old_round = sent_messages(receive(before, "a", heartbeat_message(2), NOW), messages.HeartbeatAck)[0].own_round
     (old_read,) = sent_messages(before.take(events.ReadRequested("old"), NOW), messages.ReadIndex)
@@ -234,8 +234,8 @@
     assert receive(replica, "a", messages.ReadIndexAnswer(old_read.token, 2, True), now) == []
 
 
-def test_one_that_replaces_a_voter_at_its_own_address_does_not_speak_to_itself():
-    """Given a newcomer at the address of the voter that it replaces, it can be elected: nothing of its own comes back to it."""
+def test_a_replica_that_replaces_a_voter_at_its_own_address_sends_itself_no_messages():
+    """Its own messages would return to it and abort its election."""
     replace = pack_entry(("seat-replace", "c", "d", "c:1")).decode()
     records = (("seat", "d"), ("view", (4, "a"), ("a", "b", "d"), 1, (FOUND, FOUNDED, replace)))
     replica = Replica("d", "c:1", (), Random(3), dict, records, Options(), NOW)
@@ -248,16 +248,16 @@
     assert replica.take(MessageReceived("d", "c:1", own), NOW + SECOND) == [] and replica.role is Role.PREPARING
 
 
-# votes, the commit rule and the roster
+# votes, the commit rule and the voting members
 
 
-def test_a_candidate_with_a_worse_log_is_not_accepted():
+def test_a_candidate_with_a_worse_log_gets_no_pre_vote():
     later = NOW + LEASE_GUARD * 2
-    for installed, end, is_accepted in ((VIEW, 2, True), (VIEW, 1, False), (OLD, 9, False), (ViewId(5, "b"), 1, True)):
+    for installed, end, is_granted in ((VIEW, 2, True), (VIEW, 1, False), (OLD, 9, False), (ViewId(5, "b"), 1, True)):
         replica = make_member()
         tick(replica, later)
         out = receive(replica, "b", messages.PreVote(ViewId(9, "b"), installed, end, 7), later)
-        assert bool(sent_messages(out, messages.PreVoteGranted)) == is_accepted, (installed, end)
+        assert bool(sent_messages(out, messages.PreVoteGranted)) == is_granted, (installed, end)
 
 
 def _propose(leader, change, now=NOW):
@@ -270,7 +270,7 @@
     return leader.take(MessageReceived(sender, address, message), now)
 
 
-def test_a_change_is_committed_once_every_member_has_synced_it_and_not_by_a_majority():
+def test_a_change_is_committed_once_every_member_has_synced_it_not_by_a_majority():
     replica = make_member(NOW - SECOND)
     tick(replica, NOW)
     replica.candidate.start(NOW, set())
@@ -287,8 +287,8 @@
     assert replica.state.committed == 3
 
 
-def test_a_change_of_the_roster_is_committed_by_a_quorum_of_the_roster_that_it_makes():
-    """Given a view of two of three and a fourth voter, all members are not enough: three of the four must have synced it."""
+def test_a_change_of_the_voting_members_is_committed_by_a_quorum_of_the_new_ones():
+    """With a view of two of three voters, the change that adds a fourth needs three of the four, not the members alone."""
     leader = make_leader()
     _propose(leader, ("seat-in", "d", "d:1"))
     _appended(leader, "b", "b:1", 3)
@@ -297,7 +297,7 @@
     assert leader.state.committed == 3
 
 
-def test_one_that_is_replaced_stays_a_voter_until_the_other_is_in_the_view():
+def test_a_replaced_voter_stays_until_its_successor_is_in_the_view():
     leader = make_leader()
     _propose(leader, ("seat-replace", "a", "d", "d:1"))
     _appended(leader, "b", "b:1", 3)
@@ -308,7 +308,7 @@
     assert set(leader.voting_members) == {"a", "b", "c", "d"} and leader.log.end == 3
 
 
-def test_a_leader_without_a_lease_answers_no_read_of_a_member():
+def test_a_leader_without_a_lease_gives_invalid_read_index_answers():
     leader = make_leader()
     (answer,) = sent_messages(receive(leader, "b", messages.ReadIndex(7)), messages.ReadIndexAnswer)
     assert not answer.is_valid
@@ -318,67 +318,67 @@
     assert answer.is_valid and answer.committed == 2
 
 
-# elections right after a start
+# elections right after a restart
 
 
-def _canvassing(now=NOW):
-    """c, just started, asks the other voters beforehand; gives it and what it asks."""
+def _start_pre_vote(now=NOW):
+    """Returns replica "c" in a pre-vote right after its start, its `PreVote` message and the time."""
     replica, soon = make_replica(now=now), now + SECOND * 0.35
-    (canvass, _) = sent_messages(tick(replica, soon), messages.PreVote)
-    return replica, canvass, soon
+    (pre_vote, _) = sent_messages(tick(replica, soon), messages.PreVote)
+    return replica, pre_vote, soon
 
 
-def _accept(canvass, start=0, **changes):
-    values = {"view": canvass.view, "token": canvass.token, "start": start} | changes
+def _grant(pre_vote, start=0, **changes):
+    values = {"view": pre_vote.view, "token": pre_vote.token, "start": start} | changes
     return messages.PreVoteGranted(**values)
 
 
-def test_where_every_voter_was_just_started_and_none_leads_a_view_need_not_wait_for_leases():
-    """Given three voters that are bound from before their start alone, the candidate prepares once all have accepted, not before,
-    and each is named the run that it told."""
-    replica, canvass, soon = _canvassing()
-    assert receive(replica, "a", _accept(canvass, 71), soon) == [] and replica.role is Role.PRE_VOTING
-    assert receive(replica, "b", _accept(canvass, 72, token=canvass.token + 1), soon) == []
-    (store,) = receive(replica, "b", _accept(canvass, 72), soon)
+def test_an_election_need_not_wait_for_leases_once_all_restarted_voters_have_granted_the_pre_vote():
+    """The candidate sends `Prepare` only after grants of all three voters, with the run number from each grant: the
+    voters are bound only by possible leases from before their restart."""
+    replica, pre_vote, soon = _start_pre_vote()
+    assert receive(replica, "a", _grant(pre_vote, 71), soon) == [] and replica.role is Role.PRE_VOTING
+    assert receive(replica, "b", _grant(pre_vote, 72, token=pre_vote.token + 1), soon) == []
+    (store,) = receive(replica, "b", _grant(pre_vote, 72), soon)
     sent = {effect.address: effect.message.start for effect in replica.take(store.done, soon)}
     assert sent == {"a:1": 71, "b:1": 72}
 
 
-def test_a_candidate_that_not_every_voter_accepted_names_no_run():
-    """Given a majority that is bound by nothing, the candidate need not ask the rest, and nobody's binding is lifted."""
-    replica, _, _ = _canvassing()
+def test_a_candidate_without_grants_of_all_voters_sends_no_run_numbers():
+    """A majority that no lease binds is enough for the election, but must not unbind the other voters."""
+    replica, _, _ = _start_pre_vote()
     late = NOW + LEASE_GUARD * 1.2
-    (canvass, _) = sent_messages(tick(replica, late), messages.PreVote)
-    (store,) = receive(replica, "a", _accept(canvass), late)
+    (pre_vote, _) = sent_messages(tick(replica, late), messages.PreVote)
+    (store,) = receive(replica, "a", _grant(pre_vote), late)
     assert {effect.message.start for effect in replica.take(store.done, late)} == {0}
 
 
-def test_who_was_just_started_tells_its_run_and_promises_to_who_names_it():
-    """Given a voter that may have acknowledged a round before its start, it accepts a canvass with its run, and promises nothing to a
-    candidate that names none or another."""
+def test_a_restarted_voter_grants_with_its_run_number_and_promises_only_for_that_number():
+    """A voter that may have acknowledged a round before its restart grants the pre-vote with its run number, and
+    promises nothing to a candidate that sends no run number or another one."""
     replica = make_replica()
-    canvass = messages.PreVote(ViewId(9, "b"), VIEW, 2, 5)
-    (accepted,) = sent_messages(receive(replica, "b", canvass), messages.PreVoteGranted)
-    assert accepted.token == 5 and accepted.start
+    pre_vote = messages.PreVote(ViewId(9, "b"), VIEW, 2, 5)
+    (grant,) = sent_messages(receive(replica, "b", pre_vote), messages.PreVoteGranted)
+    assert grant.token == 5 and grant.start
     view, voters = ViewId(9, "b"), ("a", "b", "c")
-    for start in (0, accepted.start + 1):
+    for start in (0, grant.start + 1):
         assert receive(replica, "b", messages.Prepare(view, voters, NO_VIEW, start)) == []
-    assert len(appended_records(receive(replica, "b", messages.Prepare(view, voters, NO_VIEW, accepted.start)))) == 1
+    assert len(appended_records(receive(replica, "b", messages.Prepare(view, voters, NO_VIEW, grant.start)))) == 1
 
 
-def test_who_has_acknowledged_a_round_since_it_told_its_run_promises_nothing():
-    """Given a leader that came up after the answer and counts on this voter's acknowledgement, a late prepare finds it bound."""
+def test_a_voter_that_has_acknowledged_a_round_since_its_grant_promises_nothing():
+    """A leader elected after the grant relies on the acknowledgement, so a late `Prepare` must be rejected."""
     replica = make_replica()
-    canvass = messages.PreVote(ViewId(9, "b"), VIEW, 2, 5)
-    (accepted,) = sent_messages(receive(replica, "b", canvass), messages.PreVoteGranted)
+    pre_vote = messages.PreVote(ViewId(9, "b"), VIEW, 2, 5)
+    (grant,) = sent_messages(receive(replica, "b", pre_vote), messages.PreVoteGranted)
     assert sent_messages(receive(replica, "a", heartbeat_message()), messages.HeartbeatAck)
-    late = messages.Prepare(ViewId(9, "b"), ("a", "b", "c"), NO_VIEW, accepted.start)
+    late = messages.Prepare(ViewId(9, "b"), ("a", "b", "c"), NO_VIEW, grant.start)
     assert receive(replica, "b", late) == []
-    assert sent_messages(receive(replica, "b", canvass), messages.PreVoteGranted) == []
+    assert sent_messages(receive(replica, "b", pre_vote), messages.PreVoteGranted) == []
 
 
-def test_a_leader_that_is_no_voter_any_more_hands_over():
-    """Given a leader that ends a replacement of itself, which another began, a member that is a voter is asked to lead."""
+def test_a_leader_that_is_no_longer_a_voter_hands_over():
+    """A leader that commits its own removal, begun by a previous leader, asks a member that is a voter to lead."""
     leader = make_leader()
     for end, change in ((3, ("seat-replace", "c", "d", "d:1")), (4, ("seat-out", "c"))):
         _propose(leader, change)
