--- a/sumachook/consensus/candidate.py
+++ b/sumachook/consensus/candidate.py
@@ -40,7 +40,7 @@
     def __init__(self, state: ReplicaState, slow_members: SlowMembers, installer: Installer, now: timedelta) -> None:
         self.state, self.slow_members, self.installer = state, slow_members, installer
         self.granted_by: set[str] = set()
-        self.run_numbers: dict[str, int] = {}  # of voters that may be bound by a lease from before a restart
+        self.run_numbers: dict[str, int] = {}  # sent by restarted voters, which an older lease may still bind
         self.token, self.is_unanimous = 0, False
         self.promises: dict[str, Promise] = {}
         self.suspected: set[str] = set()
@@ -187,13 +187,14 @@
     def _install(self, now: timedelta) -> list[Effect]:
         members = self._choose_members(now)
         state = self.state
-        is_founding = state.log.end == 1 and members != set(state.voting_members.addresses)  # the first view needs all
+        # The first view of a new group must include every founder.
+        is_founding = state.log.end == 1 and members != set(state.voting_members.addresses)
         if not state.voting_members.has_quorum(members) or is_founding:
             state.back_off(now)
             return []
         for name in state.voting_members.addresses:
             if name not in self.promises and state.has_heard(name, now):
-                self.slow_members.add(name, now)  # it is reachable but has not promised, so its disk is slow
+                self.slow_members.add(name, now)  # the voter is reachable but has not promised, so its disk is slow
         return self.installer.start(tuple(sorted(members)), self.promises, now)
 
     def _choose_members(self, now: timedelta) -> set[str]:
--- a/sumachook/consensus/follower.py
+++ b/sumachook/consensus/follower.py
@@ -144,7 +144,7 @@
             state.role = Role.MEMBER
 
     def _update_lease_state(self, message: Heartbeat, now: timedelta) -> None:
-        """Binds this replica to the leader's lease, and updates its freshness from the echo of its own round."""
+        """Binds this replica to the leader's lease, and updates its freshness from the round that the leader echoed."""
         state = self.state
         if state.promised <= message.view:
             state.guard.acknowledge(message.view, now)
--- a/sumachook/consensus/lease.py
+++ b/sumachook/consensus/lease.py
@@ -124,7 +124,7 @@
         return echo in self.rounds.sent_at
 
     def confirm(self, echo: int) -> None:
-        """Marks the state complete as of the echoed own round.
+        """Marks the state as complete at the time at which this replica sent the echoed round.
 
         The echo must come from a leader with a lease, and all that it had committed must be delivered here.
         """
--- a/sumachook/consensus/membership.py
+++ b/sumachook/consensus/membership.py
@@ -61,7 +61,7 @@
         return None
 
     def _can_grow(self, ready_count: int) -> bool:
-        """Whether voters may be added: two at a time, or one to an even number.
+        """Whether voters may be added: two at a time, or one if their number is even.
 
         The view must remain a majority of the enlarged group.
         """
@@ -72,7 +72,7 @@
         return (is_uneven or is_pair) and len(self.state.members) >= majority_of(grown)
 
     def _voter_to_replace(self, now: timedelta) -> str | None:
-        """Returns a voter with a lost disk, else a leaving one, else the one absent longest beyond `replace_after`."""
+        """Returns a voter with a lost disk, else a leaving one, else the longest absent beyond `replace_after`."""
         state, superseded = self.state, self.learners.superseded(now)
         absent_for = {
             name: now - state.heard_at.setdefault(name, now)
--- a/sumachook/consensus/messages.py
+++ b/sumachook/consensus/messages.py
@@ -184,7 +184,7 @@
 
 
 class Heartbeat(Message, frozen=True, tag="heartbeat"):
-    """Heartbeat of the leader with a round number; `echo` is the receiver's latest own round seen by the leader."""
+    """Heartbeat of the leader with a round number; `echo` repeats the receiver's latest `own_round`."""
 
     view: ViewId
     round: int
--- a/sumachook/consensus/progress.py
+++ b/sumachook/consensus/progress.py
@@ -8,7 +8,7 @@
 
 
 class _PendingAck(NamedTuple):
-    """An unacknowledged log end of a replica, and when it was first noted or the replica last fetched entries."""
+    """A log end that a replica has not acknowledged, and when it was noted or entries were last fetched."""
 
     end: int
     since: timedelta
--- a/sumachook/consensus/voter.py
+++ b/sumachook/consensus/voter.py
@@ -42,7 +42,7 @@
             return []
         if not state.guard.permits(sender, message.released, now, message.start):
             return []
-        if view > state.promised:  # a resent request must not extend the candidate's time
+        if view > state.promised:  # a resent `Prepare` must not postpone other elections again
             state.leader_heard_at = now
             state.next_election_at = now + SILENCE_TIMEOUT + timedelta(seconds=state.random.uniform(0.1, 0.5))
         state.promised, state.role, state.leader = view, Role.IDLE, None
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -143,7 +143,7 @@
 
 
 def test_a_replica_that_acknowledged_a_round_promises_nothing_to_others_until_the_lease_expires():
-    """Exceptions are its own leader and a candidate that presents the lease released by that leader."""
+    """The lease does not bind it against its own leader or a candidate that names the lease as released."""
     for sender, released, is_promised in (
         ("b", NO_VIEW, False),
         ("b", VIEW, True),
@@ -235,7 +235,7 @@
 
 
 def test_a_replica_that_replaces_a_voter_at_its_own_address_sends_itself_no_messages():
-    """Its own messages would return to it and abort its election."""
+    """Messages to the replaced voter's address would return to their sender and abort its election."""
     replace = pack_entry(("seat-replace", "c", "d", "c:1")).decode()
     records = (("seat", "d"), ("view", (4, "a"), ("a", "b", "d"), 1, (FOUND, FOUNDED, replace)))
     replica = Replica("d", "c:1", (), Random(3), dict, records, Options(), NOW)
