--- a/sumachook/control_state/__init__.py
+++ b/sumachook/control_state/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated control state: what every node works out from the same ordered changes."""
+"""The replicated control state, which every node computes by applying the same ordered log of changes."""
--- a/sumachook/control_state/accepted_versions.py
+++ b/sumachook/control_state/accepted_versions.py
@@ -1,18 +1,18 @@
-"""Which configurations were accepted, so that a repeat of one is known."""
+"""Remembers which configuration versions were accepted, so that a repeated proposal is recognized."""
 
 from dataclasses import dataclass, field
 from typing import Any, Self
 
-MAX_ACCEPTED_VERSIONS = 1024  # 32 hex digits each: some 50 kB of a snapshot
+MAX_ACCEPTED_VERSIONS = 1024  # a digest of 32 hex digits for each: about 50 kB of a snapshot
 
 
 @dataclass(slots=True)
 class AcceptedVersions:
-    """Digests of the configurations that were accepted, by version; the newest 1,024 are kept.
+    """Maps the version of each accepted configuration to the digest of its content; keeps the newest 1,024.
 
-    Versions rise with every configuration that is accepted, so the lowest are forgotten first, and `forgotten` bounds
-    them. Whether a change at or below that bound was accepted can't be said any more: it is neither acknowledged nor
-    rejected.
+    Each accepted configuration has a higher version than the one before, so the lowest versions are evicted first;
+    `forgotten` is the highest evicted version. Whether a change at or below it was accepted is unknown: such a change
+    is neither acknowledged nor rejected.
 
     >>> accepted = AcceptedVersions()
     >>> for version in range(1, MAX_ACCEPTED_VERSIONS + 3): accepted.record(version, "d")
@@ -26,7 +26,7 @@
     forgotten: int = 0
 
     def record(self, version: int, content_digest: str) -> None:
-        """This content came into force under this version."""
+        """Records that content with this digest was accepted as `version`; evicts the lowest over the bound."""
         self.digests[version] = content_digest
         while len(self.digests) > MAX_ACCEPTED_VERSIONS:
             oldest = next(iter(self.digests))
@@ -34,20 +34,20 @@
             self.forgotten = oldest
 
     def contains(self, version: int | None, content_digest: str) -> bool:
-        """Whether this very content was accepted under this version."""
+        """Returns whether exactly this content was accepted as this version."""
         return version is not None and self.digests.get(version) == content_digest
 
     def may_be_forgotten(self, base_version: int, version: int | None) -> bool:
-        """Whether it may have been accepted and forgotten since; what was accepted has a version above its base."""
+        """Returns whether this version may have been accepted and evicted since; it must be above its base version."""
         return version is not None and base_version < version <= self.forgotten
 
     def snapshot(self) -> dict[str, Any]:
-        """As a snapshot of the state holds it."""
+        """Returns the digests and the highest evicted version as plain data for a snapshot of the state."""
         return {"digests": tuple(self.digests.items()), "forgotten": self.forgotten}
 
     @classmethod
     def from_snapshot(cls, snapshot: dict[str, Any] | None, version: int) -> Self:
-        """As `snapshot` made it; of a snapshot without digests, nothing up to its version can be said."""
+        """Restores the data of `snapshot`; if that is None, nothing is known about versions up to `version`."""
         if snapshot is None:
             return cls({}, version)
         return cls(dict(snapshot["digests"]), snapshot["forgotten"])
--- a/sumachook/control_state/change_attempts.py
+++ b/sumachook/control_state/change_attempts.py
@@ -1,20 +1,20 @@
-"""Calls of operators, and the digests by which their contents are compared."""
+"""Identifies the calls of operators, and computes the digests by which their contents are compared."""
 
 from hashlib import sha256
 from typing import Any, NamedTuple
 
 import msgspec
 
-DIGEST_HEX_DIGITS = 32  # of SHA-256's 64: no two contents of one cluster meet by chance
+DIGEST_HEX_DIGITS = 32  # of the 64 of SHA-256; enough that no two contents of one cluster collide by chance
 
 
 class Attempt(NamedTuple):
-    """One call of an operator at one core.
+    """Identifies one call of an operator that one core received.
 
-    `origin` names the core and the start of its process, `number` the call. `seen` is the last log entry that the
-    core had delivered when it accepted the call, after a linearizable read: everything acknowledged before the call
-    came is at or below it. A copy of the proposal that lies in a buffer keeps its `seen`, however late it is
-    delivered.
+    `origin` names the core and the start of its process, `number` the call. `seen` is the number of the last log
+    entry that the core had delivered when it accepted the call, after a linearizable read: every change that was
+    acknowledged before the call arrived is at or below it. A copy of the proposal that is delayed in a buffer keeps
+    its `seen`, however late it is delivered.
     """
 
     origin: str
@@ -23,15 +23,16 @@
 
 
 def is_overtaken(seen: int | None, number: int) -> bool:
-    """Whether a call came to its core before change `number`.
+    """Returns whether a core accepted a call before it had delivered change `number`.
 
-    It may then be a copy that lay in a buffer, its caller answered long ago. `seen` is None where nobody says.
+    The proposal may then be a copy that was delayed in a buffer and whose caller was answered long ago. `seen` is
+    None if unknown.
     """
     return seen is not None and seen < number
 
 
 def digest(*content: Any) -> str:
-    """The same for the same content on every replica, whatever the order of the members of its objects.
+    """Returns a digest of `content` that is the same on every replica, whatever the order of keys in its objects.
 
     >>> digest({"a": 1, "b": [2]}, 5) == digest({"b": [2], "a": 1}, 5), digest({"a": 1}, 5) == digest({"a": 1}, 6)
     (True, False)
@@ -40,11 +41,11 @@
 
 
 def digest_of_configuration(document: Any, removals: Any, is_part: bool, base_version: int) -> str:
-    """What makes two configurations the same: content and base, but not the defaults that a core fills in."""
+    """Returns the digest that identifies a configuration: of content and base version, not of defaults filled in."""
     return digest(document, removals, is_part, base_version)
 
 
 def version_of(document: Any) -> int | None:
-    """The version that a configuration gives itself, or None where that is no whole number."""
+    """Returns the version that a configuration declares, or None if that is not a whole number."""
     version = document.get("version") if isinstance(document, dict) else None
     return version if isinstance(version, int) and not isinstance(version, bool) else None
--- a/sumachook/control_state/changes.py
+++ b/sumachook/control_state/changes.py
@@ -1,8 +1,8 @@
-"""The changes of the ordered state, one type each.
+"""The types of change that the replicated control state applies.
 
-A change is stored and sent as a JSON array: its tag, then its fields in order. `pack_entry` encodes a change to just
-that, so the tags, the order of the fields and their values are a stored format and stay as they are. `read_change` is
-the way back.
+A change is stored and sent as a JSON array: its tag, then its fields in order. `pack_entry` encodes a change that way
+and `read_change` decodes it. The tags, the order of the fields and their values are a stored format and must not
+change.
 """
 
 from collections.abc import Mapping, Sequence
@@ -13,65 +13,65 @@
 from sumachook.exceptions import StorageError
 from sumachook.transport.codec import read_entry
 
-Document = dict[str, Any]  # an operator's configuration, or a part of one, as it came
-Issues = tuple[tuple[str, str], ...]  # (path in the document, reason)
+Document = dict[str, Any]  # an operator's configuration, or a part of one, as received
+Issues = tuple[tuple[str, str], ...]  # pairs of a path in the document and the reason why it is invalid
 
 
 class UnknownChangeError(StorageError):
-    """A stored change has a tag or a number of fields that this version does not know."""
+    """Raised for a stored change whose tag or number of fields this release does not know."""
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """Base of all changes."""
+    """Base class of all changes; encoded as an array of the tag and the fields."""
 
 
-# the voting members -----------------------------------------------------------------------------
+# changes of the voting members -----------------------------------------------------------------------------
 
 
 class FoundCluster(Change, frozen=True, tag="found"):
-    """The first change: the cores that founded the cluster, by voter, with their addresses ("IP:PORT")."""
+    """Founds the cluster, as the first change of the log: maps each founding voter to its address ("IP:PORT")."""
 
     voting_members: dict[str, str]
 
 
 class ClusterFounded(Change, frozen=True, tag="founded"):
-    """The founders know of each other; nothing in the state changes."""
+    """Shows that the founders can commit a change; it leaves the state as it is."""
 
 
 class AddVoter(Change, frozen=True, tag="seat-in"):
-    """A core gets a vote."""
+    """Makes a core a voter."""
 
     voter: str
     address: str
 
 
 class RemoveVoter(Change, frozen=True, tag="seat-out"):
-    """A core loses its vote."""
+    """Removes a core from the voters."""
 
     voter: str
 
 
 class ReplaceVoter(Change, frozen=True, tag="seat-replace"):
-    """A core gets the vote of another one; both have a vote until the one that leaves is removed."""
+    """Adds a core as a voter in place of another; both vote until the leaving one is removed."""
 
     leaving: str
     joining: str
     address: str
 
 
-# operators --------------------------------------------------------------------------------------
+# changes requested by operators --------------------------------------------------------------------------------------
 
 
 class OperatorChange(Change, frozen=True):
-    """Base of what operators ask for; `request` is the caller's id of the request, "" where it gave none."""
+    """Base class of the changes that operators request; `request` is the caller's request id, "" if it gave none."""
 
     request: str
 
 
 class ApplyDocument(OperatorChange, frozen=True, tag="apply"):
-    """Put a document, or a part merged into the one in force, into force; deduplicated by its request id.
+    """Replaces the configuration in force, or merges a part into it; deduplicated by its request id.
 
-    It is stale where `if_revision` is given and is not the revision of the configuration in force.
+    The change is stale if `if_revision` is given and is not the revision in force.
     """
 
     document: Any
@@ -80,10 +80,10 @@
 
 
 class Configure(OperatorChange, frozen=True, tag="configure"):
-    """Put a versioned document, or a part of one, into force; deduplicated by its version and content.
+    """Applies a versioned configuration document, or a part of one; deduplicated by its version and content.
 
-    `removals` names the items that a part takes away, by list; `base_version` is the version that the document was
-    made from.
+    `removals` maps the name of each list to the items that a part removes from it; `base_version` is the version of
+    the configuration that the document was made from.
     """
 
     document: Any
@@ -93,15 +93,15 @@
 
 
 class ConfigureWithDefaults(Configure, frozen=True, tag="configure"):
-    """The same, with the values of fields that a whole document leaves out."""
+    """Applies a versioned configuration like `Configure`, with defaults for fields that a whole document omits."""
 
     defaults: Document | None
 
 
 class ConfigureByDigest(OperatorChange, frozen=True, tag="claim"):
-    """A configuration by its digest alone, where no more is needed for its verdict.
+    """Proposes a configuration by its digest alone, because its result does not depend on the content.
 
-    Its core saw that it is no longer to be accepted, or found these issues in it on its base version.
+    The proposing core saw that it can no longer be accepted, or found `issues` in it on its base version.
     """
 
     digest: str
@@ -111,7 +111,7 @@
 
 
 class ConfigureByDifference(OperatorChange, frozen=True, tag="revise"):
-    """A whole configuration by its difference from the one of its base version, with the digest of the whole."""
+    """Applies a whole configuration, sent as its difference from the base version and the digest of the whole."""
 
     digest: str
     base_version: int
@@ -121,19 +121,19 @@
 
 
 class Evacuate(OperatorChange, frozen=True, tag="evacuate"):
-    """Empty an area."""
+    """Evacuates an area: it gets no requests until it is restored."""
 
     zone: str
 
 
 class Restore(OperatorChange, frozen=True, tag="restore"):
-    """Open an evacuated area again."""
+    """Reopens an evacuated area for requests."""
 
     zone: str
 
 
 class OperatorCall(Change, frozen=True, tag="order"):
-    """An operator's change with the call that asked for it (`change_attempts.Attempt`)."""
+    """Wraps an operator's change with the call that requested it; the fields are those of `change_attempts.Attempt`."""
 
     origin: str
     number: int
@@ -141,11 +141,11 @@
     change: OperatorChange
 
 
-# roles ------------------------------------------------------------------------------------------
+# changes of the role holders ------------------------------------------------------------------------------------------
 
 
 class AcquireRole(Change, frozen=True, tag="duty-fill"):
-    """A core takes a vacant role with the next fencing token."""
+    """Assigns a vacant role to a core with the next fencing token."""
 
     role: str
     holder: str
@@ -153,31 +153,31 @@
 
 
 class ReleaseRole(Change, frozen=True, tag="duty-vacate"):
-    """The holder of this fencing token loses its role."""
+    """Makes a role vacant if its holder still has this fencing token."""
 
     role: str
     fencing_token: int
 
 
-# servers and placement --------------------------------------------------------------------------
+# changes of servers and placement --------------------------------------------------------------------------
 
 
 class UpdateServers(Change, frozen=True, tag="servers"):
-    """The servers that the platform lists, by name; `basis` is the change whose list they were compared with."""
+    """Replaces the servers, by name; `basis` is the number of the change that set the list they were compared with."""
 
     basis: int
     servers: dict[str, Any]
 
 
 class PlaceReplicas(Change, frozen=True, tag="pairs"):
-    """The placer's plan: by model the names of its first and its second server, "" for none."""
+    """Replaces the placement plan: maps each model to the names of its first and second server, "" for none."""
 
     fencing_token: int
     pairs: Mapping[str, Sequence[str]]
 
 
 class UpdateLoadedModels(Change, frozen=True, tag="held"):
-    """What servers have loaded, by server: the status of each model, or None for a server of which nothing is known."""
+    """Updates the status of each model loaded on each given server; None for a server whose models are unknown."""
 
     fencing_token: int
     loaded_models: Mapping[str, Mapping[str, str] | None]
@@ -208,7 +208,7 @@
 
 
 def tag_of(change: Change) -> str:
-    """The tag under which a change is stored.
+    """Returns the tag that identifies the type of a change in its stored form.
 
     >>> tag_of(Evacuate("r-1", "hall"))
     'evacuate'
@@ -217,7 +217,7 @@
 
 
 def read_change(entry: bytes) -> Change:
-    """The change of an entry of the log.
+    """Decodes the change in a log entry.
 
     >>> read_change(b'["duty-fill","placer","core-1",3]')
     AcquireRole(role='placer', holder='core-1', fencing_token=3)
@@ -226,11 +226,11 @@
 
 
 def change_of(values: Sequence[Any]) -> Change:
-    """The change of a stored array, lists as tuples; raises UnknownChangeError where there is none."""
+    """Decodes a change from its stored array, with tuples for lists; raises UnknownChangeError for any other array."""
     tag, *fields = values
     change_type = _TYPES.get(tag)
     if change_type is None:
-        raise UnknownChangeError(f"a change of unknown kind: {tag!r:.100}")
+        raise UnknownChangeError(f"unknown change tag {tag!r:.100}")
     if change_type is OperatorCall:
         fields[-1] = change_of(fields[-1])
     elif change_type is Configure and len(fields) == len(ConfigureWithDefaults.__struct_fields__):
@@ -238,4 +238,4 @@
     try:
         return change_type(*fields)
     except TypeError as error:
-        raise UnknownChangeError(f"a change {tag!r} with {len(fields)} fields") from error
+        raise UnknownChangeError(f"change {tag!r} does not have {len(fields)} fields") from error
--- a/sumachook/control_state/configurations.py
+++ b/sumachook/control_state/configurations.py
@@ -1,7 +1,8 @@
-"""Changes of the configuration in force.
+"""Applies changes of the configuration in force.
 
-A versioned configuration is judged by its content, not by its request: what was accepted under its version is
-accepted, whoever asks again. Its core proposes the shortest change that comes to the same verdict (`compact_form`).
+A versioned configuration is identified by its content, not by its request id: if the same content was accepted as the
+same version before, a repeat is acknowledged, whoever sends it. The core that receives a configuration proposes the
+shortest change that gives the same result (`compact_form`).
 """
 
 from typing import Any, NamedTuple
@@ -32,14 +33,14 @@
     with_issues,
 )
 
-# Reasons that operators read.
+# Reasons of rejections that are shown to operators.
 STALE_GENERATION = "stale generation"
 STALE_VERSION = "stale version"
 NO_CONFIGURATION = "no catalogue yet"
 
 
 class _Identity(NamedTuple):
-    """What the versions alone say of a configuration."""
+    """Identifies a configuration by its content digest, base version and own version."""
 
     digest: str
     base_version: int
@@ -51,11 +52,11 @@
         return cls(content, change.base_version, version_of(change.document))
 
 
-# unversioned documents ----------------------------------------------------------------------------
+# documents without a version ----------------------------------------------------------------------------
 
 
 def apply_document(state: StateFields, change: changes.ApplyDocument, _seen: int | None) -> ChangeResult:
-    """Puts a document or a part of one into force, once a request."""
+    """Applies an unversioned document or a part of one; a repeated request id gets the first result."""
     content = digest("apply", change.document, change.is_part, change.if_revision)
     return once(state, change.request, content, lambda: _merge(state, change))
 
@@ -71,11 +72,11 @@
     return _replace(state, merge(state.doc, change.document))
 
 
-# versioned documents ------------------------------------------------------------------------------
+# documents with a version ------------------------------------------------------------------------------
 
 
 def configure(state: StateFields, change: changes.Configure, seen: int | None) -> ChangeResult:
-    """Puts a versioned document or a part of one into force."""
+    """Applies a versioned document or a part of one if its version, base version and content allow it."""
     identity = _Identity.of(change)
     verdict = _verdict(state, identity, seen)
     if verdict is not None:
@@ -87,19 +88,19 @@
 
 
 def configure_by_digest(state: StateFields, change: changes.ConfigureByDigest, seen: int | None) -> ChangeResult:
-    """Judges a configuration that its core saw to be no longer acceptable, or invalid on its base."""
+    """Returns the result of a configuration that its core found stale, repeated, or invalid on its base version."""
     verdict = _verdict(state, _Identity(change.digest, change.base_version, change.version), seen)
     if verdict is not None:
         return verdict
     if change.issues:
         return with_issues(Outcome.REJECTED, change.issues)
-    return unknown("version", "its base came into force meanwhile")
+    return unknown("version", "its base version came into force after the core had checked it")
 
 
 def configure_by_difference(
     state: StateFields, change: changes.ConfigureByDifference, seen: int | None
 ) -> ChangeResult:
-    """Puts a whole document into force by its difference; what comes of it has to be what its core meant."""
+    """Applies a difference to the document in force; the result must have the digest that its core sent."""
     identity = _Identity(change.digest, change.base_version, change.version)
     verdict = _verdict(state, identity, seen)
     if verdict is not None:
@@ -107,28 +108,28 @@
     try:
         wanted = apply_difference(state.checked, change.difference)
     except DifferenceError as error:
-        return unknown("$", f"not a difference from the version in force: {error}")
+        return unknown("$", f"the difference does not apply to the version in force: {error}")
     if document_digest(wanted) != change.document_digest:
-        return unknown("$", "not a difference from the document in force")
+        return unknown("$", "the difference does not give the document that the core proposed")
     return _accept(state, wanted, identity)
 
 
 def _verdict(state: StateFields, identity: _Identity, seen: int | None) -> ChangeResult | None:
-    """What the versions alone decide of a configuration, or None."""
+    """Returns the result of a configuration if its versions alone decide it, else None."""
     base_version, version = identity.base_version, identity.version
     if state.accepted_versions.contains(version, identity.digest):
         return accepted(state.generation)
     if state.accepted_versions.may_be_forgotten(base_version, version):
-        return unknown("version", f"{version} is too long ago to tell")
+        return unknown("version", f"{version} is too old a version to know whether it was accepted")
     if base_version != state.version:
         return stale("version", f"{STALE_VERSION}: it is {state.version}, not {base_version}")
     if is_overtaken(seen, state.version_changed_at):
-        return unknown("version", f"{base_version} came into force after this call")
+        return unknown("version", f"{base_version} came into force after this request arrived")
     return None
 
 
 def _wanted_document(state: StateFields, change: changes.Configure) -> tuple[Any, tuple[ConfigurationIssue, ...]]:
-    """The whole that a configuration on the version in force asks for, or the issues that need no look at it."""
+    """Returns the whole document that a change on the version in force results in, or issues found without it."""
     version = version_of(change.document)
     if version is None:
         return None, (ConfigurationIssue("version", "a whole number is needed"),)
@@ -146,7 +147,7 @@
 
 
 def _accept(state: StateFields, wanted: Any, identity: _Identity) -> ChangeResult:
-    """Puts a whole into force, if it is valid, and remembers it under its version."""
+    """Replaces the document in force if the new one is valid, and records the accepted version."""
     result = _replace(state, wanted)
     if result.outcome is Outcome.ACCEPTED and identity.version is not None:
         state.accepted_versions.record(identity.version, identity.digest)
@@ -155,7 +156,7 @@
 
 
 def _replace(state: StateFields, wanted: Any) -> ChangeResult:
-    """The whole that is to be in force, if it is valid; what belongs to areas and models that it lacks is dropped."""
+    """Replaces the document in force if `wanted` is valid; drops evacuations and placements it no longer covers."""
     checked, issues = revise_document(state.checked, wanted)
     if checked is None:
         return with_issues(Outcome.REJECTED, issues)
@@ -171,14 +172,14 @@
     return accepted(state.generation)
 
 
-# what is proposed ---------------------------------------------------------------------------------
+# the proposed form of a configuration ---------------------------------------------------------------------------------
 
 
 def compact_form(state: StateFields, change: changes.Configure) -> changes.OperatorChange:
-    """What is to be proposed for a configuration.
+    """Returns the shortest change to propose for a configuration.
 
-    Its digest where its verdict needs no more, its difference from the configuration in force where that is shorter,
-    or itself.
+    That is its digest if its result does not depend on its content, its difference from the configuration in force if
+    that is shorter, or else the configuration itself.
     """
     identity = _Identity.of(change)
     if change.base_version != state.version or state.accepted_versions.contains(identity.version, identity.digest):
@@ -195,7 +196,7 @@
 def _shortened(
     state: StateFields, change: changes.Configure, identity: _Identity, wanted: CheckedDocument
 ) -> changes.OperatorChange:
-    """A whole configuration as its difference from the one in force, where that is shorter by half."""
+    """Returns a whole configuration as its difference from the one in force if that is shorter by half, else as is."""
     if state.checked is None:
         return change
     difference = difference_between(state.checked, wanted)
--- a/sumachook/control_state/effects.py
+++ b/sumachook/control_state/effects.py
@@ -1,4 +1,4 @@
-"""What parts of a core ask of the ordered control state."""
+"""The effect by which parts of a core propose changes of the replicated control state."""
 
 from typing import Any
 
@@ -6,6 +6,6 @@
 
 
 class ProposeChange(Effect, frozen=True):
-    """Have this change ordered; who proposes it proposes it again if it is refused or lost."""
+    """Proposes a change to the consensus log; the proposer has to retry if the proposal is refused or lost."""
 
     change: Any
--- a/sumachook/control_state/evacuations.py
+++ b/sumachook/control_state/evacuations.py
@@ -1,4 +1,4 @@
-"""Changes that evacuate an area or open it again."""
+"""Applies changes that evacuate an area or reopen it."""
 
 from sumachook.control_state import changes
 from sumachook.control_state.change_attempts import digest, is_overtaken
@@ -8,25 +8,25 @@
 
 
 def evacuate(state: StateFields, change: changes.Evacuate, seen: int | None) -> ChangeResult:
-    """The area takes no requests from now on."""
+    """Marks an area as evacuated, so that it gets no more requests."""
     content = digest("evacuate", change.zone)
     return once(state, change.request, content, lambda: _set_evacuated(state, change.zone, True, seen))
 
 
 def restore(state: StateFields, change: changes.Restore, seen: int | None) -> ChangeResult:
-    """The area takes requests again."""
+    """Reopens an evacuated area for requests."""
     content = digest("restore", change.zone)
     return once(state, change.request, content, lambda: _set_evacuated(state, change.zone, False, seen))
 
 
 def _set_evacuated(state: StateFields, zone: str, is_evacuated: bool, seen: int | None) -> ChangeResult:
-    """Not by a call that came before the area's last change, which it must not overtake."""
+    """Evacuates or restores an area, unless it was evacuated or restored after the call arrived at its core."""
     if state.catalogue is None or zone not in state.catalogue.zones:
         return rejected("area", f"no area {zone!r}")
     if (zone in state.evacuated) == is_evacuated:
         return accepted(state.generation)
     if is_overtaken(seen, state.evacuation_changed_at.get(zone, 0)):
-        return unknown("area", f"{zone!r} was turned after this call came")
+        return unknown("area", f"{zone!r} was evacuated or restored after this request arrived")
     others = tuple(other for other in state.evacuated if other != zone)
     state.evacuated = tuple(sorted((*others, zone))) if is_evacuated else others
     state.evacuation_changed_at[zone] = state.number
--- a/sumachook/control_state/fields.py
+++ b/sumachook/control_state/fields.py
@@ -1,4 +1,4 @@
-"""The data of the replicated state, which the handlers of its changes share."""
+"""The data of the replicated control state, which the handlers of its changes read and modify."""
 
 from typing import Any, NamedTuple
 
@@ -8,50 +8,50 @@
 from sumachook.control_state.results import ChangeResult
 
 PLACER, ACCOUNTANT = "placer", "accountant"
-DUTIES = (PLACER, ACCOUNTANT)  # the roles that one core at a time holds
+DUTIES = (PLACER, ACCOUNTANT)  # the singleton roles, each held by at most one core at a time
 
 
 class RoleHolder(NamedTuple):
-    """Who holds a role ("" for nobody), and the last fencing token that was given for it."""
+    """The holder of a role ("" if it is vacant) and the last fencing token that was issued for it."""
 
     holder: str
     fencing_token: int
 
 
 class CompletedRequest(NamedTuple):
-    """The digest of what an operator's request asked for, and what came of it."""
+    """The content digest of an operator's completed request, and its result."""
 
     content_digest: str
     result: ChangeResult
 
 
 class StateFields:
-    """What the ordered changes made so far.
+    """The data that results from the changes applied so far.
 
     Attributes
     ----------
     number
-        The last change that was applied.
+        The number of the last change that was applied.
     generation
-        The revision of what operators configured; each accepted change of theirs makes the next one.
+        The revision of what operators configured; each accepted change of theirs increments it.
     doc, checked, catalogue
-        The configuration in force: as it came, with what was read from it, and typed; None before the first.
+        The configuration in force: as received, with the results of its checks, and typed; None before the first one.
     accepted_versions, version_changed_at
-        The configurations that were accepted, and the change that brought the version in force.
+        The configurations that were accepted, and the number of the change that set the version in force.
     evacuated, evacuation_changed_at
-        The evacuated areas, in order, and by area the change that last evacuated or opened it.
+        The evacuated areas, sorted, and the number of the change that last evacuated or restored each area.
     requests
         Completed requests of operators by id, oldest first.
     duties
-        Each role's holder.
+        The holder and the last fencing token of each role.
     voting_members
-        Each voter's address ("IP:PORT").
+        The address ("IP:PORT") of each voter.
     servers, listed_at
-        What the platform lists, by name, and the change that brought it.
+        The servers that the platform lists, by name, and the number of the change that set the list.
     pairs
-        By model the names of its first and its second server.
+        The names of the first and the second server of each model.
     held
-        By server the status of each model that it has loaded.
+        The status of each model that a server has loaded, by server.
     """
 
     __slots__ = (
@@ -93,14 +93,14 @@
 
     @property
     def version(self) -> int:
-        """The operator's version of the configuration in force, 0 for none."""
+        """The version that the configuration in force declares, 0 if there is no configuration."""
         return self.catalogue.version if self.catalogue is not None else 0
 
     def is_open(self, zone: str) -> bool:
-        """Whether an area takes requests; one that is not configured is closed, since nobody could evacuate it."""
+        """Returns whether an area gets requests; one that is not configured does not, since it cannot be evacuated."""
         return zone not in self.evacuated and (self.catalogue is None or zone in self.catalogue.zones)
 
     def fence(self, role: str, holder: str) -> int:
-        """The fencing token of the role's holder, 0 for anybody else."""
+        """Returns the fencing token of a role if `holder` holds it, else 0."""
         current = self.duties[role]
         return current.fencing_token if current.holder == holder else 0
--- a/sumachook/control_state/results.py
+++ b/sumachook/control_state/results.py
@@ -1,4 +1,4 @@
-"""What came of a change: the outcome, and its stored form."""
+"""The result of applying a change, and its stored form."""
 
 from collections.abc import Iterable, Sequence
 from enum import StrEnum
@@ -6,31 +6,31 @@
 
 from sumachook.configuration.issue import ConfigurationIssue
 
-MAX_STORED_ISSUES = 50  # of a result that is kept or proposed; an operator mends no more of them at once
+MAX_STORED_ISSUES = 50  # per result that is stored or proposed; an operator does not fix more of them at once
 
 
 class Outcome(StrEnum):
-    """How a change ended; the values are stored and shown to operators."""
+    """The outcome of a change; the values are stored and shown to operators."""
 
     ACCEPTED = "ok"
     REJECTED = "refused"
-    STALE = "stale"  # made from a configuration that is no longer in force
-    UNKNOWN = "unclear"  # neither accepted nor rejected: it may be a late copy, or what it depends on was forgotten
+    STALE = "stale"  # the configuration that the change was made from is no longer in force
+    UNKNOWN = "unclear"  # neither accepted nor rejected: it may be a delayed copy, or the data to decide it was evicted
 
 
 class ChangeResult(NamedTuple):
-    """The outcome of a change; the revision in force, of an accepted operator's change; the issues of any other."""
+    """The outcome of a change, with the revision in force after an operator's accepted change, or the issues found."""
 
     outcome: Outcome
     revision: int | None = None
     issues: tuple[ConfigurationIssue, ...] = ()
 
     def truncated(self) -> Self:
-        """With no more issues than are stored."""
+        """Returns a copy of the result with at most `MAX_STORED_ISSUES` issues."""
         return self._replace(issues=self.issues[:MAX_STORED_ISSUES])
 
     def stored(self) -> tuple[Any, ...]:
-        """As snapshots hold it.
+        """Returns the result as plain data for a snapshot.
 
         >>> accepted(3).stored(), rejected("area", "no area").stored(), accepted().stored()
         (('ok', 3), ('refused', (('area', 'no area'),)), ('ok',))
@@ -41,7 +41,7 @@
 
 
 def read_result(stored: Sequence[Any]) -> ChangeResult:
-    """The result of its stored form.
+    """Decodes a result from its stored form.
 
     >>> read_result(["ok", 3]) == accepted(3)
     True
@@ -55,25 +55,25 @@
 
 
 def accepted(revision: int | None = None) -> ChangeResult:
-    """The result of a change that holds."""
+    """Returns the result of an accepted change."""
     return ChangeResult(Outcome.ACCEPTED, revision)
 
 
 def rejected(path: str, reason: str) -> ChangeResult:
-    """The result of a change that does not hold, for one reason."""
+    """Returns the result of a change that is rejected for one reason."""
     return with_issues(Outcome.REJECTED, ((path, reason),))
 
 
 def stale(path: str, reason: str) -> ChangeResult:
-    """The result of a change whose base is no longer in force."""
+    """Returns the result of a change whose base configuration is no longer in force."""
     return with_issues(Outcome.STALE, ((path, reason),))
 
 
 def unknown(path: str, reason: str) -> ChangeResult:
-    """The result of a change of which nothing can be said."""
+    """Returns the result of a change that can be neither accepted nor rejected."""
     return with_issues(Outcome.UNKNOWN, ((path, reason),))
 
 
 def with_issues(outcome: Outcome, issues: Iterable[Sequence[str]]) -> ChangeResult:
-    """A result with these (path, reason) pairs."""
+    """Returns a result with the given outcome and issues, which are pairs of a path and a reason."""
     return ChangeResult(outcome, None, tuple(ConfigurationIssue(*issue) for issue in issues))
--- a/sumachook/control_state/roles.py
+++ b/sumachook/control_state/roles.py
@@ -1,4 +1,4 @@
-"""Changes of the roles that one core at a time holds, each time with a higher fencing token."""
+"""Applies changes of the holders of singleton roles; each new holder gets a higher fencing token."""
 
 from sumachook.control_state import changes
 from sumachook.control_state.fields import RoleHolder, StateFields
@@ -6,26 +6,26 @@
 
 
 def acquire_role(state: StateFields, change: changes.AcquireRole) -> ChangeResult:
-    """A vacant role goes to whoever names the next fencing token."""
+    """Assigns a role if it is vacant and the change has the next fencing token."""
     holder, last = state.duties[change.role]
     if holder:
         return rejected("duty", "not vacant")
     if change.fencing_token != last + 1:
-        return rejected("duty", f"fence {change.fencing_token} after {last}")
+        return rejected("duty", f"fencing token {change.fencing_token} does not follow {last}")
     state.duties[change.role] = RoleHolder(change.holder, change.fencing_token)
     return accepted()
 
 
 def release_role(state: StateFields, change: changes.ReleaseRole) -> ChangeResult:
-    """The role is vacant, if it is still held with this fencing token."""
+    """Makes a role vacant if it is still held with the given fencing token."""
     holder, last = state.duties[change.role]
     if not holder or change.fencing_token != last:
-        return rejected("duty", "not that fence")
+        return rejected("duty", "not held with this fencing token")
     state.duties[change.role] = RoleHolder("", last)
     return accepted()
 
 
 def is_held_with(state: StateFields, role: str, fencing_token: int) -> bool:
-    """Whether the role's present holder has this fencing token."""
+    """Returns whether the role is held with this fencing token."""
     holder, last = state.duties[role]
     return bool(holder) and last == fencing_token
--- a/sumachook/control_state/servers.py
+++ b/sumachook/control_state/servers.py
@@ -1,4 +1,4 @@
-"""Changes of the servers, of the placer's plan, and of what servers have loaded."""
+"""Applies changes of the server list, of the placement plan and of the models that servers have loaded."""
 
 from sumachook.control_state import changes
 from sumachook.control_state.fields import PLACER, StateFields
@@ -7,9 +7,9 @@
 
 
 def update_servers(state: StateFields, change: changes.UpdateServers) -> ChangeResult:
-    """The list as a core that saw a difference read it; not where that core compared it with an older list."""
+    """Replaces the server list, unless the proposing core compared it with an older list than the current one."""
     if change.basis != state.listed_at:
-        return rejected("basis", f"the list is of change {state.listed_at}, not {change.basis}")
+        return rejected("basis", f"the server list is that of change {state.listed_at}, not of change {change.basis}")
     state.servers = dict(change.servers)
     state.listed_at = state.number
     state.held = {server: models for server, models in state.held.items() if server in state.servers}
@@ -17,7 +17,7 @@
 
 
 def place_replicas(state: StateFields, change: changes.PlaceReplicas) -> ChangeResult:
-    """The plan of the present placer replaces the plan in force."""
+    """Replaces the placement plan if the change comes from the current placer."""
     if not is_held_with(state, PLACER, change.fencing_token):
         return _rejected_as_older_placer()
     state.pairs = {model: tuple(pair) for model, pair in change.pairs.items()}
@@ -25,7 +25,7 @@
 
 
 def update_loaded_models(state: StateFields, change: changes.UpdateLoadedModels) -> ChangeResult:
-    """What the present placer was told by servers replaces what was known of these servers."""
+    """Replaces the loaded models of the given servers if the change comes from the current placer."""
     if not is_held_with(state, PLACER, change.fencing_token):
         return _rejected_as_older_placer()
     for server, models in change.loaded_models.items():
@@ -37,4 +37,4 @@
 
 
 def _rejected_as_older_placer() -> ChangeResult:
-    return rejected("fence", "an older placer")
+    return rejected("fence", "the fencing token is not that of the current placer")
--- a/sumachook/control_state/snapshots.py
+++ b/sumachook/control_state/snapshots.py
@@ -1,4 +1,4 @@
-"""The state as it is stored and sent, and back."""
+"""Converts the replicated state to the plain data of a snapshot, and back."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def snapshot_of(state: StateFields) -> dict[str, Any]:
-    """The state as it is now; what is applied later changes nothing in it, also when another thread writes it then."""
+    """Returns the present state as plain data that later changes leave alone, so that another thread can write it."""
     return {
         "number": state.number,
         "generation": state.generation,
@@ -32,9 +32,9 @@
 
 
 def restore_snapshot(state: StateFields, snapshot: dict[str, Any]) -> None:
-    """Puts the state of a snapshot in the place of the present one.
+    """Replaces the whole state with that of a snapshot.
 
-    Snapshots of the first versions have neither "taken" nor what follows it.
+    Snapshots written by the first releases lack "taken" and the keys after it.
     """
     state.number = snapshot["number"]
     _restore_configuration(state, snapshot)
--- a/sumachook/control_state/state.py
+++ b/sumachook/control_state/state.py
@@ -1,4 +1,4 @@
-"""The ordered state: what every core and edge works out from the same changes."""
+"""The replicated control state, which every core and edge computes from the same ordered changes."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -32,7 +32,7 @@
 
 
 class State(StateFields):
-    """The replicated state. `apply` is the only way into it, and does the same on every node.
+    """The replicated control state; only `apply` and `restore` modify it, with the same result on every node.
 
     >>> state = State()
     >>> state.apply(1, changes.Evacuate("op-1", "hall")).stored()
@@ -46,7 +46,7 @@
     __slots__ = ()
 
     def apply(self, number: int, change: Change | Sequence[Any]) -> ChangeResult:
-        """Applies change `number` of the log: a change, or its stored array."""
+        """Applies the change with this log number, given as a `Change` or as its stored array."""
         if not isinstance(change, Change):
             change = change_of(change)
         self.number = number
@@ -57,13 +57,13 @@
         return _HANDLERS[type(change)](self, change)
 
     def compact_form(self, change: changes.Configure) -> changes.OperatorChange:
-        """What is to be proposed for a configuration."""
+        """Returns the shortest change to propose for a configuration, given the state of this node."""
         return configurations.compact_form(self, change)
 
     def snapshot(self) -> dict[str, Any]:
-        """The state as it is stored and sent; later changes do not alter it."""
+        """Returns the state as plain data to be stored or sent; later changes do not modify it."""
         return snapshots.snapshot_of(self)
 
     def restore(self, snapshot: dict[str, Any]) -> None:
-        """Takes the state of a snapshot."""
+        """Replaces the whole state with that of a snapshot."""
         snapshots.restore_snapshot(self, snapshot)
