--- a/sumachook/changefeed/__init__.py
+++ b/sumachook/changefeed/__init__.py
@@ -1,4 +1,4 @@
-"""The numbered feed of committed changes, from cores to edges."""
+"""The change feed, by which cores send committed, numbered changes to edges."""
 
 from sumachook.changefeed.follower import Follower
 from sumachook.changefeed.source import Source
--- a/sumachook/changefeed/effects.py
+++ b/sumachook/changefeed/effects.py
@@ -1,14 +1,14 @@
-"""What a follower of the change feed asks of its node, beside messages."""
+"""The effects that a follower of the change feed returns to its node, in addition to messages."""
 
 from sumachook.host.effects import Effect
 
 
 class ChangesApplied(Effect, frozen=True):
-    """The state has applied these entries, numbered from `first` on."""
+    """Reports that the state has applied these entries, the first of which is change `first`."""
 
     first: int
     entries: tuple[bytes, ...]
 
 
 class StateRestored(Effect, frozen=True):
-    """The state was replaced by a snapshot."""
+    """Reports that the state was replaced by a snapshot."""
--- a/sumachook/changefeed/events.py
+++ b/sumachook/changefeed/events.py
@@ -1,12 +1,12 @@
-"""What the two ends of the change feed are told within their node."""
+"""The events within a node that the source and the follower of the change feed handle."""
 
 from sumachook.host.events import Event
 
 
 class FollowerTick(Event, frozen=True):
-    """Time has passed at a follower.
+    """The periodic tick of a follower.
 
-    `cores` are the addresses of live cores; `announced_number` is the highest change that members say they hold.
+    `cores` are the addresses of live cores; `announced_number` is the highest change that members report to have.
     """
 
     cores: tuple[str, ...]
@@ -14,17 +14,17 @@
 
 
 class EntryDelivered(Event, frozen=True):
-    """The core's state has applied the committed entry of this number."""
+    """Reports that the core's state has applied the committed log entry `number`."""
 
     number: int
     entry: bytes
 
 
 class SnapshotRestored(Event, frozen=True):
-    """The core's state was replaced by a snapshot of everything up to this number."""
+    """Reports that the core's state was replaced by a snapshot of all changes up to `number`."""
 
     number: int
 
 
 class ServeRequested(Event, frozen=True):
-    """Everything that was delivered at once has been applied: send it to the followers in one batch."""
+    """Requests that entries be sent to followers now, after all that were delivered together have been applied."""
--- a/sumachook/changefeed/follower.py
+++ b/sumachook/changefeed/follower.py
@@ -1,4 +1,4 @@
-"""The following end of the change feed, in each edge."""
+"""The follower of the change feed, which runs in each edge."""
 
 from datetime import timedelta
 from random import Random
@@ -17,22 +17,22 @@
 from sumachook.runtime.monotonic_value import MonotonicValue
 from sumachook.transport.codec import read_entry
 
-# Why these figures keep every connected edge up to date in time: docs/design.md, "Edges behind a core that is cut off".
-PROOF_TIMEOUT = timedelta(seconds=1)  # without a proof for so long, another core is followed
-ANSWER_TIMEOUT = timedelta(seconds=0.4)  # a fresh core that is asked answers at once
-MAX_ANSWER_TIMEOUT_FACTOR = 1.5  # reached when cores in a row don't answer, so that busy ones are not asked more often
-MAX_LAG = timedelta(seconds=0.5)  # others hold changes that the upstream core does not send
-PROOF_LIFETIME = timedelta(seconds=3)  # after the last proof the state counts as disconnected
-MAX_TICK_GAP = timedelta(seconds=1)  # a longer one means that the process was paused
-NEVER = timedelta(days=365)  # before the start
+# Why these timeouts keep connected edges up to date in time: docs/design.md, "Edges behind a core that is cut off".
+PROOF_TIMEOUT = timedelta(seconds=1)  # without a proof of freshness for so long, the follower switches to another core
+ANSWER_TIMEOUT = timedelta(seconds=0.4)  # a fresh core answers a request at once
+MAX_ANSWER_TIMEOUT_FACTOR = 1.5  # maximum back-off while no core answers, to spare busy cores
+MAX_LAG = timedelta(seconds=0.5)  # how long other members may have changes that the upstream core does not send
+PROOF_LIFETIME = timedelta(seconds=3)  # so long after its last proof the state counts as disconnected
+MAX_TICK_GAP = timedelta(seconds=1)  # a longer gap between ticks means that the process was paused
+NEVER = timedelta(days=365)  # age of an event that has not happened yet
 
 
 class Follower:
-    """Keeps a replicated state up to date and knows how far it may be relied on; see docs/design.md, "Feed".
+    """Keeps a replica of the control state up to date and tracks how fresh it is; see docs/design.md, "Feed".
 
-    `proved_at` is the latest moment of which it is known that the state held all that a fresh core held then. A core
-    repeats the nonce of a request in its heartbeat; the heartbeat proves as of when that request was sent, however
-    late it arrives.
+    `proved_at` is the latest time at which the state is known to have held every change that a fresh core held. A
+    core repeats the nonce of a request in its heartbeat; the heartbeat proves freshness as of the time when that
+    request was sent, however late it arrives.
     """
 
     __slots__ = (
@@ -57,7 +57,7 @@
 
     def __init__(self, state: ReplicatedState, random: Random, now: timedelta) -> None:
         self.state = state
-        self.upstream: str | None = None  # the address of the core that is followed
+        self.upstream: str | None = None  # the address of the core that this follower subscribes to
         self.upstream_selector = UpstreamSelector(random)
         self.round_trips = RoundTrips(random.randrange(1, 1 << 30))
         self.snapshot_assembler = SnapshotAssembler()
@@ -71,7 +71,7 @@
         self.unanswered_requests = 0
 
     def trust(self, now: timedelta) -> Trust:
-        """How far the state may be relied on now."""
+        """Returns how far the state may be relied on at time `now`."""
         if self.state.catalogue is None:
             return Trust.EMPTY
         if now - self.last_tick > MAX_TICK_GAP:
@@ -81,7 +81,7 @@
         return Trust.UNPROVEN if now - self.resumed_at < PROOF_LIFETIME else Trust.DISCONNECTED
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Handle a tick or a message of a core; gives messages, and what was done to the state."""
+        """Handles a tick or a message from a core; returns the messages to send and reports of changes to the state."""
         match event:
             case FollowerTick():
                 return self._handle_tick(event, now)
@@ -102,7 +102,7 @@
         return []
 
     def _handle_pause(self, now: timedelta) -> list[Effect]:
-        """After a pause no answer to an earlier request is believed, since it may have lain in a buffer."""
+        """Discards open requests after a pause of the process, since answers to them may have waited in a buffer."""
         if now - self.last_tick <= MAX_TICK_GAP:
             return []
         self.resumed_at = now
@@ -110,7 +110,7 @@
         self.proved_at = now - NEVER
         return self._follow(now)
 
-    # the upstream core ----------------------------------------------------------
+    # selecting the upstream core ----------------------------------------------------------
 
     def _follow(self, now: timedelta) -> list[Effect]:
         self.round_trips.clear()
@@ -137,14 +137,14 @@
             self.behind_since = now
 
     def _answer_timeout(self) -> timedelta:
-        """Grows while nobody answers, so that busy cores are not asked ever more often."""
+        """Returns the timeout of a request, which grows while no core answers, to spare busy cores."""
         return ANSWER_TIMEOUT * min(MAX_ANSWER_TIMEOUT_FACTOR, 1 + self.unanswered_requests / 2)
 
     def _should_switch(self, cores: tuple[str, ...], now: timedelta) -> bool:
         return self.upstream not in cores or self._is_failing(now)
 
     def _is_failing(self, now: timedelta) -> bool:
-        """Whether the upstream core has not vouched for our state in time, or others hold more than it sends."""
+        """Returns whether the upstream core proved no freshness in time, or lags behind other members."""
         if now - self.progress_at < ANSWER_TIMEOUT:
             return False
         has_answered = self.proved_at >= self.asked_at
@@ -157,7 +157,7 @@
             self.unanswered_requests += 1
         self.upstream = self.upstream_selector.select(cores, self.upstream)
 
-    # messages of cores ----------------------------------------------------------
+    # handling messages from cores ----------------------------------------------------------
 
     def _on_snapshot(self, address: str, number: int, packed: bytes, now: timedelta) -> list[Effect]:
         if number <= self.number:
@@ -173,7 +173,7 @@
         return [] if packed is None else self._on_snapshot(address, part.number, packed, now)
 
     def _on_change_batch(self, address: str, batch: ChangeBatch, now: timedelta) -> list[Effect]:
-        if batch.first > self.number + 1:  # something before it was lost
+        if batch.first > self.number + 1:  # an earlier entry was lost
             has_waited = now - self.asked_at > ANSWER_TIMEOUT
             return self._follow(now) if address == self.upstream and has_waited else []
         first = self.number + 1
@@ -187,14 +187,14 @@
     def _advance(self, address: str, now: timedelta) -> list[Effect]:
         self.number = self.state.number
         self.behind_since = None
-        if address == self.upstream:  # a core that was abandoned goes on sending for a while, which proves nothing
+        if address == self.upstream:  # an abandoned core keeps sending for a while, which shows no progress
             self.progress_at = now
         return self._confirm(now)
 
     def _confirm(self, now: timedelta) -> list[Effect]:
-        """Tell the upstream core how far the state is, which is also the next request for a proof.
+        """Confirms the last applied change to the upstream core, which also requests the next proof of freshness.
 
-        A core that was abandoned is told nothing and forgets this follower.
+        An abandoned core gets no confirmation, so that it drops this follower.
         """
         if self.upstream is None:
             return []
@@ -208,7 +208,7 @@
             is_stuck = now - max(self.asked_at, self.progress_at) > ANSWER_TIMEOUT
             return self._follow(now) if is_stuck else []
         if number < request.number:
-            return []  # a core that lags behind what we held when we asked cannot vouch for us
+            return []  # the core lags behind what this follower had when it sent the request, so it proves nothing
         self.proved_at = max(self.proved_at, request.sent_at)
         self.unanswered_requests = 0
         return self._confirm(now)
--- a/sumachook/changefeed/messages.py
+++ b/sumachook/changefeed/messages.py
@@ -1,24 +1,24 @@
-"""The messages between the source of the change feed, in a core, and its followers, in edges."""
+"""The messages between the sources of the change feed in cores and the followers in edges."""
 
 from sumachook.transport.node_message import NodeMessage
 
 
 class Follow(NodeMessage, frozen=True, tag="follow"):
-    """A follower subscribes: send what comes after change `number`; the next heartbeat repeats `nonce`."""
+    """Subscribes a follower to the changes after `number`; the next heartbeat repeats `nonce`."""
 
     number: int
     nonce: int
 
 
 class Snapshot(NodeMessage, frozen=True, tag="image"):
-    """The packed state up to change `number`, where the changes themselves are gone or longer than it."""
+    """Carries the packed state up to change `number`, if the changes themselves are evicted or longer."""
 
     number: int
     packed: bytes
 
 
 class SnapshotPart(NodeMessage, frozen=True, tag="image_part"):
-    """The bytes from `offset` on of a packed state of `total` bytes that is too long for one message."""
+    """Carries the bytes from `offset` on of a packed state of `total` bytes that is too long for one message."""
 
     number: int
     offset: int
@@ -27,16 +27,16 @@
 
 
 class ChangeBatch(NodeMessage, frozen=True, tag="news"):
-    """Committed entries in order, numbered from `first` on."""
+    """Carries consecutive committed entries, the first of which is change `first`."""
 
     first: int
     entries: tuple[bytes, ...]
 
 
 class FeedHeartbeat(NodeMessage, frozen=True, tag="feed_beat"):
-    """The sender holds all changes up to `number` and is in a working view; `nonce` is the follower's last one.
+    """Reports that a core in a working view has all changes up to `number`; repeats the follower's last nonce.
 
-    `wall_clock_ms` is the sender's wall clock, as a vote on the cluster's time.
+    `wall_clock_ms` is the sender's wall clock, from which receivers estimate the cluster's time.
     """
 
     number: int
@@ -45,19 +45,19 @@
 
 
 class Confirm(NodeMessage, frozen=True, tag="confirm"):
-    """A follower has applied all changes up to `number`; the next heartbeat repeats `nonce`."""
+    """Confirms that a follower has applied all changes up to `number`; the next heartbeat repeats `nonce`."""
 
     number: int
     nonce: int
 
 
 class Confirmed(NodeMessage, frozen=True, tag="confirmed"):
-    """A core passes on to the others that the follower `node` has applied all changes up to `number`."""
+    """Tells the other cores that the follower `node` has applied all changes up to `number`."""
 
     node: str
     number: int
 
 
-# What an edge's `Follower` takes, and what a core's `Source` does.
+# The messages that the `Follower` of an edge and the `Source` of a core handle.
 FOLLOWER_MESSAGES: tuple[type[NodeMessage], ...] = (Snapshot, SnapshotPart, ChangeBatch, FeedHeartbeat)
 SOURCE_MESSAGES: tuple[type[NodeMessage], ...] = (Follow, Confirm, Confirmed)
--- a/sumachook/changefeed/round_trips.py
+++ b/sumachook/changefeed/round_trips.py
@@ -1,20 +1,20 @@
-"""Which of a follower's own requests an answer belongs to, and what was so when the request was sent."""
+"""Matches the answers that a follower receives to its requests, and remembers when each request was sent."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
-MAX_OPEN_REQUESTS = 64  # far more than are sent between two heartbeats; bounds the memory where no core answers
+MAX_OPEN_REQUESTS = 64  # far more than are sent between two heartbeats; bounds the memory if no core answers
 
 
 class SentRequest(NamedTuple):
-    """When a request was sent, and the number of the last change that the sender held then."""
+    """The time when a request was sent, and the number of the last change that the sender had applied then."""
 
     sent_at: timedelta
     number: int
 
 
 class RoundTrips:
-    """Gives requests a nonce; an answer proves something as of when its request was sent, never as of its arrival.
+    """Tracks open requests by nonce; an answer proves freshness as of when its request was sent, not of its arrival.
 
     >>> trips, second = RoundTrips(7), timedelta(seconds=1)
     >>> first = trips.start(second, number=5)
@@ -31,7 +31,7 @@
         self.open: dict[int, SentRequest] = {}
 
     def start(self, now: timedelta, number: int) -> int:
-        """The nonce of a request that is sent now by a follower that holds change `number`."""
+        """Registers a request sent now by a follower that has applied change `number`; returns the nonce for it."""
         self.last_nonce += 1
         self.open[self.last_nonce] = SentRequest(now, number)
         while len(self.open) > MAX_OPEN_REQUESTS:
@@ -39,9 +39,9 @@
         return self.last_nonce
 
     def request(self, nonce: int) -> SentRequest | None:
-        """The request with that nonce; None if it is no longer open, or never was."""
+        """Returns the open request with this nonce, or None."""
         return self.open.get(nonce)
 
     def clear(self) -> None:
-        """No answer to a request sent so far proves anything any more."""
+        """Discards all open requests, so that late answers to them prove nothing."""
         self.open.clear()
--- a/sumachook/changefeed/snapshot.py
+++ b/sumachook/changefeed/snapshot.py
@@ -1,4 +1,4 @@
-"""The state as it travels in the feed: compressed, and split into parts where it is long."""
+"""Encodes state snapshots for the change feed: compressed, and split into parts if they are long."""
 
 import zlib
 from typing import Any
@@ -8,13 +8,13 @@
 from sumachook.changefeed.messages import SnapshotPart
 from sumachook.transport.codec import as_tuples
 
-COMPRESSION_LEVEL = 3  # of zlib: higher levels cost a core's loop time and save little
-PART_BYTES = 128 << 10  # at 5 Mbit/s a part takes a fifth of a second, so that what waits behind it is not late
-MAX_SNAPSHOT_BYTES = 64 << 20  # uncompressed; bounds what a broken or hostile message can make a follower allocate
+COMPRESSION_LEVEL = 3  # for zlib; higher levels block a core's event loop for longer and save little
+PART_BYTES = 128 << 10  # at 5 Mbit/s a part takes a fifth of a second, so that it does not delay the messages behind it
+MAX_SNAPSHOT_BYTES = 64 << 20  # uncompressed; bounds what a corrupt or malicious message can make a follower allocate
 
 
 def pack_snapshot(snapshot: dict[str, Any]) -> bytes:
-    """The compressed form of a snapshot.
+    """Encodes a snapshot as compressed JSON.
 
     >>> read_snapshot(pack_snapshot({"doc": {"areas": ["a"]}, "duties": {"placer": ["", 0]}}))
     {'doc': {'areas': ['a']}, 'duties': {'placer': ('', 0)}}
@@ -23,24 +23,24 @@
 
 
 def read_snapshot(packed: bytes) -> dict[str, Any]:
-    """The snapshot; its document stays as the decoder gives it, since nothing of it is used as a key.
+    """Decodes a packed snapshot, with tuples for lists except in its document, no part of which is used as a key.
 
-    Raises ValueError on anything else.
+    Raises ValueError if the data is no packed snapshot.
     """
     decompressor = zlib.decompressobj()
     try:
         raw = decompressor.decompress(packed, MAX_SNAPSHOT_BYTES)
     except zlib.error as error:
-        raise ValueError("not compressed") from error
+        raise ValueError("snapshot is not zlib-compressed") from error
     if decompressor.unconsumed_tail or not decompressor.eof:
-        raise ValueError("cut short, or longer than allowed")
+        raise ValueError("packed snapshot is truncated or exceeds the size limit")
     snapshot = msgspec.json.decode(raw)
     document = snapshot.pop("doc", None)
     return {"doc": document, **as_tuples(snapshot)}
 
 
 def split_snapshot(number: int, packed: bytes) -> list[SnapshotPart]:
-    """The parts of a packed snapshot, in order.
+    """Splits a packed snapshot into parts of at most `PART_BYTES`, in order.
 
     >>> [(part.offset, len(part.data)) for part in split_snapshot(7, bytes(PART_BYTES + 1))]
     [(0, 131072), (131072, 1)]
@@ -52,7 +52,7 @@
 
 
 class SnapshotAssembler:
-    """Puts the parts of one snapshot together; a part out of order drops what came before it.
+    """Reassembles a packed snapshot from its parts; a part out of order discards all parts received so far.
 
     >>> assembler = SnapshotAssembler()
     >>> [assembler.add(part) for part in split_snapshot(7, bytes(PART_BYTES) + b"end")][1][-3:]
@@ -67,7 +67,7 @@
         self._begin(number=0, total=0)
 
     def add(self, part: SnapshotPart) -> bytes | None:
-        """The packed snapshot, with its last part; None before."""
+        """Adds a part; returns the packed snapshot once it is complete, else None."""
         if part.offset == 0:
             self._begin(part.number, part.total)
         elif not self._is_next(part):
@@ -81,7 +81,7 @@
         return packed
 
     def clear(self) -> None:
-        """Forget what came so far."""
+        """Discards the parts received so far."""
         self._begin(number=0, total=0)
 
     def _begin(self, number: int, total: int) -> None:
--- a/sumachook/changefeed/source.py
+++ b/sumachook/changefeed/source.py
@@ -1,4 +1,4 @@
-"""The sending end of the change feed, in each core."""
+"""The source of the change feed, which runs in each core."""
 
 from collections import deque
 from collections.abc import Callable, Sequence
@@ -23,17 +23,17 @@
 from sumachook.host.events import Event, MessageReceived, Tick
 from sumachook.runtime.cluster_clock import ClusterClock
 
-MAX_ENTRIES = 600  # kept for followers that are behind
-MAX_ENTRIES_BYTES = 8 << 20  # of these together
+MAX_ENTRIES = 600  # number of recent entries kept for followers that lag behind
+MAX_ENTRIES_BYTES = 8 << 20  # total size of the entries kept for followers
 MAX_BATCH_ENTRIES = 64
-MAX_BATCH_BYTES = 1 << 20  # a quarter of what a message may have (`transport/codec.py`)
-HEARTBEAT_INTERVAL = timedelta(seconds=0.25)  # a follower abandons a core that proved nothing for four of them
-FOLLOWER_TIMEOUT = timedelta(seconds=3)  # a follower confirms each heartbeat; one so long silent follows another core
+MAX_BATCH_BYTES = 1 << 20  # a quarter of the maximum frame size (`transport/codec.py`)
+HEARTBEAT_INTERVAL = timedelta(seconds=0.25)  # a follower abandons a core after four intervals without proof
+FOLLOWER_TIMEOUT = timedelta(seconds=3)  # a follower confirms each heartbeat; a silent one has switched to another core
 
 
 @dataclass(slots=True)
 class Subscriber:
-    """An edge that follows this core: how far it was sent, when it was heard last and its last nonce."""
+    """An edge that follows this core: the last change sent to it, the time of its last message, and its last nonce."""
 
     address: str
     sent: int
@@ -44,8 +44,8 @@
 class Source:
     """Sends committed changes to followers; see docs/design.md, "Feed".
 
-    Only a core in a working view serves: one that just came back may hold an older state. A follower gets the entries
-    after what it holds, or, where these are gone or longer than a batch, one snapshot in their place.
+    A core sends only while it is in a working view, since a core that has just restarted may have an older state. A
+    follower gets the entries after its last one, or one snapshot instead if these are evicted or longer than a batch.
     """
 
     __slots__ = (
@@ -85,7 +85,7 @@
         self.last_batch = ChangeBatch(0, ())
 
     def take(self, event: Event, now: timedelta) -> list[Send]:
-        """Handle what was delivered or received; gives the messages to be sent."""
+        """Handles a delivered entry, a snapshot, a message or a tick; returns the messages to send."""
         match event:
             case MessageReceived(sender, address, message):
                 return self._on_message(sender, address, message, now)
@@ -109,7 +109,7 @@
                 self.confirmed[node] = max(self.confirmed.get(node, 0), number)
         return []
 
-    # what is kept ---------------------------------------------------------------
+    # keeping recent entries ---------------------------------------------------------------
 
     def _handle_delivered(self, entry: bytes) -> None:
         self.entries.append(entry)
@@ -128,7 +128,7 @@
         self.first_number = number + 1
         self.entries_bytes = 0
 
-    # what is sent ---------------------------------------------------------------
+    # sending to followers ---------------------------------------------------------------
 
     def _handle_tick(self, now: timedelta) -> list[Send]:
         self.followers = {
@@ -151,7 +151,7 @@
         return [effect for follower in self.followers.values() for effect in self._serve(follower, now)]
 
     def _serve(self, follower: Subscriber, now: timedelta) -> list[Send]:
-        """What comes next for this follower: entries, or one snapshot where that is shorter or entries are gone."""
+        """Returns the next entries for a follower, or a snapshot if that is shorter or entries were evicted."""
         if follower.sent >= self.state.number or not self.is_fresh(now):
             return []
         if follower.sent + 1 < self.first_number or self._is_overtaken(follower.sent):
@@ -163,13 +163,13 @@
         return [Send(follower.address, self._batch(start, entries))]
 
     def _batch(self, first: int, entries: tuple[bytes, ...]) -> ChangeBatch:
-        """One message for all followers that are as far as the one before, so that it is packed once."""
+        """Returns the same message object for followers that need the same entries, so that it is encoded only once."""
         if first != self.last_batch.first or len(entries) != len(self.last_batch.entries):
             self.last_batch = ChangeBatch(first, entries)
         return self.last_batch
 
     def _is_overtaken(self, sent: int) -> bool:
-        """Whether the entries after `sent` are longer than a batch may be: a snapshot brings the same state sooner."""
+        """Returns whether the entries after `sent` exceed a batch, so that a snapshot is the faster transfer."""
         return sum(map(len, islice(self.entries, sent + 1 - self.first_number, None))) > MAX_BATCH_BYTES
 
     def _send_snapshot(self, follower: Subscriber) -> list[Send]:
@@ -181,13 +181,13 @@
         return [Send(follower.address, message) for message in messages]
 
     def _snapshot(self) -> Snapshot:
-        """One for all followers, as long as the entries after it go in one batch."""
+        """Returns the last snapshot while the entries after it are kept and fit in one batch, else a new one."""
         number = self.last_snapshot.number
         if number + 1 < self.first_number or self._is_overtaken(number):
             self.last_snapshot = Snapshot(self.state.number, pack_snapshot(self.state.snapshot()))
         return self.last_snapshot
 
-    # messages of followers and other cores --------------------------------------
+    # handling messages from followers and other cores --------------------------------------
 
     def _on_follow(self, sender: str, address: str, message: Follow, now: timedelta) -> list[Send]:
         follower = Subscriber(address, message.number, now, message.nonce)
--- a/sumachook/changefeed/state.py
+++ b/sumachook/changefeed/state.py
@@ -1,19 +1,19 @@
-"""What the change feed needs of the replicated state at either end."""
+"""The interface of the replicated state that the source and the follower of the change feed use."""
 
 from typing import Any, Protocol
 
 
 class ReplicatedState(Protocol):
-    """The control state as the feed sees it: numbered changes are applied to it, snapshots replace it."""
+    """The interface of a state to which numbered changes are applied and which snapshots replace."""
 
     number: int
     catalogue: Any
 
     def apply(self, number: int, change: Any) -> Any:
-        """Apply the change of this number, which is the one after `number`."""
+        """Applies change `number`, which must be the one after the last applied change."""
 
     def restore(self, snapshot: dict[str, Any]) -> None:
-        """Replace everything by a snapshot."""
+        """Replaces the whole state with that of a snapshot."""
 
     def snapshot(self) -> dict[str, Any]:
-        """The complete state as a document."""
+        """Returns the complete state as plain data."""
--- a/sumachook/changefeed/upstream_selection.py
+++ b/sumachook/changefeed/upstream_selection.py
@@ -1,4 +1,4 @@
-"""Which core a follower takes its changes from."""
+"""Selects the core from which a follower receives changes."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -6,7 +6,7 @@
 
 
 class UpstreamSelector:
-    """Prefers cores that were never abandoned, then those that were abandoned longest ago.
+    """Selects an upstream core: one that was never abandoned if possible, else the one abandoned longest ago.
 
     >>> selector, second = UpstreamSelector(Random(1)), timedelta(seconds=1)
     >>> selector.abandon("a", second); selector.abandon("b", second * 2)
@@ -23,11 +23,11 @@
         self.abandoned_at: dict[str, timedelta] = {}
 
     def abandon(self, core: str, now: timedelta) -> None:
-        """That core did not vouch for its state in time."""
+        """Records that a follower leaves this core because it gave no proof of freshness in time."""
         self.abandoned_at[core] = now
 
     def select(self, cores: Sequence[str], current: str | None) -> str:
-        """One of `cores`, another one than the current where there is one."""
+        """Returns one of `cores`, different from `current` if there is another."""
         candidates = [core for core in cores if core != current] or list(cores)
         never = timedelta(0)
         earliest = min(self.abandoned_at.get(core, never) for core in candidates)
