--- a/sumachook/leases/__init__.py
+++ b/sumachook/leases/__init__.py
@@ -1,9 +1,9 @@
-"""Leases of the singleton roles: each is held by at most one voter at a time, and its holder acts under a fence.
+"""Leases of the singleton roles: at most one voter holds each role at a time, and acts under a fencing token.
 
-The placer and the accountant are such roles. Who holds which under what fence is part of the ordered control state; a
-fence is a number that grows with every holder. The holder keeps a lease by renewing it with the other voters. Once
-nobody renews, the leader of the consensus view declares the role vacant; then the voters claim it, and the one that has
-the votes of a majority proposes itself as the next holder.
+The singleton roles are placer and accountant. The replicated control state records the holder and the fencing token of
+each role; the token increases with every new holder. The holder keeps its lease by renewing it with the other voters.
+If the lease is not renewed, the leader of the consensus view declares the role vacant. Then voters claim the role, and
+the one that gets the votes of a majority proposes itself as the next holder.
 """
 
 from sumachook.leases.leases import Leases
--- a/sumachook/leases/claims.py
+++ b/sumachook/leases/claims.py
@@ -1,4 +1,4 @@
-"""Claiming vacant roles."""
+"""Claims vacant roles for this voter."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Claim:
-    """This voter's claim of a vacant role: its fence and round, when it is repeated, and who has voted for it."""
+    """This voter's claim of a vacant role: its fencing token, round, time of the next retry, and the votes for it."""
 
     fence: int
     round: int
@@ -30,7 +30,7 @@
 
 
 class Claims:
-    """Claims vacant roles in rounds until this voter has a majority of the votes, or another fills the role."""
+    """Claims vacant roles in rounds until this voter gets a majority of the votes or another voter gets the role."""
 
     __slots__ = ("voters", "voting", "random", "timing", "by_role")
 
@@ -42,7 +42,7 @@
         self.by_role: dict[str, Claim] = {}
 
     def claim(self, role: str, fence: int, now: timedelta) -> list[Effect]:
-        """Begins or repeats the claim of a vacant role, whose next fence is `fence`."""
+        """Starts or retries the claim of a vacant role under the next fencing token, `fence`."""
         claim = self.by_role.get(role)
         if claim is None or claim.fence != fence:
             self.by_role[role] = Claim(fence, 0, now + self._first_wait())
@@ -55,12 +55,12 @@
         return self.voters.send_to_others(ClaimLease(role, fence, next_round))
 
     def _first_wait(self) -> timedelta:
-        """Longer for a voter that has roles already, so that they spread out."""
+        """Returns a random delay before the first claim, longer for each role already held, to spread the roles."""
         jitter = self.random.uniform(MIN_FIRST_WAIT_S, MAX_FIRST_WAIT_S)
         return timedelta(seconds=jitter + FIRST_WAIT_PER_ROLE_S * len(self.voters.own_roles()))
 
     def on_vote(self, replica: str, vote: ClaimVote) -> list[Effect]:
-        """Counts a vote for the present round; the vote that makes a majority has this voter proposed as holder."""
+        """Counts a vote for the current round; once a majority has voted, proposes this voter as the holder."""
         claim = self.by_role.get(vote.role)
         if claim is None or (claim.fence, claim.round) != (vote.fence, vote.round):
             return []
--- a/sumachook/leases/events.py
+++ b/sumachook/leases/events.py
@@ -1,12 +1,13 @@
-"""What leases take from their core, beside the messages of other nodes."""
+"""The events of a core that `Leases` handle, in addition to messages from other cores."""
 
 from sumachook.host.events import Event
 
 
 class Tick(Event, frozen=True):
-    """Time has passed.
+    """The periodic tick of the leases.
 
-    `is_fresh`: this core is in a working view and can keep what it promises; `is_leading`: it leads that view.
+    `is_fresh` says whether this core is in a working view and may vote and renew; `is_leading`, whether it leads the
+    view.
     """
 
     is_fresh: bool
@@ -14,8 +15,8 @@
 
 
 class Quit(Event, frozen=True):
-    """The core leaves, or its disk takes no records: release every role and claim none until `Resume`."""
+    """Releases every role and stops claims until `Resume`, because the core shuts down or its disk is unavailable."""
 
 
 class Resume(Event, frozen=True):
-    """The core may claim roles again."""
+    """Allows the core to claim roles again after `Quit`."""
--- a/sumachook/leases/leases.py
+++ b/sumachook/leases/leases.py
@@ -1,4 +1,4 @@
-"""One core's part in the leases of the singleton roles."""
+"""The lease protocol of the singleton roles, as run by one core."""
 
 from datetime import timedelta
 from random import Random
@@ -16,10 +16,11 @@
 
 
 class Leases:
-    """A state machine: `take` gets an event and the time, and gives effects; it reads the roles of the control state.
+    """Runs the lease protocol as a state machine: `take` maps an event and the time to effects.
 
-    `is_fenced`: servers refuse lower fences, so neither an order's timeout nor `turn_gap`, the least time between the
-    orders of two holders, has to pass before a successor.
+    It reads the role holders from the control state. With `is_fenced`, servers refuse orders with lower fencing
+    tokens, so a successor need not wait for the timeout of an order or for `turn_gap`, the minimum time between the
+    orders of two holders.
     """
 
     __slots__ = ("voters", "held", "voting", "claims", "vacancies")
@@ -42,15 +43,15 @@
 
     @property
     def is_quitting(self) -> bool:
-        """Whether this core holds and claims nothing until it resumes."""
+        """Whether this core neither holds nor claims roles until it resumes."""
         return self.held.is_quitting
 
     def holds(self, role: str, now: timedelta) -> int:
-        """The fence of a role while this core's lease of it runs, else 0."""
+        """Returns the fencing token of a role while this core has an unexpired lease of it, else 0."""
         return self.held.fence(role, now)
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """What is to be done after an event."""
+        """Handles an event; returns messages to send and changes to propose. Raises TypeError for an unknown event."""
         match event:
             case Tick(is_fresh, is_leading):
                 return self._handle_tick(is_fresh, is_leading, now)
@@ -61,7 +62,7 @@
             case Resume():
                 self.held.is_quitting = False
                 return []
-        raise TypeError(f"no event of leases: {event!r}")
+        raise TypeError(f"unexpected event for leases: {event!r}")
 
     def _handle_tick(self, is_fresh: bool, is_leading: bool, now: timedelta) -> list[Effect]:
         self.voters.is_fresh = is_fresh
@@ -76,7 +77,7 @@
         return out
 
     def _check_role(self, role: str, holder: str, fence: int, is_leading: bool, now: timedelta) -> list[Effect]:
-        """Claims a vacant role, asks again for the vacancy of a released one, and as the leader watches the others."""
+        """Claims a vacant role, proposes the vacancy of a released one, or as leader checks that the holder renews."""
         is_fresh = self.voters.is_fresh
         if not holder and is_fresh and not self.is_quitting and self.voters.state.voting_members:
             return self.claims.claim(role, fence + 1, now)
@@ -101,10 +102,10 @@
                 return self.voting.on_claim(sender, address, message, now)
             case ClaimVote():
                 return self.claims.on_vote(sender, message)
-        raise TypeError(f"no message of leases: {message!r}")
+        raise TypeError(f"unexpected message for leases: {message!r}")
 
     def _on_renew(self, sender: str, address: str, message: RenewLease, now: timedelta) -> list[Effect]:
-        """Notes the renewal or the release of a role by its holder; outside a working view it prolongs nothing."""
+        """Records a release by the holder, or acknowledges its renewal if this voter is in a working view."""
         if message.sent == RELEASED:
             _, fence = self.voters.state.duties[message.role]
             if fence == message.fence:
--- a/sumachook/leases/messages.py
+++ b/sumachook/leases/messages.py
@@ -1,12 +1,12 @@
-"""The messages between voters about leases of singleton roles."""
+"""The messages that voters exchange about leases of singleton roles."""
 
 from sumachook.transport.node_message import NodeMessage
 
-RELEASED = -1.0  # as `RenewLease.sent`: the sender holds the role no more and will renew no more under this fence
+RELEASED = -1.0  # value of `RenewLease.sent`: the sender has released the role and will not renew with this token
 
 
 class ClaimLease(NodeMessage, frozen=True, tag="bid"):
-    """The sender wants to hold a vacant role under `fence`; a later round of its claim replaces the earlier ones."""
+    """Claims a vacant role under the fencing token `fence`; a later round of the claim replaces earlier ones."""
 
     role: str
     fence: int
@@ -14,7 +14,7 @@
 
 
 class ClaimVote(NodeMessage, frozen=True, tag="vote"):
-    """The sender votes for the receiver's claim of this round."""
+    """Votes for the receiver's claim of this role, fencing token and round."""
 
     role: str
     fence: int
@@ -22,7 +22,7 @@
 
 
 class RenewLease(NodeMessage, frozen=True, tag="renew"):
-    """The holder of a role asks to prolong its lease; `sent` is its own clock in seconds, or `RELEASED`."""
+    """Requests renewal of the sender's lease of a role; `sent` is the sender's clock in seconds, or `RELEASED`."""
 
     role: str
     fence: int
@@ -30,12 +30,12 @@
 
 
 class LeaseRenewed(NodeMessage, frozen=True, tag="renewed"):
-    """The sender has noted the renewal and will vote for no successor for a while; `sent` is that of the request."""
+    """Acknowledges a renewal: the sender votes for no successor while the lease lasts; `sent` repeats the request."""
 
     role: str
     fence: int
     sent: float
 
 
-# What a core's `Leases` take from other cores.
+# The messages from other cores that the `Leases` of a core handle.
 LEASE_MESSAGES: tuple[type[NodeMessage], ...] = (ClaimLease, ClaimVote, RenewLease, LeaseRenewed)
--- a/sumachook/leases/renewal.py
+++ b/sumachook/leases/renewal.py
@@ -1,4 +1,4 @@
-"""Keeping the leases of the roles that this voter holds, and releasing them."""
+"""Renews and releases the leases of the roles that this voter holds."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class Renewal(NamedTuple):
-    """One renewal of a lease; `sent` is the clock of this voter in seconds when it went out."""
+    """One renewal request of a lease; `sent` is the time of sending by this voter's clock, in seconds."""
 
     role: str
     fence: int
@@ -20,14 +20,14 @@
 
 
 class Lease(NamedTuple):
-    """A lease under a fence that lasts until then, by the clock of this voter."""
+    """A lease with its fencing token and its expiry time by this voter's clock."""
 
     fence: int
     until: timedelta
 
 
 class HeldLeases:
-    """Renews the roles that this voter holds; a lease counts from when a renewal that a majority answered was sent."""
+    """Renews the leases of this voter; a lease lasts from the sending of a renewal that a majority acknowledged."""
 
     __slots__ = ("voters", "timing", "leases", "answers", "next_renewal", "is_quitting", "released")
 
@@ -38,10 +38,10 @@
         self.answers: dict[Renewal, set[str]] = {}
         self.next_renewal = now
         self.is_quitting = False
-        self.released: dict[str, int] = {}  # role -> the highest fence under which this voter will not hold it again
+        self.released: dict[str, int] = {}  # role -> the highest fencing token that this voter has released
 
     def fence(self, role: str, now: timedelta) -> int:
-        """The fence under which this voter may act in a role just now, else 0."""
+        """Returns the fencing token under which this voter may act in a role at time `now`, else 0."""
         fence = self.voters.state.fence(role, self.voters.name)
         lease = self.leases.get(role)
         if self.is_quitting or not fence or self.is_released(role, fence):
@@ -50,7 +50,7 @@
         return fence if is_held else 0
 
     def renew(self, now: timedelta) -> tuple[list[str], list[Effect]]:
-        """Sends the renewals that are due; gives the renewed roles as well."""
+        """Returns the roles whose renewal is due, and the renewal requests to send for them."""
         roles: list[str] = []
         out: list[Effect] = []
         if now < self.next_renewal:
@@ -66,20 +66,20 @@
         return roles, out
 
     def _renew(self, renewal: Renewal) -> list[Effect]:
-        """A voter outside a working view prolongs nothing, its own lease neither."""
+        """Sends a renewal to the other voters; this voter counts as an acknowledgement only in a working view."""
         self.answers[renewal] = {self.voters.name} if self.voters.is_fresh else set()
         self._prolong(renewal)
         return self.voters.send_to_others(RenewLease(*renewal))
 
     def on_renewed(self, replica: str, message: LeaseRenewed) -> None:
-        """Counts the answer of another voter."""
+        """Counts the acknowledgement of a renewal by another voter."""
         renewal = Renewal(message.role, message.fence, message.sent)
         if renewal in self.answers and self.voters.includes(replica):
             self.answers[renewal].add(replica)
             self._prolong(renewal)
 
     def _prolong(self, renewal: Renewal) -> None:
-        """Prolongs the lease once a majority has answered, from the renewal's sending by this voter's own clock."""
+        """Extends a lease, counted from the sending of a renewal, once a majority has acknowledged that renewal."""
         if len(self.answers[renewal]) < self.voters.majority:
             return
         until = timedelta(seconds=renewal.sent) + self.timing.lease
@@ -88,7 +88,7 @@
             self.leases[renewal.role] = Lease(renewal.fence, until)
 
     def release_all(self) -> list[Effect]:
-        """Releases all roles at once; no order goes out after this, nor until `Resume`."""
+        """Releases all roles at once; this voter sends no orders after this and holds no role until `Resume`."""
         self.is_quitting = True
         self.leases.clear()
         own_roles = self.voters.own_roles()
@@ -99,5 +99,5 @@
         return out + [ProposeChange(ReleaseRole(role, fence)) for role, fence in own_roles]
 
     def is_released(self, role: str, fence: int) -> bool:
-        """What was released stays so after a `Resume`: others may have stopped counting the old lease."""
+        """Returns whether this token was released, also before a `Resume`: voters may no longer wait for its lease."""
         return fence <= self.released.get(role, 0)
--- a/sumachook/leases/timing.py
+++ b/sumachook/leases/timing.py
@@ -1,22 +1,22 @@
-"""How long leases last, and how long a successor waits."""
+"""The durations of leases and of the wait before a successor."""
 
 from dataclasses import dataclass, replace
 from datetime import timedelta
 
-ORDER_TIMEOUT = timedelta(seconds=2)  # an order to a server that was not answered for so long is given up
+ORDER_TIMEOUT = timedelta(seconds=2)  # an order that a server has not answered for so long is abandoned
 CLOCK_DRIFT = timedelta(seconds=0.5)  # margin for clocks that run at different speeds
-MIN_FIRST_WAIT_S, MAX_FIRST_WAIT_S = 0.05, 0.3  # before the first claim, drawn at random so that claims seldom collide
-FIRST_WAIT_PER_ROLE_S = 0.3  # added for each role already held, so that roles spread over the voters
-MAX_CLAIM_PAUSE_FACTOR = 2  # a claim is repeated after one to this many pauses, drawn at random
+MIN_FIRST_WAIT_S, MAX_FIRST_WAIT_S = 0.05, 0.3  # random delay before the first claim, so that claims rarely collide
+FIRST_WAIT_PER_ROLE_S = 0.3  # added for each role already held, to spread the roles over the voters
+MAX_CLAIM_PAUSE_FACTOR = 2  # a claim is retried after a random time of one to this many pauses
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """The durations of a lease.
+    """The durations of the lease protocol.
 
-    `lease` counts from the sending of a renewal; for `vacant_after` since the last renewal nobody else is voted for,
-    and then the role is vacant; a holder renews every `renew_interval`; claims and proposals of a vacancy are repeated
-    after `claim_pause` at the earliest.
+    `lease` lasts from the sending of a renewal. Until `vacant_after` has passed since the last renewal, voters vote
+    for no successor; after that, the leader declares the role vacant. A holder renews every `renew_interval`. Claims
+    and proposals of a vacancy are retried after `claim_pause` at the earliest.
     """
 
     lease: timedelta
@@ -40,10 +40,10 @@
 
 
 def choose_timing(is_fenced: bool, turn_gap: timedelta) -> LeaseTiming:
-    """Timing for servers that check fences, which refuse an old holder's orders themselves, or don't.
+    """Returns the durations for servers that check fencing tokens (`is_fenced`) or do not.
 
-    Where they don't, the lease, an order under way and `turn_gap`, the least time between orders of two holders, pass
-    before a successor is voted for.
+    Servers that check them refuse the orders of a former holder. Otherwise voters wait for the lease, the timeout of
+    an order and `turn_gap`, the minimum time between the orders of two holders, before they vote for a successor.
 
     >>> choose_timing(False, timedelta(seconds=3)).vacant_after - choose_timing(False, timedelta(0)).vacant_after
     datetime.timedelta(seconds=3)
--- a/sumachook/leases/vacancies.py
+++ b/sumachook/leases/vacancies.py
@@ -1,4 +1,4 @@
-"""Declaring roles vacant."""
+"""Proposes to declare roles vacant."""
 
 from datetime import timedelta
 
@@ -10,10 +10,10 @@
 
 
 class Vacancies:
-    """Proposes vacancies: as the leader those of silent holders, as a holder again that of a role it has released.
+    """Proposes vacancies: a leader of roles whose holder stopped renewing, a holder of roles that it released.
 
-    The leader counts silence from when it began to lead; a vacancy is declared only when no order of the old holder
-    can be under way.
+    A leader measures the time without renewals from when it began to lead. A role is declared vacant only when no
+    order of the old holder can still be in flight.
     """
 
     __slots__ = ("state", "timing", "last_seen", "renewed_at", "leading_since", "proposed_at")
@@ -21,32 +21,39 @@
     def __init__(self, state: ControlState, timing: LeaseTiming, now: timedelta) -> None:
         self.state = state
         self.timing = timing
-        self.last_seen: dict[str, tuple[str, int]] = {}  # holder and fence of each role
+        self.last_seen: dict[str, tuple[str, int]] = {}  # holder and fencing token of each role at the last tick
         self.renewed_at: dict[str, timedelta] = {}
         self.leading_since = now
         self.proposed_at: dict[str, timedelta] = {}
 
     def note_renewal(self, role: str, now: timedelta) -> None:
-        """The holder of this role has renewed its lease."""
+        """Records that the holder of this role renewed its lease."""
         self.renewed_at[role] = now
 
     def note_holder(self, role: str, holder: str, fence: int, now: timedelta) -> None:
-        """A new holder or fence counts as a renewal."""
+        """Records a change of a role's holder or fencing token, which counts as a renewal."""
         if self.last_seen.get(role) != (holder, fence):
             self.last_seen[role] = (holder, fence)
             self.renewed_at[role] = now
 
     def check_holder(self, role: str, holder: str, fence: int, now: timedelta) -> list[Effect]:
-        """Declares the role vacant if its holder has been silent for too long."""
+        """Proposes and logs the vacancy of a role whose holder has not renewed within `vacant_after`."""
         silent_since = max(self.renewed_at.get(role, now), self.leading_since)
         if now - silent_since <= self.timing.vacant_after:
             return []
         proposal = self.propose(role, fence, now)
         details = {"duty": role, "holder": holder, "fence": fence}
-        return [Log("warning", "leases", "A duty falls vacant.", details), *proposal] if proposal else []
+        return (
+            [
+                Log("warning", "leases", "Declaring a role vacant: its holder did not renew the lease.", details),
+                *proposal,
+            ]
+            if proposal
+            else []
+        )
 
     def propose(self, role: str, fence: int, now: timedelta) -> list[Effect]:
-        """Proposes the vacancy, unless that was done just now; an earlier proposal may have been lost."""
+        """Proposes the vacancy of a role; retries after `claim_pause`, since an earlier proposal may have been lost."""
         proposed_at = self.proposed_at.get(role)
         if proposed_at is not None and now - proposed_at < self.timing.claim_pause:
             return []
--- a/sumachook/leases/voters.py
+++ b/sumachook/leases/voters.py
@@ -1,4 +1,4 @@
-"""The voters among whom leases are kept, as one of them sees them."""
+"""The voters of the lease protocol, from the view of one of them."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -8,25 +8,25 @@
 
 
 class ControlState(Protocol):
-    """What leases read of the ordered control state."""
+    """The part of the replicated control state that leases read."""
 
     @property
     def duties(self) -> Mapping[str, tuple[str, int]]:
-        """The holder ("" for none) and the last fence of each role."""
+        """The holder ("" if vacant) and the last fencing token of each role."""
 
     @property
     def voting_members(self) -> Mapping[str, str]:
-        """The voters by name with their addresses."""
+        """The address of each voter, by name."""
 
     def fence(self, duty: str, holder: str) -> int:
-        """The fence under which this voter holds the role, or 0."""
+        """Returns the fencing token under which `holder` holds a role, or 0 if it does not."""
 
 
 class Voters:
-    """This voter (`name`) and the others; `is_fresh` says whether this one is in a working view.
+    """The voters, and which of them this one is (`name`); `is_fresh` says whether it is in a working view.
 
-    A lease needs the answers of a majority and a successor the votes of one, and any two majorities have a voter in
-    common.
+    A lease needs acknowledgements from a majority and a successor needs votes from a majority. Any two majorities
+    have a voter in common.
     """
 
     __slots__ = ("name", "state", "is_fresh")
@@ -37,18 +37,18 @@
         self.is_fresh = False
 
     def includes(self, replica: str) -> bool:
-        """Whether this replica may vote."""
+        """Returns whether this replica is a voter."""
         return replica in self.state.voting_members
 
     @property
     def majority(self) -> int:
-        """How many voters are more than half of them."""
+        """The smallest number of voters that is a majority."""
         return len(self.state.voting_members) // 2 + 1
 
     def send_to_others(self, message: NodeMessage) -> list[Effect]:
-        """The message to every other voter."""
+        """Returns effects that send a message to every other voter."""
         return [Send(address, message) for voter, address in self.state.voting_members.items() if voter != self.name]
 
     def own_roles(self) -> list[tuple[str, int]]:
-        """The roles that this voter holds by the control state, with their fences."""
+        """Returns the roles that this voter holds according to the control state, with their fencing tokens."""
         return [(role, fence) for role, (holder, fence) in self.state.duties.items() if holder == self.name]
--- a/sumachook/leases/voting.py
+++ b/sumachook/leases/voting.py
@@ -1,4 +1,4 @@
-"""For whom a voter votes, and when it may."""
+"""Decides when a voter may vote for a successor, and for which claim."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -10,16 +10,16 @@
 
 
 class Vote(NamedTuple):
-    """The claimant that was voted for, and the round of its claim."""
+    """A vote, given by the claimant and the round of its claim."""
 
     claimant: str
     round: int
 
 
 class Voting:
-    """Votes for a successor only when the last renewal that this voter answered has run out, with all orders under it.
+    """Votes for a successor only after the last lease acknowledged by this voter and all orders under it have expired.
 
-    `is_fenced`: servers refuse orders with lower fences, so after a release nothing of the old holder need be awaited.
+    With `is_fenced`, servers refuse orders with lower fencing tokens, so a voter need not wait after a release.
     """
 
     __slots__ = ("voters", "timing", "is_fenced", "started_at", "answered_at", "votes")
@@ -28,37 +28,37 @@
         self.voters = voters
         self.timing = timing
         self.is_fenced = is_fenced
-        self.started_at = now  # what was answered before the start is not known
+        self.started_at = now  # which renewals were acknowledged before a restart is not known
         self.answered_at: dict[str, timedelta] = {}
-        self.votes: dict[tuple[str, int], Vote] = {}  # by role and fence
+        self.votes: dict[tuple[str, int], Vote] = {}  # by role and fencing token
 
     def note_renewal(self, role: str, now: timedelta) -> None:
-        """A renewal was answered, or was sent by this voter itself."""
+        """Records that this voter acknowledged a renewal, or sent one itself."""
         self.answered_at[role] = now
 
     def note_release(self, role: str, now: timedelta) -> None:
-        """The holder has released the role: only what may be under way is still awaited."""
+        """Records a release by the holder, after which voters wait only for orders that may still be in flight."""
         self.answered_at[role] = now - self._saved_by_release()
 
     def _saved_by_release(self) -> timedelta:
-        """How much of the wait a release saves: the lease; where fences are checked, all of it."""
+        """Returns how much a release shortens the wait: by the lease, or entirely if servers check fencing tokens."""
         return self.timing.vacant_after * 2 if self.is_fenced else self.timing.lease
 
     def may_vote(self, role: str, now: timedelta) -> bool:
-        """Whether every lease that this voter helped to prolong is over, and the orders under it settled."""
+        """Returns whether all leases that this voter acknowledged have expired, with no orders under them in flight."""
         _, fence = self.voters.state.duties[role]
         was_ever_held = fence > 0
         return not was_ever_held or now - self.answered_at.get(role, self.started_at) > self.timing.vacant_after
 
     def vote_for_self(self, role: str, fence: int, last_round: int) -> int:
-        """Votes for the own claim; gives its round, above the last one and above that of another that was voted for."""
+        """Votes for this voter's own claim; returns its round, above its last round and that of any claim voted for."""
         voted_for, voted_round = self.votes.get((role, fence), Vote(self.voters.name, 0))
         highest = last_round if voted_for == self.voters.name else max(last_round, voted_round)
         self.votes[(role, fence)] = Vote(self.voters.name, highest + 1)
         return highest + 1
 
     def on_claim(self, claimant: str, address: str, claim: ClaimLease, now: timedelta) -> list[Effect]:
-        """Votes for the claim of another voter unless a vote of no lower round stands against it."""
+        """Votes for the claim of another voter unless this one voted for a different claim of no lower round."""
         if not self._is_admissible(claimant, claim, now):
             return []
         vote = Vote(claimant, claim.round)
@@ -70,7 +70,7 @@
         return [Send(address, ClaimVote(claim.role, claim.fence, claim.round))]
 
     def _is_admissible(self, claimant: str, claim: ClaimLease, now: timedelta) -> bool:
-        """Whether a voter claims a vacant role under its next fence, and this one may vote."""
+        """Returns whether a voter claims a vacant role with the next fencing token, and this voter may vote."""
         if claim.role not in self.voters.state.duties:
             return False
         holder, last_fence = self.voters.state.duties[claim.role]
