--- a/harness/experiments/scenarios.py
+++ b/harness/experiments/scenarios.py
@@ -28,7 +28,7 @@
         return [box.name for box in self.deployment.boxes.values() if box.role == role]
 
     def holder(self, duty="placer"):
-        node = leader(self.deployment).state.duties[duty][0]
+        node = leader(self.deployment).state.role_holders[duty][0]
         return next(
             box.name
             for box in self.deployment.boxes.values()
@@ -145,10 +145,13 @@
     scene.deployment.start("model-1")
     scene.deployment.run(1.5)
     scene.fault_at = scene.deployment.now
-    before = leader(scene.deployment).state.duties["placer"][1]
+    before = leader(scene.deployment).state.role_holders["placer"][1]
     scene.deployment.kill(scene.holder())
     scene.deployment.run_until(
-        lambda: leader(scene.deployment) is not None and leader(scene.deployment).state.duties["placer"][1] > before, 30
+        lambda: (
+            leader(scene.deployment) is not None and leader(scene.deployment).state.role_holders["placer"][1] > before
+        ),
+        30,
     )
     scene.figures["next placer after"] = f"{(scene.deployment.now - scene.fault_at) / SECOND:.2f} s"
     scene.end(40)
--- a/harness/model_checking/invariants.py
+++ b/harness/model_checking/invariants.py
@@ -102,7 +102,7 @@
             key = state.doc["extra"].get("order")
             self.taken[state.version], self.taken_at[key] = key, now
             self.versions.note(now, state.version)
-        for duty, (holder, fence) in state.duties.items():
+        for duty, (holder, fence) in state.role_holders.items():
             if holder and self.fences.setdefault((duty, fence), holder) != holder:
                 self.fail("fence", f"{duty} fence {fence} is given to {holder} and to {self.fences[(duty, fence)]}")
 
@@ -263,7 +263,7 @@
             order,
             routes,
             state.evacuated,
-            state.duties,
+            state.role_holders,
             sorted(state.voting_members.items()),
         )
     )
--- a/harness/model_checking/observe.py
+++ b/harness/model_checking/observe.py
@@ -3,7 +3,7 @@
 from functools import partial
 
 from sumachook.consensus import Options
-from sumachook.control_state.fields import DUTIES
+from sumachook.control_state.fields import SINGLETON_ROLES
 from sumachook.nodes import core as core_module
 
 
@@ -42,7 +42,7 @@
 
 def duties_held(core, now) -> dict:
     """Duty -> fence of those whose lease this core holds."""
-    return {duty: fence for duty in DUTIES if (fence := core.leases.holds(duty, now))}
+    return {duty: fence for duty in SINGLETON_ROLES if (fence := core.leases.holds(duty, now))}
 
 
 def holds(core, role: str, now) -> bool:
--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -259,8 +259,8 @@
     Mutation(
         0,
         "an image goes on with the state",
-        '"duties": {role: tuple(holder) for role, holder in state.duties.items()}',
-        '"duties": state.duties',
+        '"duties": {role: tuple(holder) for role, holder in state.role_holders.items()}',
+        '"duties": state.role_holders',
         "tests/control_state",
         "of_its_moment",
     ),
--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -198,8 +198,8 @@
     Mutation(
         "DISK",
         "an image changes with the state",
-        '"duties": {role: tuple(holder) for role, holder in state.duties.items()}',
-        '"duties": state.duties',
+        '"duties": {role: tuple(holder) for role, holder in state.role_holders.items()}',
+        '"duties": state.role_holders',
         "tests/control_state",
         "image_is_of_its_moment",
     ),
--- a/sumachook/control_state/fields.py
+++ b/sumachook/control_state/fields.py
@@ -8,7 +8,7 @@
 from sumachook.control_state.results import ChangeResult
 
 PLACER, ACCOUNTANT = "placer", "accountant"
-DUTIES = (PLACER, ACCOUNTANT)  # the singleton roles, each held by at most one core at a time
+SINGLETON_ROLES = (PLACER, ACCOUNTANT)  # the singleton roles, each held by at most one core at a time
 
 
 class RoleHolder(NamedTuple):
@@ -42,7 +42,7 @@
         The evacuated areas, sorted, and the number of the change that last evacuated or restored each area.
     requests
         Completed requests of operators by id, oldest first.
-    duties
+    role_holders
         The holder and the last fencing token of each role.
     voting_members
         The address ("IP:PORT") of each voter.
@@ -65,7 +65,7 @@
         "evacuated",
         "evacuation_changed_at",
         "requests",
-        "duties",
+        "role_holders",
         "voting_members",
         "servers",
         "listed_at",
@@ -84,7 +84,7 @@
         self.evacuated: tuple[str, ...] = ()
         self.evacuation_changed_at: dict[str, int] = {}
         self.requests: dict[str, CompletedRequest] = {}
-        self.duties = dict.fromkeys(DUTIES, RoleHolder("", 0))
+        self.role_holders = dict.fromkeys(SINGLETON_ROLES, RoleHolder("", 0))
         self.voting_members: dict[str, str] = {}
         self.servers: dict[str, Any] = {}
         self.listed_at = 0
@@ -102,5 +102,5 @@
 
     def fence(self, role: str, holder: str) -> int:
         """Returns the fencing token of a role if `holder` holds it, else 0."""
-        current = self.duties[role]
+        current = self.role_holders[role]
         return current.fencing_token if current.holder == holder else 0
--- a/sumachook/control_state/snapshots.py
+++ b/sumachook/control_state/snapshots.py
@@ -16,7 +16,7 @@
         "doc": state.doc,
         "evacuated": state.evacuated,
         "servers": state.servers,
-        "duties": {role: tuple(holder) for role, holder in state.duties.items()},
+        "duties": {role: tuple(holder) for role, holder in state.role_holders.items()},
         "pairs": state.pairs,
         "held": dict(state.held),
         "roster": state.voting_members,
@@ -40,7 +40,7 @@
     _restore_configuration(state, snapshot)
     state.evacuated = tuple(snapshot["evacuated"])
     state.servers = dict(snapshot["servers"])
-    state.duties = {role: RoleHolder(*holder) for role, holder in snapshot["duties"].items()}
+    state.role_holders = {role: RoleHolder(*holder) for role, holder in snapshot["duties"].items()}
     state.pairs = dict(snapshot["pairs"])
     state.held = {server: dict(models) for server, models in snapshot["held"].items()}
     state.voting_members = dict(snapshot["roster"])
--- a/sumachook/leases/claims.py
+++ b/sumachook/leases/claims.py
@@ -64,7 +64,7 @@
         claim = self.by_role.get(vote.role)
         if claim is None or (claim.fence, claim.round) != (vote.fence, vote.round):
             return []
-        holder, _ = self.voters.state.duties[vote.role]
+        holder, _ = self.voters.state.role_holders[vote.role]
         if holder or not self.voters.includes(replica):
             return []
         claim.supporters.add(replica)
--- a/sumachook/leases/leases.py
+++ b/sumachook/leases/leases.py
@@ -71,7 +71,7 @@
         renewed_roles, out = self.held.renew(now)
         for role in renewed_roles:
             self._note_renewal(role, now)
-        for role, (holder, fence) in self.voters.state.duties.items():
+        for role, (holder, fence) in self.voters.state.role_holders.items():
             self.vacancies.note_holder(role, holder, fence, now)
             out += self._check_role(role, holder, fence, is_leading, now)
         return out
@@ -107,7 +107,7 @@
     def _on_renew(self, sender: str, address: str, message: RenewLease, now: timedelta) -> list[Effect]:
         """Records a release by the holder, or acknowledges its renewal if this voter is in a working view."""
         if message.sent == RELEASED:
-            _, fence = self.voters.state.duties[message.role]
+            _, fence = self.voters.state.role_holders[message.role]
             if fence == message.fence:
                 self.voting.note_release(message.role, now)
             return []
--- a/sumachook/leases/renewal.py
+++ b/sumachook/leases/renewal.py
@@ -56,7 +56,7 @@
         if now < self.next_renewal:
             return roles, out
         self.next_renewal = now + self.timing.renew_interval
-        for role in self.voters.state.duties:
+        for role in self.voters.state.role_holders:
             fence = self.voters.state.fence(role, self.voters.name)
             if fence and not self.is_quitting and not self.is_released(role, fence):
                 roles.append(role)
--- a/sumachook/leases/voters.py
+++ b/sumachook/leases/voters.py
@@ -11,14 +11,14 @@
     """The part of the replicated control state that leases read."""
 
     @property
-    def duties(self) -> Mapping[str, tuple[str, int]]:
+    def role_holders(self) -> Mapping[str, tuple[str, int]]:
         """The holder ("" if vacant) and the last fencing token of each role."""
 
     @property
     def voting_members(self) -> Mapping[str, str]:
         """The address of each voter, by name."""
 
-    def fence(self, duty: str, holder: str) -> int:
+    def fence(self, role: str, holder: str) -> int:
         """Returns the fencing token under which `holder` holds a role, or 0 if it does not."""
 
 
@@ -51,4 +51,4 @@
 
     def own_roles(self) -> list[tuple[str, int]]:
         """Returns the roles that this voter holds according to the control state, with their fencing tokens."""
-        return [(role, fence) for role, (holder, fence) in self.state.duties.items() if holder == self.name]
+        return [(role, fence) for role, (holder, fence) in self.state.role_holders.items() if holder == self.name]
--- a/sumachook/leases/voting.py
+++ b/sumachook/leases/voting.py
@@ -46,7 +46,7 @@
 
     def may_vote(self, role: str, now: timedelta) -> bool:
         """Returns whether all leases that this voter acknowledged have expired, with no orders under them in flight."""
-        _, fence = self.voters.state.duties[role]
+        _, fence = self.voters.state.role_holders[role]
         was_ever_held = fence > 0
         return not was_ever_held or now - self.answered_at.get(role, self.started_at) > self.timing.vacant_after
 
@@ -71,8 +71,8 @@
 
     def _is_admissible(self, claimant: str, claim: ClaimLease, now: timedelta) -> bool:
         """Returns whether a voter claims a vacant role with the next fencing token, and this voter may vote."""
-        if claim.role not in self.voters.state.duties:
+        if claim.role not in self.voters.state.role_holders:
             return False
-        holder, last_fence = self.voters.state.duties[claim.role]
+        holder, last_fence = self.voters.state.role_holders[claim.role]
         is_next = not holder and claim.fence == last_fence + 1
         return is_next and self.voters.is_fresh and self.voters.includes(claimant) and self.may_vote(claim.role, now)
--- a/sumachook/nodes/edge_peers.py
+++ b/sumachook/nodes/edge_peers.py
@@ -56,4 +56,4 @@
 
     def holder_of(self, role: str) -> str | None:
         """The address of a singleton role's holder, or None while it is vacant."""
-        return self.state.voting_members.get(self.state.duties[role][0])
+        return self.state.voting_members.get(self.state.role_holders[role][0])
--- a/sumachook/nodes/show.py
+++ b/sumachook/nodes/show.py
@@ -55,7 +55,11 @@
 
 
 def _duties(core: "Core", now: timedelta) -> Document:
-    return {"duties": {duty: {"holder": holder, "fence": fence} for duty, (holder, fence) in core.state.duties.items()}}
+    return {
+        "duties": {
+            duty: {"holder": holder, "fence": fence} for duty, (holder, fence) in core.state.role_holders.items()
+        }
+    }
 
 
 def _pairs(core: "Core", now: timedelta) -> Document:
@@ -79,11 +83,11 @@
 
 
 def _places(core: "Core", now: timedelta) -> Document:
-    return {"holder": core.state.duties["placer"][0], **placement_status(core.provisioner, now)}
+    return {"holder": core.state.role_holders["placer"][0], **placement_status(core.provisioner, now)}
 
 
 def _allowances(core: "Core", now: timedelta) -> Document:
-    return {"holder": core.state.duties["accountant"][0], "tenants": core.quota_usage.describe(now)}
+    return {"holder": core.state.role_holders["accountant"][0], "tenants": core.quota_usage.describe(now)}
 
 
 _VIEWS: dict[str, Callable[["Core", timedelta], Document]] = {
--- a/sumachook/simulation/fault_injection.py
+++ b/sumachook/simulation/fault_injection.py
@@ -148,8 +148,8 @@
             found.append("cores hold different states")
         if leaders and leaders[0].state.generation < self.acked_generation:
             found.append(f"acked generation {self.acked_generation}, now {leaders[0].state.generation}")
-        if leaders and any(not holder for holder, _ in leaders[0].state.duties.values()):
-            found.append(f"duties {leaders[0].state.duties}")
+        if leaders and any(not holder for holder, _ in leaders[0].state.role_holders.values()):
+            found.append(f"duties {leaders[0].state.role_holders}")
         answered = [
             call
             for call in self.callers.calls
--- a/tests/control_state/test_configuration_versions.py
+++ b/tests/control_state/test_configuration_versions.py
@@ -312,6 +312,6 @@
     status, doc = deployment.ask(name, "GET", "/show/places")[:2]
     assert (
         status == 200
-        and doc["holder"] == leader(deployment).state.duties["placer"][0]
+        and doc["holder"] == leader(deployment).state.role_holders["placer"][0]
         and set(doc) >= {"servers", "models"}
     )
--- a/tests/nodes/test_control_plane.py
+++ b/tests/nodes/test_control_plane.py
@@ -245,12 +245,12 @@
     deployment = found(16)
     deployment.ask("core-1", "POST", "/operator/apply", {"request": "first", "doc": deployment.spec.catalogue})
     deployment.run(6)
-    holder = leader(deployment).state.duties["placer"]
+    holder = leader(deployment).state.role_holders["placer"]
     box = next(box for box in deployment.boxes.values() if box.role == "core" and box.machine.node == holder[0])
     deployment.freeze(box.name)
     assert deployment.run_until(
         lambda: any(
-            core.state.duties["placer"][1] > holder[1] and core.state.duties["placer"][0]
+            core.state.role_holders["placer"][1] > holder[1] and core.state.role_holders["placer"][0]
             for core in deployment.machines("core")
             if core.node != holder[0]
         ),
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -92,16 +92,16 @@
     """Given the placer's disk full for eight seconds, another core is the placer within 4.2 s, under a higher fence; the first one
     bids again only when its disk takes records."""
     deployment = _deployment(705)
-    assert deployment.run_until(lambda: leader(deployment).state.duties["placer"][0], 10)
-    node, fence = leader(deployment).state.duties["placer"]
+    assert deployment.run_until(lambda: leader(deployment).state.role_holders["placer"][0], 10)
+    node, fence = leader(deployment).state.role_holders["placer"]
     full = next(name for name in CORES if deployment.boxes[name].machine.node == node)
     _fill(deployment, full, 8)
     deployment.run(0.2)
     assert _apply(deployment, next(name for name in CORES if name != full), "write")
     assert deployment.run_until(
-        lambda: leader(deployment) and leader(deployment).state.duties["placer"][0] not in ("", node), 4.2
+        lambda: leader(deployment) and leader(deployment).state.role_holders["placer"][0] not in ("", node), 4.2
     )
-    assert leader(deployment).state.duties["placer"][1] > fence
+    assert leader(deployment).state.role_holders["placer"][1] > fence
     assert deployment.run_until(
         lambda: deployment.now > deployment.boxes[full].disk.refuses_until, 10
     ) and not deployment.boxes[full].machine.leases.holds("placer", deployment.now)
