--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -40,7 +40,7 @@
     Mutation(
         4,
         "an old comparison may be ordered",
-        "if change.basis != state.listed_at:",
+        "if change.basis != state.servers_changed_at:",
         "if False:",
         "tests/control_state",
         "image_brings_back",
--- a/sumachook/control_state/fields.py
+++ b/sumachook/control_state/fields.py
@@ -46,11 +46,11 @@
         The holder and the last fencing token of each role.
     voting_members
         The address ("IP:PORT") of each voter.
-    servers, listed_at
+    servers, servers_changed_at
         The servers that the platform lists, by name, and the number of the change that set the list.
     pairs
         The names of the first and the second server of each model.
-    held
+    model_statuses
         The status of each model that a server has loaded, by server.
     """
 
@@ -68,9 +68,9 @@
         "role_holders",
         "voting_members",
         "servers",
-        "listed_at",
+        "servers_changed_at",
         "pairs",
-        "held",
+        "model_statuses",
     )
 
     def __init__(self) -> None:
@@ -87,9 +87,9 @@
         self.role_holders = dict.fromkeys(SINGLETON_ROLES, RoleHolder("", 0))
         self.voting_members: dict[str, str] = {}
         self.servers: dict[str, Any] = {}
-        self.listed_at = 0
+        self.servers_changed_at = 0
         self.pairs: dict[str, tuple[str, ...]] = {}
-        self.held: dict[str, dict[str, str]] = {}
+        self.model_statuses: dict[str, dict[str, str]] = {}
 
     @property
     def version(self) -> int:
--- a/sumachook/control_state/servers.py
+++ b/sumachook/control_state/servers.py
@@ -8,11 +8,15 @@
 
 def update_servers(state: StateFields, change: changes.UpdateServers) -> ChangeResult:
     """Replaces the server list, unless the proposing core compared it with an older list than the current one."""
-    if change.basis != state.listed_at:
-        return rejected("basis", f"the server list is that of change {state.listed_at}, not of change {change.basis}")
+    if change.basis != state.servers_changed_at:
+        return rejected(
+            "basis", f"the server list is that of change {state.servers_changed_at}, not of change {change.basis}"
+        )
     state.servers = dict(change.servers)
-    state.listed_at = state.number
-    state.held = {server: models for server, models in state.held.items() if server in state.servers}
+    state.servers_changed_at = state.number
+    state.model_statuses = {
+        server: models for server, models in state.model_statuses.items() if server in state.servers
+    }
     return accepted()
 
 
@@ -30,9 +34,9 @@
         return _rejected_as_older_placer()
     for server, models in change.loaded_models.items():
         if models is None:
-            state.held.pop(server, None)
+            state.model_statuses.pop(server, None)
         elif server in state.servers:
-            state.held[server] = dict(models)
+            state.model_statuses[server] = dict(models)
     return accepted()
 
 
--- a/sumachook/control_state/snapshots.py
+++ b/sumachook/control_state/snapshots.py
@@ -18,13 +18,13 @@
         "servers": state.servers,
         "duties": {role: tuple(holder) for role, holder in state.role_holders.items()},
         "pairs": state.pairs,
-        "held": dict(state.held),
+        "held": dict(state.model_statuses),
         "roster": state.voting_members,
         "requests": tuple(
             (request, (completed.content_digest, completed.result.stored()))
             for request, completed in state.requests.items()
         ),
-        "listedAt": state.listed_at,
+        "listedAt": state.servers_changed_at,
         "taken": state.accepted_versions.snapshot(),
         "versionAt": state.version_changed_at,
         "turnedAt": dict(state.evacuation_changed_at),
@@ -42,13 +42,13 @@
     state.servers = dict(snapshot["servers"])
     state.role_holders = {role: RoleHolder(*holder) for role, holder in snapshot["duties"].items()}
     state.pairs = dict(snapshot["pairs"])
-    state.held = {server: dict(models) for server, models in snapshot["held"].items()}
+    state.model_statuses = {server: dict(models) for server, models in snapshot["held"].items()}
     state.voting_members = dict(snapshot["roster"])
     state.requests = {
         request: CompletedRequest(content_digest, read_result(result))
         for request, (content_digest, result) in snapshot["requests"]
     }
-    state.listed_at = snapshot["listedAt"]
+    state.servers_changed_at = snapshot["listedAt"]
     state.accepted_versions = AcceptedVersions.from_snapshot(snapshot.get("taken"), state.version)
     state.version_changed_at = snapshot.get("versionAt", state.number)
     state.evacuation_changed_at = dict(snapshot.get("turnedAt", ()))
--- a/sumachook/inference/server_selection.py
+++ b/sumachook/inference/server_selection.py
@@ -139,7 +139,7 @@
             server = state.servers.get(name)
             if server is None or not self.table.is_usable(name, server, trust, now):
                 continue
-            items = state.held.get(name, {})
+            items = state.model_statuses.get(name, {})
             conditions = {items.get(request.model.name)}
             if request.adapter:
                 conditions.add(items.get(request.adapter))
@@ -169,7 +169,7 @@
             limit = max(1, limit // 2)  # it runs where room is left
         if server_window.in_use >= limit or server_window.in_use_by_queue.get(request.queue, 0) >= queue_limit:
             return False
-        is_cold = "ready" not in table.state.held.get(name, {}).values()
+        is_cold = "ready" not in table.state.model_statuses.get(name, {}).values()
         item, in_use = request.model.name, server_window.in_use_by_item
         return self._allows_slow_start(name, item, is_warming, in_use.get(item, 0), now) and self._allows_slow_start(
             name, WHOLE_SERVER, is_cold, server_window.in_use, now
--- a/sumachook/nodes/show.py
+++ b/sumachook/nodes/show.py
@@ -63,7 +63,7 @@
 
 
 def _pairs(core: "Core", now: timedelta) -> Document:
-    return {"pairs": core.state.pairs, "held": core.state.held}
+    return {"pairs": core.state.pairs, "held": core.state.model_statuses}
 
 
 def _servers(core: "Core", now: timedelta) -> Document:
--- a/sumachook/placement/forecast.py
+++ b/sumachook/placement/forecast.py
@@ -11,7 +11,7 @@
 
     `gigabytes` are those of all loads, `seconds` the time that the store of weights needs for them.
     """
-    pairs = plan_pairs(catalogue, state.servers, state.evacuated, (), demand, state.pairs, state.held)
+    pairs = plan_pairs(catalogue, state.servers, state.evacuated, (), demand, state.pairs, state.model_statuses)
     loads = _loads(catalogue, state, pairs)
     gigabytes = sum(load["gigabytes"] for load in loads)
     moved = sorted(model for model in set(pairs) | set(state.pairs) if pairs.get(model) != state.pairs.get(model))
@@ -32,7 +32,7 @@
         {"model": model, "server": server, "gigabytes": sizes[model]}
         for model, pair in sorted(pairs.items())
         for server in pair
-        if server and model not in state.held.get(server, {})
+        if server and model not in state.model_statuses.get(server, {})
     ]
 
 
--- a/sumachook/placement/inventory_reader.py
+++ b/sumachook/placement/inventory_reader.py
@@ -146,7 +146,7 @@
         self.number += 1
         oldest = self.number - self.MAX_READINGS
         self.pages = {number: pages for number, pages in self.pages.items() if number > oldest}
-        return [self._fetch(InventoryCallId(INVENTORY_READER, self.state.listed_at, self.number), None)]
+        return [self._fetch(InventoryCallId(INVENTORY_READER, self.state.servers_changed_at, self.number), None)]
 
     def _is_reader(self, now: timedelta) -> bool:
         return self.readers == "all" or self.is_leading or now - self.fresh_at > self.LEADERLESS_AFTER
@@ -207,7 +207,7 @@
         """Propose what has changed, unless it was compared with an older state; followers only what they see twice."""
         was_seen = self.last_read == servers
         self.last_read = servers
-        if servers == self.state.servers or based_on != self.state.listed_at or not self.is_fresh:
+        if servers == self.state.servers or based_on != self.state.servers_changed_at or not self.is_fresh:
             return []
         if not self.is_leading and not was_seen:
             return []
--- a/sumachook/placement/placer.py
+++ b/sumachook/placement/placer.py
@@ -270,7 +270,7 @@
                 items = {item: self._status_of(name, item, status, now) for item, status in self.actual[name].items()}
             else:
                 continue
-            if items != self.state.held.get(name):
+            if items != self.state.model_statuses.get(name):
                 changed[name] = items
         if not changed or now - self.held_proposed_at < self.RESEND_INTERVAL / 2:
             return []
--- a/tests/control_state/test_state.py
+++ b/tests/control_state/test_state.py
@@ -41,7 +41,7 @@
     state.apply(1, changes.FoundCluster({"s": "x:1"}))
     state.apply(2, changes.ApplyDocument("r1", _doc(), False, None))
     state.apply(3, changes.UpdateServers(0, {"v": {"area": "a"}}))
-    assert state.apply(4, changes.UpdateServers(0, {})).outcome is Outcome.REJECTED and state.listed_at == 3
+    assert state.apply(4, changes.UpdateServers(0, {})).outcome is Outcome.REJECTED and state.servers_changed_at == 3
     again.restore(state.snapshot())
     assert again.snapshot() == state.snapshot() and again.catalogue == state.catalogue
 
--- a/tests/deployment_fixtures.py
+++ b/tests/deployment_fixtures.py
@@ -62,7 +62,9 @@
     if core is None or not core.state.pairs:
         return False
     wanted = [(model, server) for model, pair in core.state.pairs.items() for server in pair if server]
-    return bool(wanted) and all(core.state.held.get(server, {}).get(model) == "ready" for model, server in wanted)
+    return bool(wanted) and all(
+        core.state.model_statuses.get(server, {}).get(model) == "ready" for model, server in wanted
+    )
 
 
 def others(deployment, name):
--- a/tests/nodes/test_edge_alone.py
+++ b/tests/nodes/test_edge_alone.py
@@ -40,7 +40,7 @@
     state = State()
     state.apply(1, ("apply", "r", doc, False, None))
     state.servers = {"s": {"kind": "model", "address": "127.0.0.1:9", "area": "a", "leaving": False, "slots": 8}}
-    state.pairs, state.held = {"m": ("s", "")}, {"s": {"m": "warm"}}
+    state.pairs, state.model_statuses = {"m": ("s", "")}, {"s": {"m": "warm"}}
     settings = NodeSettings(
         node="e1", address="127.0.0.1:1", http_address="127.0.0.1:2", zone="a", seeds=("127.0.0.1:3",)
     )
