--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -48,8 +48,8 @@
     Mutation(
         5,
         "a follower stays with a silent core",
-        "is_silent = not has_answered or now - self.proved_at > PROOF_TIMEOUT",
-        "is_silent = False",
+        "is_unresponsive = not has_answered or now - self.proved_at > PROOF_TIMEOUT",
+        "is_unresponsive = False",
         FEED,
         "silent_core or falls_silent",
     ),
@@ -97,7 +97,7 @@
     Mutation(
         5,
         "what is overtaken goes out entry by entry",
-        "if follower.sent + 1 < self.first_number or self._is_overtaken(follower.sent):",
+        "if follower.sent + 1 < self.first_number or self._exceeds_batch(follower.sent):",
         "if follower.sent + 1 < self.first_number:",
         FEED,
         "many_large_changes",
@@ -137,7 +137,7 @@
     Mutation(
         5,
         "a difference is taken whatever comes of it",
-        "if document_digest(wanted) != change.document_digest:",
+        "if document_digest(target) != change.document_digest:",
         "if False:",
         DIFFERENCES,
         "does_not_come_to_the_same",
--- a/harness/mutations/model_checker.py
+++ b/harness/mutations/model_checker.py
@@ -113,7 +113,7 @@
         "fence",
         "a voter votes for a successor while a lease that it helped to prolong may stand",
         "leases/voting.py",
-        "return not was_ever_held or now - self.answered_at.get(role, self.started_at) > self.timing.vacant_after",
+        "return not was_ever_held or now - self.last_renewal_at.get(role, self.started_at) > self.timing.vacant_after",
         "return True",
         "lease_walks",
     ),
--- a/harness/mutations/placement.py
+++ b/harness/mutations/placement.py
@@ -177,7 +177,7 @@
     Mutation(
         "ONE",
         "a seat votes while a lease that it prolonged may run",
-        "return not was_ever_held or now - self.answered_at.get(role, self.started_at) > self.timing.vacant_after",
+        "return not was_ever_held or now - self.last_renewal_at.get(role, self.started_at) > self.timing.vacant_after",
         "return True",
         DUTY,
         "never_two",
--- a/sumachook/changefeed/follower.py
+++ b/sumachook/changefeed/follower.py
@@ -124,13 +124,13 @@
         effects = self._handle_pause(now)
         self.last_tick = now
         self.announced_number = tick.announced_number
-        self._watch_lag(now)
+        self._update_lag(now)
         if tick.cores and now - self.asked_at > self._answer_timeout() and self._should_switch(tick.cores, now):
             self._switch_upstream(tick.cores, now)
             effects += self._follow(now)
         return effects
 
-    def _watch_lag(self, now: timedelta) -> None:
+    def _update_lag(self, now: timedelta) -> None:
         if self.announced_number <= self.number:
             self.behind_since = None
         elif self.behind_since is None:
@@ -148,8 +148,8 @@
         if now - self.progress_at < ANSWER_TIMEOUT:
             return False
         has_answered = self.proved_at >= self.asked_at
-        is_silent = not has_answered or now - self.proved_at > PROOF_TIMEOUT
-        return is_silent or (self.behind_since is not None and now - self.behind_since > MAX_LAG)
+        is_unresponsive = not has_answered or now - self.proved_at > PROOF_TIMEOUT
+        return is_unresponsive or (self.behind_since is not None and now - self.behind_since > MAX_LAG)
 
     def _switch_upstream(self, cores: tuple[str, ...], now: timedelta) -> None:
         if self.upstream is not None:
--- a/sumachook/changefeed/round_trips.py
+++ b/sumachook/changefeed/round_trips.py
@@ -24,24 +24,24 @@
     (True, True)
     """
 
-    __slots__ = ("last_nonce", "open")
+    __slots__ = ("last_nonce", "open_requests")
 
     def __init__(self, first_nonce: int) -> None:
         self.last_nonce = first_nonce
-        self.open: dict[int, SentRequest] = {}
+        self.open_requests: dict[int, SentRequest] = {}
 
     def start(self, now: timedelta, number: int) -> int:
         """Registers a request sent now by a follower that has applied change `number`; returns the nonce for it."""
         self.last_nonce += 1
-        self.open[self.last_nonce] = SentRequest(now, number)
-        while len(self.open) > MAX_OPEN_REQUESTS:
-            del self.open[next(iter(self.open))]
+        self.open_requests[self.last_nonce] = SentRequest(now, number)
+        while len(self.open_requests) > MAX_OPEN_REQUESTS:
+            del self.open_requests[next(iter(self.open_requests))]
         return self.last_nonce
 
     def request(self, nonce: int) -> SentRequest | None:
         """Returns the open request with this nonce, or None."""
-        return self.open.get(nonce)
+        return self.open_requests.get(nonce)
 
     def clear(self) -> None:
         """Discards all open requests, so that late answers to them prove nothing."""
-        self.open.clear()
+        self.open_requests.clear()
--- a/sumachook/changefeed/source.py
+++ b/sumachook/changefeed/source.py
@@ -37,7 +37,7 @@
 
     address: str
     sent: int
-    heard_at: timedelta
+    last_message_at: timedelta
     nonce: int
 
 
@@ -132,7 +132,9 @@
 
     def _handle_tick(self, now: timedelta) -> list[Send]:
         self.followers = {
-            node: follower for node, follower in self.followers.items() if now - follower.heard_at <= FOLLOWER_TIMEOUT
+            node: follower
+            for node, follower in self.followers.items()
+            if now - follower.last_message_at <= FOLLOWER_TIMEOUT
         }
         effects = self._serve_all(now)
         if now >= self.next_heartbeat:
@@ -154,7 +156,7 @@
         """Returns the next entries for a follower, or a snapshot if that is shorter or entries were evicted."""
         if follower.sent >= self.state.number or not self.is_fresh(now):
             return []
-        if follower.sent + 1 < self.first_number or self._is_overtaken(follower.sent):
+        if follower.sent + 1 < self.first_number or self._exceeds_batch(follower.sent):
             return self._send_snapshot(follower)
         start = follower.sent + 1
         begin = start - self.first_number
@@ -168,7 +170,7 @@
             self.last_batch = ChangeBatch(first, entries)
         return self.last_batch
 
-    def _is_overtaken(self, sent: int) -> bool:
+    def _exceeds_batch(self, sent: int) -> bool:
         """Returns whether the entries after `sent` exceed a batch, so that a snapshot is the faster transfer."""
         return sum(map(len, islice(self.entries, sent + 1 - self.first_number, None))) > MAX_BATCH_BYTES
 
@@ -183,7 +185,7 @@
     def _snapshot(self) -> Snapshot:
         """Returns the last snapshot while the entries after it are kept and fit in one batch, else a new one."""
         number = self.last_snapshot.number
-        if number + 1 < self.first_number or self._is_overtaken(number):
+        if number + 1 < self.first_number or self._exceeds_batch(number):
             self.last_snapshot = Snapshot(self.state.number, pack_snapshot(self.state.snapshot()))
         return self.last_snapshot
 
@@ -197,7 +199,7 @@
     def _on_confirm(self, sender: str, message: Confirm, now: timedelta) -> list[Send]:
         follower = self.followers.get(sender)
         if follower is not None:
-            follower.heard_at = now
+            follower.last_message_at = now
             follower.nonce = max(follower.nonce, message.nonce)
         if self.confirmed.get(sender) == message.number:
             return []
--- a/sumachook/control_state/configurations.py
+++ b/sumachook/control_state/configurations.py
@@ -21,7 +21,7 @@
 from sumachook.control_state import changes
 from sumachook.control_state.change_attempts import digest, digest_of_configuration, is_overtaken, version_of
 from sumachook.control_state.fields import StateFields
-from sumachook.control_state.requests import once
+from sumachook.control_state.requests import run_once
 from sumachook.control_state.results import (
     MAX_STORED_ISSUES,
     ChangeResult,
@@ -58,7 +58,7 @@
 def apply_document(state: StateFields, change: changes.ApplyDocument, _seen: int | None) -> ChangeResult:
     """Applies an unversioned document or a part of one; a repeated request id gets the first result."""
     content = digest("apply", change.document, change.is_part, change.if_revision)
-    return once(state, change.request, content, lambda: _merge(state, change))
+    return run_once(state, change.request, content, lambda: _merge(state, change))
 
 
 def _merge(state: StateFields, change: changes.ApplyDocument) -> ChangeResult:
@@ -81,10 +81,10 @@
     verdict = _verdict(state, identity, seen)
     if verdict is not None:
         return verdict
-    wanted, issues = _wanted_document(state, change)
+    target, issues = _resulting_document(state, change)
     if issues:
         return with_issues(Outcome.REJECTED, issues)
-    return _accept(state, wanted, identity)
+    return _accept(state, target, identity)
 
 
 def configure_by_digest(state: StateFields, change: changes.ConfigureByDigest, seen: int | None) -> ChangeResult:
@@ -106,12 +106,12 @@
     if verdict is not None:
         return verdict
     try:
-        wanted = apply_difference(state.checked, change.difference)
+        target = apply_difference(state.checked, change.difference)
     except DifferenceError as error:
         return unknown("$", f"the difference does not apply to the version in force: {error}")
-    if document_digest(wanted) != change.document_digest:
+    if document_digest(target) != change.document_digest:
         return unknown("$", "the difference does not give the document that the core proposed")
-    return _accept(state, wanted, identity)
+    return _accept(state, target, identity)
 
 
 def _verdict(state: StateFields, identity: _Identity, seen: int | None) -> ChangeResult | None:
@@ -128,7 +128,7 @@
     return None
 
 
-def _wanted_document(state: StateFields, change: changes.Configure) -> tuple[Any, tuple[ConfigurationIssue, ...]]:
+def _resulting_document(state: StateFields, change: changes.Configure) -> tuple[Any, tuple[ConfigurationIssue, ...]]:
     """Returns the whole document that a change on the version in force results in, or issues found without it."""
     version = version_of(change.document)
     if version is None:
@@ -146,18 +146,18 @@
     return {**(defaults or {}), **change.document}, ()
 
 
-def _accept(state: StateFields, wanted: Any, identity: _Identity) -> ChangeResult:
+def _accept(state: StateFields, target: Any, identity: _Identity) -> ChangeResult:
     """Replaces the document in force if the new one is valid, and records the accepted version."""
-    result = _replace(state, wanted)
+    result = _replace(state, target)
     if result.outcome is Outcome.ACCEPTED and identity.version is not None:
         state.accepted_versions.record(identity.version, identity.digest)
         state.version_changed_at = state.number
     return result
 
 
-def _replace(state: StateFields, wanted: Any) -> ChangeResult:
-    """Replaces the document in force if `wanted` is valid; drops evacuations and placements it no longer covers."""
-    checked, issues = revise_document(state.checked, wanted)
+def _replace(state: StateFields, target: Any) -> ChangeResult:
+    """Replaces the document in force if `target` is valid; drops evacuations and placements it no longer covers."""
+    checked, issues = revise_document(state.checked, target)
     if checked is None:
         return with_issues(Outcome.REJECTED, issues)
     catalogue = checked.catalogue
@@ -184,22 +184,22 @@
     identity = _Identity.of(change)
     if change.base_version != state.version or state.accepted_versions.contains(identity.version, identity.digest):
         return changes.ConfigureByDigest(change.request, *identity, ())
-    wanted, issues = _wanted_document(state, change)
+    target, issues = _resulting_document(state, change)
     checked = None
     if not issues:
-        checked, issues = revise_document(state.checked, wanted)
+        checked, issues = revise_document(state.checked, target)
     if checked is None:
         return changes.ConfigureByDigest(change.request, *identity, tuple(issues[:MAX_STORED_ISSUES]))
-    return change if change.is_part else _shortened(state, change, identity, checked)
+    return change if change.is_part else _as_difference(state, change, identity, checked)
 
 
-def _shortened(
-    state: StateFields, change: changes.Configure, identity: _Identity, wanted: CheckedDocument
+def _as_difference(
+    state: StateFields, change: changes.Configure, identity: _Identity, target: CheckedDocument
 ) -> changes.OperatorChange:
     """Returns a whole configuration as its difference from the one in force if that is shorter by half, else as is."""
     if state.checked is None:
         return change
-    difference = difference_between(state.checked, wanted)
+    difference = difference_between(state.checked, target)
     if not is_worthwhile(difference, change.document):
         return change
-    return changes.ConfigureByDifference(change.request, *identity, difference, document_digest(wanted.document))
+    return changes.ConfigureByDifference(change.request, *identity, difference, document_digest(target.document))
--- a/sumachook/control_state/evacuations.py
+++ b/sumachook/control_state/evacuations.py
@@ -3,20 +3,20 @@
 from sumachook.control_state import changes
 from sumachook.control_state.change_attempts import digest, is_overtaken
 from sumachook.control_state.fields import StateFields
-from sumachook.control_state.requests import once
+from sumachook.control_state.requests import run_once
 from sumachook.control_state.results import ChangeResult, accepted, rejected, unknown
 
 
 def evacuate(state: StateFields, change: changes.Evacuate, seen: int | None) -> ChangeResult:
     """Marks an area as evacuated, so that it gets no more requests."""
     content = digest("evacuate", change.zone)
-    return once(state, change.request, content, lambda: _set_evacuated(state, change.zone, True, seen))
+    return run_once(state, change.request, content, lambda: _set_evacuated(state, change.zone, True, seen))
 
 
 def restore(state: StateFields, change: changes.Restore, seen: int | None) -> ChangeResult:
     """Reopens an evacuated area for requests."""
     content = digest("restore", change.zone)
-    return once(state, change.request, content, lambda: _set_evacuated(state, change.zone, False, seen))
+    return run_once(state, change.request, content, lambda: _set_evacuated(state, change.zone, False, seen))
 
 
 def _set_evacuated(state: StateFields, zone: str, is_evacuated: bool, seen: int | None) -> ChangeResult:
--- a/sumachook/control_state/requests.py
+++ b/sumachook/control_state/requests.py
@@ -8,18 +8,20 @@
 MAX_REQUESTS = 1000  # completed requests that are kept for deduplication; an operator retries a request within seconds
 
 
-def once(state: StateFields, request: str, content_digest: str, work: Callable[[], ChangeResult]) -> ChangeResult:
-    """Runs `work` for a new request id, and returns the stored result for a repeat of a completed request.
+def run_once(
+    state: StateFields, request: str, content_digest: str, apply_change: Callable[[], ChangeResult]
+) -> ChangeResult:
+    """Runs `apply_change` for a new request id, and returns the stored result for a repeat of a completed request.
 
     The same id with other content is rejected. A request without an id is always run.
     """
     if not request:
-        return work()
+        return apply_change()
     completed = state.requests.get(request)
     if completed is not None:
         is_repeat = completed.content_digest == content_digest
         return completed.result if is_repeat else rejected("request", "request id already used with other content")
-    result = work()
+    result = apply_change()
     if result.outcome is not Outcome.UNKNOWN:
         state.requests[request] = CompletedRequest(content_digest, result.truncated())
         while len(state.requests) > MAX_REQUESTS:
--- a/sumachook/leases/leases.py
+++ b/sumachook/leases/leases.py
@@ -68,13 +68,13 @@
         self.voters.is_fresh = is_fresh
         if not is_leading:
             self.vacancies.leading_since = now
-        renewed_roles, out = self.held.renew(now)
+        renewed_roles, effects = self.held.renew(now)
         for role in renewed_roles:
             self._note_renewal(role, now)
         for role, (holder, fence) in self.voters.state.role_holders.items():
             self.vacancies.note_holder(role, holder, fence, now)
-            out += self._check_role(role, holder, fence, is_leading, now)
-        return out
+            effects += self._check_role(role, holder, fence, is_leading, now)
+        return effects
 
     def _check_role(self, role: str, holder: str, fence: int, is_leading: bool, now: timedelta) -> list[Effect]:
         """Claims a vacant role, proposes the vacancy of a released one, or as leader checks that the holder renews."""
--- a/sumachook/leases/renewal.py
+++ b/sumachook/leases/renewal.py
@@ -52,18 +52,18 @@
     def renew(self, now: timedelta) -> tuple[list[str], list[Effect]]:
         """Returns the roles whose renewal is due, and the renewal requests to send for them."""
         roles: list[str] = []
-        out: list[Effect] = []
+        effects: list[Effect] = []
         if now < self.next_renewal:
-            return roles, out
+            return roles, effects
         self.next_renewal = now + self.timing.renew_interval
         for role in self.voters.state.role_holders:
             fence = self.voters.state.fence(role, self.voters.name)
             if fence and not self.is_quitting and not self.is_released(role, fence):
                 roles.append(role)
-                out += self._renew(Renewal(role, fence, now.total_seconds()))
-        horizon = (now - self.timing.lease).total_seconds()
-        self.answers = {renewal: voters for renewal, voters in self.answers.items() if renewal.sent > horizon}
-        return roles, out
+                effects += self._renew(Renewal(role, fence, now.total_seconds()))
+        oldest_open = (now - self.timing.lease).total_seconds()
+        self.answers = {renewal: voters for renewal, voters in self.answers.items() if renewal.sent > oldest_open}
+        return roles, effects
 
     def _renew(self, renewal: Renewal) -> list[Effect]:
         """Sends a renewal to the other voters; this voter counts as an acknowledgement only in a working view."""
@@ -93,10 +93,10 @@
         self.leases.clear()
         own_roles = self.voters.own_roles()
         self.released |= dict(own_roles)
-        out: list[Effect] = []
+        effects: list[Effect] = []
         for role, fence in own_roles:
-            out += self.voters.send_to_others(RenewLease(role, fence, RELEASED))
-        return out + [ProposeChange(ReleaseRole(role, fence)) for role, fence in own_roles]
+            effects += self.voters.send_to_others(RenewLease(role, fence, RELEASED))
+        return effects + [ProposeChange(ReleaseRole(role, fence)) for role, fence in own_roles]
 
     def is_released(self, role: str, fence: int) -> bool:
         """Returns whether this token was released, also before a `Resume`: voters may no longer wait for its lease."""
--- a/sumachook/leases/vacancies.py
+++ b/sumachook/leases/vacancies.py
@@ -16,12 +16,12 @@
     order of the old holder can still be in flight.
     """
 
-    __slots__ = ("state", "timing", "last_seen", "renewed_at", "leading_since", "proposed_at")
+    __slots__ = ("state", "timing", "known_holders", "renewed_at", "leading_since", "proposed_at")
 
     def __init__(self, state: ControlState, timing: LeaseTiming, now: timedelta) -> None:
         self.state = state
         self.timing = timing
-        self.last_seen: dict[str, tuple[str, int]] = {}  # holder and fencing token of each role at the last tick
+        self.known_holders: dict[str, tuple[str, int]] = {}  # holder and fencing token of each role at the last tick
         self.renewed_at: dict[str, timedelta] = {}
         self.leading_since = now
         self.proposed_at: dict[str, timedelta] = {}
@@ -32,14 +32,14 @@
 
     def note_holder(self, role: str, holder: str, fence: int, now: timedelta) -> None:
         """Records a change of a role's holder or fencing token, which counts as a renewal."""
-        if self.last_seen.get(role) != (holder, fence):
-            self.last_seen[role] = (holder, fence)
+        if self.known_holders.get(role) != (holder, fence):
+            self.known_holders[role] = (holder, fence)
             self.renewed_at[role] = now
 
     def check_holder(self, role: str, holder: str, fence: int, now: timedelta) -> list[Effect]:
         """Proposes and logs the vacancy of a role whose holder has not renewed within `vacant_after`."""
-        silent_since = max(self.renewed_at.get(role, now), self.leading_since)
-        if now - silent_since <= self.timing.vacant_after:
+        unrenewed_since = max(self.renewed_at.get(role, now), self.leading_since)
+        if now - unrenewed_since <= self.timing.vacant_after:
             return []
         proposal = self.propose(role, fence, now)
         details = {"duty": role, "holder": holder, "fence": fence}
--- a/sumachook/leases/voting.py
+++ b/sumachook/leases/voting.py
@@ -22,25 +22,25 @@
     With `is_fenced`, servers refuse orders with lower fencing tokens, so a voter need not wait after a release.
     """
 
-    __slots__ = ("voters", "timing", "is_fenced", "started_at", "answered_at", "votes")
+    __slots__ = ("voters", "timing", "is_fenced", "started_at", "last_renewal_at", "votes")
 
     def __init__(self, voters: Voters, timing: LeaseTiming, is_fenced: bool, now: timedelta) -> None:
         self.voters = voters
         self.timing = timing
         self.is_fenced = is_fenced
         self.started_at = now  # which renewals were acknowledged before a restart is not known
-        self.answered_at: dict[str, timedelta] = {}
+        self.last_renewal_at: dict[str, timedelta] = {}
         self.votes: dict[tuple[str, int], Vote] = {}  # by role and fencing token
 
     def note_renewal(self, role: str, now: timedelta) -> None:
         """Records that this voter acknowledged a renewal, or sent one itself."""
-        self.answered_at[role] = now
+        self.last_renewal_at[role] = now
 
     def note_release(self, role: str, now: timedelta) -> None:
         """Records a release by the holder, after which voters wait only for orders that may still be in flight."""
-        self.answered_at[role] = now - self._saved_by_release()
+        self.last_renewal_at[role] = now - self._wait_saved_by_release()
 
-    def _saved_by_release(self) -> timedelta:
+    def _wait_saved_by_release(self) -> timedelta:
         """Returns how much a release shortens the wait: by the lease, or entirely if servers check fencing tokens."""
         return self.timing.vacant_after * 2 if self.is_fenced else self.timing.lease
 
@@ -48,7 +48,7 @@
         """Returns whether all leases that this voter acknowledged have expired, with no orders under them in flight."""
         _, fence = self.voters.state.role_holders[role]
         was_ever_held = fence > 0
-        return not was_ever_held or now - self.answered_at.get(role, self.started_at) > self.timing.vacant_after
+        return not was_ever_held or now - self.last_renewal_at.get(role, self.started_at) > self.timing.vacant_after
 
     def vote_for_self(self, role: str, fence: int, last_round: int) -> int:
         """Votes for this voter's own claim; returns its round, above its last round and that of any claim voted for."""
