--- a/sumachook/control_state/accepted_versions.py
+++ b/sumachook/control_state/accepted_versions.py
@@ -26,7 +26,7 @@
     forgotten: int = 0
 
     def record(self, version: int, content_digest: str) -> None:
-        """Records that content with this digest was accepted as `version`; evicts the lowest over the bound."""
+        """Records the digest of content accepted as `version`, and evicts the lowest versions over the limit."""
         self.digests[version] = content_digest
         while len(self.digests) > MAX_ACCEPTED_VERSIONS:
             oldest = next(iter(self.digests))
@@ -47,7 +47,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: dict[str, Any] | None, version: int) -> Self:
-        """Restores the data of `snapshot`; if that is None, nothing is known about versions up to `version`."""
+        """Restores the data that `snapshot` returned; if that is None, nothing is known about versions up to `version`."""
         if snapshot is None:
             return cls({}, version)
         return cls(dict(snapshot["digests"]), snapshot["forgotten"])
--- a/sumachook/leases/timing.py
+++ b/sumachook/leases/timing.py
@@ -1,4 +1,4 @@
-"""The durations of leases and of the wait before a successor."""
+"""The timing of leases: how long they last, and how long voters wait before they vote for a successor."""
 
 from dataclasses import dataclass, replace
 from datetime import timedelta
