--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -39,15 +39,15 @@
     ),
     Mutation(
         4,
-        "an old comparison may be ordered",
+        "a server list compared with an older list is accepted",
         "if change.basis != state.servers_changed_at:",
         "if False:",
         "tests/control_state",
-        "image_brings_back",
+        "restores_the_same_state",
     ),
     Mutation(
         5,
-        "a follower stays with a silent core",
+        "a follower stays with an unresponsive core",
         "is_unresponsive = not has_answered or now - self.proved_at > PROOF_TIMEOUT",
         "is_unresponsive = False",
         FEED,
@@ -55,7 +55,7 @@
     ),
     Mutation(
         5,
-        "a follower goes back to a core that it left",
+        "a follower returns to a core that it abandoned",
         "if self.abandoned_at.get(core, never) == earliest]",
         "if core]",
         FEED,
@@ -64,7 +64,7 @@
     ),
     Mutation(
         5,
-        "a follower stays with a core that gives less than others hold",
+        "a follower stays with a core that lags behind other members",
         "or (self.behind_since is not None and now - self.behind_since > MAX_LAG)",
         "",
         FEED,
@@ -72,7 +72,7 @@
     ),
     Mutation(
         5,
-        "a beat counts from when it arrives",
+        "a heartbeat proves freshness as of its arrival",
         "self.proved_at = max(self.proved_at, request.sent_at)",
         "self.proved_at = now",
         FEED,
@@ -80,7 +80,7 @@
     ),
     Mutation(
         5,
-        "an older image is accepted",
+        "an older snapshot is restored",
         "        if number <= self.number:\n            return []\n        self.state.restore",
         "        self.state.restore",
         FEED,
@@ -88,7 +88,7 @@
     ),
     Mutation(
         5,
-        "an image of which a part is missing is put together",
+        "a snapshot with a missing part is assembled",
         " and part.offset == len(self.received)",
         "",
         FEED,
@@ -96,7 +96,7 @@
     ),
     Mutation(
         5,
-        "what is overtaken goes out entry by entry",
+        "entries longer than a batch are sent one by one instead of a snapshot",
         "if follower.sent + 1 < self.first_number or self._exceeds_batch(follower.sent):",
         "if follower.sent + 1 < self.first_number:",
         FEED,
@@ -136,7 +136,7 @@
     ),
     Mutation(
         5,
-        "a difference is taken whatever comes of it",
+        "a difference is applied whatever document it gives",
         "if document_digest(target) != change.document_digest:",
         "if False:",
         DIFFERENCES,
@@ -258,11 +258,11 @@
     ),
     Mutation(
         0,
-        "an image goes on with the state",
+        "later changes modify a snapshot",
         '"duties": {role: tuple(holder) for role, holder in state.role_holders.items()}',
         '"duties": state.role_holders',
         "tests/control_state",
-        "of_its_moment",
+        "not_modified_by_later_changes",
     ),
     Mutation(
         6,
@@ -291,11 +291,11 @@
     ),
     Mutation(
         6,
-        "a beat from a buffer is believed on waking",
+        "after a pause, a heartbeat delayed in a buffer proves freshness",
         "        self.round_trips.clear()\n",
         "",
         FEED,
-        "lay_in_a_buffer or never_goes_back",
+        "delayed_in_a_buffer or never_goes_back",
         file="follower.py",
     ),
     Mutation(
@@ -316,7 +316,7 @@
     ),
     Mutation(
         9,
-        "a duty is kept without a lease",
+        "a role is held without an unexpired lease",
         "lease is not None and lease.fence == fence and now < lease.until",
         "lease is not None",
         DUTY,
--- a/harness/mutations/placement.py
+++ b/harness/mutations/placement.py
@@ -168,7 +168,7 @@
     ),
     Mutation(
         "ONE",
-        "a lease lasts from when its answer came",
+        "a lease lasts from the arrival of an acknowledgement",
         "until = timedelta(seconds=renewal.sent) + self.timing.lease",
         "until = now + self.timing.lease",
         DUTY,
@@ -176,7 +176,7 @@
     ),
     Mutation(
         "ONE",
-        "a seat votes while a lease that it prolonged may run",
+        "a voter votes while a lease that it acknowledged may be valid",
         "return not was_ever_held or now - self.last_renewal_at.get(role, self.started_at) > self.timing.vacant_after",
         "return True",
         DUTY,
@@ -184,7 +184,7 @@
     ),
     Mutation(
         "ONE",
-        "a duty given back leaves no time for its last orders",
+        "a release leaves no time for orders in flight",
         "return self.timing.vacant_after * 2 if self.is_fenced else self.timing.lease",
         "return self.timing.vacant_after * 2",
         DUTY,
@@ -192,7 +192,7 @@
     ),
     Mutation(
         "ONE",
-        "no least time between the orders of two holders",
+        "there is no minimum time between the orders of two holders",
         "replace(UNFENCED, vacant_after=UNFENCED.vacant_after + turn_gap)",
         "UNFENCED",
         DUTY,
@@ -208,7 +208,7 @@
     ),
     Mutation(
         "ONE",
-        "a duty given back is kept",
+        "a released role is still held",
         "if self.is_quitting or not fence or self.is_released(role, fence):",
         "if not fence:",
         DUTY,
@@ -216,7 +216,7 @@
     ),
     Mutation(
         "ONE",
-        "a minority prolongs a lease",
+        "a minority extends a lease",
         "if len(self.answers[renewal]) < self.voters.majority:",
         "if False:",
         DUTY,
--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -164,7 +164,7 @@
     ),
     Mutation(
         "DISK",
-        "a duty that was given back is held again",
+        "a released role is held again",
         "return fence <= self.released.get(role, 0)",
         "return False",
         "tests/nodes/test_disk_faults.py",
@@ -197,10 +197,10 @@
     ),
     Mutation(
         "DISK",
-        "an image changes with the state",
+        "a stored snapshot changes with the state",
         '"duties": {role: tuple(holder) for role, holder in state.role_holders.items()}',
         '"duties": state.role_holders',
         "tests/control_state",
-        "image_is_of_its_moment",
+        "snapshot_is_not_modified_by_later_changes",
     ),
 )
--- a/tests/changefeed/test_changefeed.py
+++ b/tests/changefeed/test_changefeed.py
@@ -1,4 +1,4 @@
-"""Both ends of the feed: in messages that can be packed, at once, only from a working view, trusted only as of what was asked."""
+"""Tests the source and the follower of the change feed: message sizes, working views and proofs of freshness."""
 
 from datetime import timedelta
 from random import Random
@@ -24,7 +24,7 @@
 
 
 class _Core:
-    """A state and its source; `is_fresh` is whether its view works."""
+    """A replicated state and its feed source; `is_fresh` says whether the core is in a working view."""
 
     def __init__(self):
         self.state, self.is_fresh, self.version = State(), True, 0
@@ -53,8 +53,8 @@
     return [type(effect.message) for effect in effects]
 
 
-def test_delivered_entries_go_out_when_they_are_served():
-    """Given a follower, a change is given at the next serving, to it alone, and once."""
+def test_delivered_entries_are_sent_once_at_the_next_serve_request():
+    """A delivered change is sent to the follower at the next serve request, and only once."""
     core = _Core()
     assert _types(core.follow()) == [FeedHeartbeat] and core.deliver(1) == []
     (effect,) = core.serve()
@@ -63,8 +63,10 @@
     assert core.serve() == []
 
 
-def test_core_in_no_working_view_sends_nothing_and_makes_up_for_it_later():
-    """Given a core that is in no view, a follower gets neither snapshot nor changes nor heartbeat; in a view it gets what it lacks."""
+def test_core_outside_a_working_view_sends_nothing_until_it_is_in_one():
+    """Outside a working view, a core must send no snapshot, change or heartbeat, as its state may be old; in a view, it
+    sends the changes that its followers lack.
+    """
     core = _Core()
     core.is_fresh = False
     core.deliver(1)
@@ -77,13 +79,15 @@
 
 
 def _messages_read(effects):
-    """What a follower's node reads of these effects; each has to be packed."""
+    """Encodes the messages of these effects and decodes them, as the node of a follower receives them."""
     codec = Codec("c", "core-1", "core:1", 1)
     return [read_frame("c", codec.pack(effect.message)).message for effect in effects]
 
 
-def test_many_large_changes_go_as_one_snapshot():
-    """Given configurations of 1,500 routes that together are longer than a message, a follower gets one snapshot of the last in their place."""
+def test_many_large_changes_are_sent_as_one_snapshot():
+    """Configurations of 1,500 routes that together exceed a message must be sent as one snapshot of the last, not one by
+    one.
+    """
     core, follower = _Core(), Follower(State(), Random(1), NOW)
     core.follow()
     for _ in range(24):
@@ -97,8 +101,8 @@
     assert follower.state.catalogue == core.state.catalogue and follower.state.snapshot() == core.state.snapshot()
 
 
-def test_followers_far_behind_share_one_snapshot_and_get_what_came_after_it():
-    """Given forty followers from the start and large changes between their requests, few snapshots are made, and each arrives."""
+def test_followers_far_behind_share_snapshots_and_receive_later_changes():
+    """Forty new followers with large changes between their requests must share a few snapshots and all catch up."""
     core, snapshots = _Core(), set()
     followers = [Follower(State(), Random(number), NOW) for number in range(40)]
     for number, follower in enumerate(followers):
@@ -116,8 +120,10 @@
     assert 1 <= len(snapshots) <= 4
 
 
-def test_a_snapshot_longer_than_a_message_goes_in_parts():
-    """Given a state of six megabytes that no compression makes shorter, each part can be packed, and the follower arrives at it."""
+def test_snapshot_longer_than_a_message_is_sent_in_parts():
+    """A state of six megabytes of random data must be sent in parts that can each be encoded, and the follower must
+    restore it.
+    """
     core, follower, random = _Core(), Follower(State(), Random(1), NOW), Random(3)
     doc = whole(1) | {"extra": {"note": random.randbytes(3 << 20).hex()}}
     core.state.apply(1, ("configure", "q", doc, {}, False, 0))
@@ -133,8 +139,8 @@
     assert follower.number == 1 and follower.state.snapshot() == core.state.snapshot()
 
 
-def test_lost_parts_are_asked_for_again_and_no_incomplete_snapshot_is_applied():
-    """Given a snapshot in parts of which one is lost, the follower stays where it is, asks again after a while, and arrives."""
+def test_lost_snapshot_parts_are_requested_again_and_no_incomplete_snapshot_is_applied():
+    """If a part of a snapshot is lost, the follower must apply nothing, subscribe again after a timeout, and catch up."""
     core, follower = _Core(), Follower(State(), Random(1), NOW)
     doc = whole(1) | {"extra": {"note": Random(3).randbytes(400_000).hex()}}
     core.state.apply(1, ("configure", "q", doc, {}, False, 0))
@@ -153,16 +159,18 @@
     assert follower.number == 1
 
 
-def test_a_part_that_comes_twice_does_not_stand_for_a_lost_one():
-    """Given three parts of one length of which the second is lost and the third comes twice, no snapshot is put together."""
+def test_part_that_comes_twice_does_not_replace_a_lost_part():
+    """Of three parts of equal length, the second is lost and the third arrives twice, so that the total length is right;
+    no snapshot must be assembled.
+    """
     assembler, packed = SnapshotAssembler(), Random(3).randbytes(3 * PART_BYTES)
     first, second, third = split_snapshot(7, packed)
     assert [assembler.add(part) for part in (first, third, third)] == [None, None, None]
     assert [assembler.add(part) for part in (first, second, third)] == [None, None, packed]
 
 
-def test_kept_entries_are_bounded_in_bytes_and_a_follower_far_behind_gets_a_snapshot():
-    """Given more large configurations than are kept, a follower from before them gets a snapshot of the last, one from within gets changes."""
+def test_kept_entries_are_bounded_in_bytes_and_evicted_ones_replaced_by_a_snapshot():
+    """A follower whose next entry was evicted gets a snapshot; one whose next entry is still kept gets changes."""
     core = _Core()
     core.follow()
     for _ in range(40):
@@ -176,8 +184,8 @@
     assert type(heartbeat.message) is FeedHeartbeat and heartbeat.message.number == core.version
 
 
-def test_small_changes_go_together():
-    """Given sixty small changes at once, one message carries them."""
+def test_small_changes_are_sent_in_one_batch():
+    """Sixty small changes that are delivered at once are sent in one message."""
     core = _Core()
     core.follow()
     for _ in range(60):
@@ -186,7 +194,7 @@
     assert len(effect.message.entries) == 60
 
 
-# the following end ----------------------------------------------------------------
+# the follower ----------------------------------------------------------------
 
 
 def _follower(seed=1):
@@ -196,7 +204,7 @@
 
 
 def _request(effects, message_type):
-    """(address, nonce) of what the follower asks."""
+    """Returns the address and the nonce of the only request of this type among the effects."""
     (effect,) = [effect for effect in effects if type(effect) is Send and type(effect.message) is message_type]
     return effect.address, effect.message.nonce
 
@@ -206,13 +214,16 @@
 
 
 class _Cores:
-    """Three cores that answer a follower at once; those in `silent` say nothing. `requests` is where each request went, and when."""
+    """Three cores that answer a follower at once, except for those in `silent`.
+
+    `requests` holds the address and the time of each request.
+    """
 
     def __init__(self, follower):
         self.follower, self.cores, self.silent, self.requests = follower, ("core:1", "core:2", "core:3"), set(), []
 
     def run(self, start, seconds):
-        """Ticks and, four times a second, a heartbeat of the core that is followed; gives the time after it."""
+        """Runs the follower with ticks and four heartbeats of its upstream core a second; returns the end time."""
         now, end, nonces, tick = start, start + SECOND * seconds, {}, 0
         while now < end:
             effects = self.follower.take(FollowerTick(self.cores, 0), now)
@@ -233,8 +244,10 @@
         return now
 
 
-def test_follower_never_goes_back_and_distrusts_old_heartbeats():
-    """Given changes and a snapshot that are older, the number stands; given a freeze, only a heartbeat that answers a later request is trusted."""
+def test_follower_never_goes_back_and_ignores_old_heartbeats():
+    """Older changes and snapshots must not be applied; after a pause, only a heartbeat that answers a later request is a
+    proof of freshness.
+    """
     follower, second = _follower(), SECOND
     address, nonce = _request(follower.take(FollowerTick(("core:1",), 0), second * 0.9), Follow)
     assert address == "core:1"
@@ -245,19 +258,21 @@
     follower.take(MessageReceived("c", "core:1", Snapshot(1, pack_snapshot({}))), second)
     follower.take(MessageReceived("c", "core:1", SnapshotPart(1, 0, 1, b"x")), second)
     assert follower.number == 2
-    woken = second * 9
-    assert follower.trust(woken) == Trust.UNPROVEN
-    effects = _heartbeat(follower, "core:1", nonce, woken, 2)
-    assert follower.trust(woken) == Trust.UNPROVEN
-    _heartbeat(follower, "core:1", _request(effects, Follow)[1], woken, 2)
-    assert follower.trust(woken) == Trust.FRESH
+    resumed = second * 9
+    assert follower.trust(resumed) == Trust.UNPROVEN
+    effects = _heartbeat(follower, "core:1", nonce, resumed, 2)
+    assert follower.trust(resumed) == Trust.UNPROVEN
+    _heartbeat(follower, "core:1", _request(effects, Follow)[1], resumed, 2)
+    assert follower.trust(resumed) == Trust.FRESH
     for step in range(1, 80):
-        follower.take(FollowerTick((), 0), woken + step * TICK_INTERVAL)
-    assert follower.trust(woken + 80 * TICK_INTERVAL) == Trust.DISCONNECTED
+        follower.take(FollowerTick((), 0), resumed + step * TICK_INTERVAL)
+    assert follower.trust(resumed + 80 * TICK_INTERVAL) == Trust.DISCONNECTED
 
 
-def test_a_heartbeat_that_lay_in_a_buffer_during_a_pause_proves_nothing():
-    """Given a pause of one and a half seconds, the answer to a request from before it proves nothing; one to a later request does."""
+def test_heartbeat_delayed_in_a_buffer_during_a_pause_proves_nothing():
+    """After a pause of 1.5 s, the answer to a request from before the pause may have waited in a buffer and must prove
+    nothing; the answer to a later request does.
+    """
     follower = _follower()
     _, nonce = _request(follower.take(FollowerTick(("core:1",), 0), SECOND), Follow)
     resumed = SECOND * 2.5
@@ -267,8 +282,10 @@
     assert follower.trust(resumed) is Trust.FRESH
 
 
-def test_a_heartbeat_proves_as_of_its_request_however_late_it_comes():
-    """Given a heartbeat that lay on its way for nine tenths of a second, the proof dates from the request; another core's beat proves nothing."""
+def test_heartbeat_proves_freshness_as_of_its_request_however_late_it_arrives():
+    """A heartbeat that arrives 0.9 s after its request proves freshness as of the request; one from another core proves
+    nothing.
+    """
     follower = _follower()
     _, nonce = _request(follower.take(FollowerTick(("core:1", "core:2"), 0), SECOND), Follow)
     other = {"core:1": "core:2", "core:2": "core:1"}[follower.upstream]
@@ -282,8 +299,8 @@
     assert follower.proved_at == asked_at
 
 
-def test_follower_leaves_a_silent_core():
-    """Given cores of which none answers, each is asked, ever less often."""
+def test_follower_abandons_a_silent_core():
+    """If no core answers, the follower must send requests to every core, with increasing back-off."""
     follower, cores = _follower(), _Cores(_follower())
     cores.follower, cores.silent = follower, set(cores.cores)
     cores.run(timedelta(0), 8)
@@ -291,8 +308,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_follower_leaves_a_core_that_falls_silent_within_a_second_and_stays_away(seed):
-    """Given a core that vouches for its state no more, another is asked within a second; when the first is back, nothing leads to it."""
+def test_follower_abandons_a_core_that_falls_silent_within_a_second_and_stays_away(seed):
+    """A follower must abandon a core that proves no freshness within a second, and not return when it recovers."""
     cores = _Cores(_follower(seed))
     now = cores.run(timedelta(0), 3)
     lost = cores.follower.upstream
@@ -308,8 +325,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_follower_that_meets_two_silent_cores_finds_the_third(seed):
-    """Given two of three cores that vouch for nothing, the follower has a proof from the third within 1.6 seconds."""
+def test_follower_finds_the_third_core_after_two_silent_cores(seed):
+    """If two of three cores stop answering, the follower must get a proof of freshness from the third within 1.6 s."""
     cores = _Cores(_follower(seed))
     now = cores.run(timedelta(0), 3)
     cores.silent = {cores.follower.upstream, next(core for core in cores.cores if core != cores.follower.upstream)}
@@ -317,9 +334,11 @@
     assert cores.follower.upstream not in cores.silent and now - cores.follower.proved_at < SECOND / 2
 
 
-def test_a_core_that_lags_behind_what_the_edge_held_when_it_asked_proves_nothing():
-    """Given changes from a core that was left, the heartbeat of a core that holds less proves nothing; one that holds as much as at the request
-    does, though more has come meanwhile; and the core that was left hears nothing of it."""
+def test_heartbeat_of_a_core_that_lags_behind_the_follower_proves_nothing():
+    """A heartbeat is a proof only if its core has every change that the follower had when it sent the request.
+
+    Changes that the follower has received since from an abandoned core do not matter; that core gets no confirmation.
+    """
     follower = _follower()
     _, nonce = _request(follower.take(FollowerTick(("core:1", "core:2"), 0), SECOND), Follow)
     other = {"core:1": "core:2", "core:2": "core:1"}[follower.upstream]
@@ -330,8 +349,10 @@
     assert _heartbeat(follower, follower.upstream, nonce, SECOND * 1.2, 0) != [] and follower.proved_at == SECOND
 
 
-def test_follower_whose_core_sends_less_than_others_hold_abandons_it():
-    """Given a core that sends heartbeats and lags behind what others are said to hold, another is asked within a second."""
+def test_follower_abandons_a_core_that_sends_less_than_others_hold():
+    """A core that sends heartbeats but lags behind the changes announced by other members must be abandoned within a
+    second.
+    """
     follower = _follower()
     for step in range(40):
         now = SECOND + TICK_INTERVAL * step
--- a/tests/changefeed/test_partitioned_edges.py
+++ b/tests/changefeed/test_partitioned_edges.py
@@ -1,4 +1,7 @@
-"""Edges behind a core that is cut off for twenty seconds: they leave it, obey every change in time and never go back (docs/design/changefeed.md)."""
+"""Tests edges that follow a core that is partitioned from the other cores for twenty seconds (docs/design/changefeed.md).
+
+They must abandon that core, apply every change in time and never go back to an older state.
+"""
 
 from datetime import timedelta
 
@@ -10,17 +13,17 @@
 from tests.deployment_fixtures import box_of, leader
 
 SECOND, TICK = timedelta(seconds=1), 0.05
-BOUND = SECOND * 2  # from the acknowledgement to the last edge in touch
+APPLY_WITHIN = SECOND * 2  # from the acknowledgement of a change until the last connected edge applies it
 CUT_SECONDS = 20
-CORE_FRESH = (
+MAX_FRESH_AGE = (
     SECOND * 0.85
-)  # how old at most a core's state is that it calls fresh, with the pulse that finds the acknowledgement
-LEAVE = SECOND  # from when a core is in no working view until no edge takes changes from it
-ASKED = SECOND * 1.1  # an edge that found no other that vouches may ask it again, and waits so long for an answer
+)  # maximum age of the state of a core that counts as fresh, including the tick that sees the acknowledgement
+ABANDON_WITHIN = SECOND  # from when a core loses its working view until no edge follows it
+ANSWER_WITHIN = SECOND * 1.1  # an edge that found no fresh core may try this one again, and waits so long for an answer
 
 
-class _Watch:
-    """Sends changes to cores that can take them and watches what each edge holds, pulse by pulse."""
+class _EdgeMonitor:
+    """Sends changes to cores and checks at each tick which changes every edge has applied."""
 
     def __init__(self, deployment):
         self.deployment, self.version, self.under_way, self.acked = deployment, 5, None, []
@@ -29,11 +32,11 @@
         self.core, self.fresh_at = (
             None,
             deployment.now,
-        )  # the core that is cut off, and when it was last in a working view
-        self.others_fresh_since = deployment.now  # without a break, some other core
+        )  # the partitioned core, and when it was last in a working view
+        self.others_fresh_since = deployment.now  # since then some other core has always been fresh
 
     def run(self, seconds, ask=()):
-        """Goes on; whenever nothing is under way, the next change is sent to one of `ask`."""
+        """Runs the deployment; whenever no change is in flight, sends the next one to one of the cores `ask`."""
         end = self.deployment.now + SECOND * seconds
         while self.deployment.now < end:
             if ask and self.under_way is None:
@@ -68,22 +71,22 @@
                     self.version = version
                     self.acked.append((version, now))
         for edge in self.deployment.machines("edge"):
-            known = edge.follower.proved_at - CORE_FRESH
+            known = edge.follower.proved_at - MAX_FRESH_AGE
             if edge.state.version < max((version for version, at in self.acked if at < known), default=0):
                 self.false_proofs.append((edge.node, edge.follower.proved_at, now))
             if edge.follower.number < self.held[edge.node]:
                 self.went_back.append((edge.node, now))
             self.held[edge.node] = edge.follower.number
             is_behind = self.core is not None and edge.follower.upstream == self.core.settings.address
-            if is_behind and now - self.fresh_at > LEAVE and now - self.others_fresh_since > ASKED:
+            if is_behind and now - self.fresh_at > ABANDON_WITHIN and now - self.others_fresh_since > ANSWER_WITHIN:
                 self.stayed.append((edge.node, now))
-            overdue = max((version for version, at in self.acked if now - at > BOUND), default=0)
+            overdue = max((version for version, at in self.acked if now - at > APPLY_WITHIN), default=0)
             if edge.state.version < overdue:
                 self.late.append((edge.node, edge.state.version, overdue, now))
 
 
-def _sides(deployment, lone, direction):
-    """Cuts one core off from the other cores; edges reach all."""
+def _partition(deployment, lone, direction):
+    """Partitions one core from the other cores, while edges reach all cores; returns the other cores."""
     rest = [box.name for box in deployment.boxes.values() if box.role == "core" and box.name != lone]
     if direction in ("both", "out"):
         deployment.cut([lone], rest, one_way=True)
@@ -92,7 +95,7 @@
     return rest
 
 
-def _lone(deployment, who):
+def _core_to_partition(deployment, who):
     lead = box_of(deployment, leader(deployment)).name
     return (
         lead
@@ -103,39 +106,44 @@
 
 @pytest.mark.parametrize("direction", ("both", "out", "in"))
 @pytest.mark.parametrize("who", ("leader", "member"))
-def test_every_edge_obeys_in_time_while_a_core_is_cut_off_and_when_it_heals(who, direction):
-    """Given a core cut off for twenty seconds with all edges in touch with it, and changes all the while, each edge obeys each within two
-    seconds, leaves the core within a second of when it is in no working view, and stays away; at the heal, with a change under way, none
-    goes back."""
+def test_edges_apply_changes_in_time_while_a_core_is_partitioned_and_when_it_heals(who, direction):
+    """All edges follow a core that is partitioned from the other cores for twenty seconds while changes are committed.
+
+    Each edge must apply each change within two seconds, abandon the core within a second after it loses its working
+    view, and stay away. When the partition heals with a change in flight, no edge may go back.
+    """
     deployment = _deployment(400 + 10 * (who == "leader") + len(direction), edges=4)
-    watch, lone = _Watch(deployment), _lone(deployment, who)
+    monitor, lone = _EdgeMonitor(deployment), _core_to_partition(deployment, who)
     address = deployment.boxes[lone].address
-    for edge in deployment.machines("edge"):  # all behind the one that will be cut off
+    for edge in deployment.machines("edge"):  # make all edges follow the core that will be partitioned
         edge.follower.upstream = address
         edge.follower._follow(deployment.now)
-    watch.run(3, ("core-1", "core-2", "core-3"))
-    rest = _sides(deployment, lone, direction)
-    watch.core = deployment.boxes[lone].machine
-    watch.run(CUT_SECONDS, rest)
-    taken = len(watch.acked)
-    watch._send(rest[0])  # races the heal
+    monitor.run(3, ("core-1", "core-2", "core-3"))
+    rest = _partition(deployment, lone, direction)
+    monitor.core = deployment.boxes[lone].machine
+    monitor.run(CUT_SECONDS, rest)
+    taken = len(monitor.acked)
+    monitor._send(rest[0])  # this change is in flight when the partition heals
     deployment.heal()
-    watch.run(6, (lone, *rest))
-    assert watch.late == watch.went_back == watch.stayed == watch.false_proofs == []
-    assert taken >= 20 and len(watch.acked) > taken, (taken, len(watch.acked))
-    assert {edge.state.version for edge in deployment.machines("edge")} <= {watch.version, watch.version + 1}
+    monitor.run(6, (lone, *rest))
+    assert monitor.late == monitor.went_back == monitor.stayed == monitor.false_proofs == []
+    assert taken >= 20 and len(monitor.acked) > taken, (taken, len(monitor.acked))
+    assert {edge.state.version for edge in deployment.machines("edge")} <= {monitor.version, monitor.version + 1}
 
 
 @pytest.mark.parametrize("who", ("leader", "member"))
-def test_an_edge_alone_with_a_cut_off_core_catches_up_at_the_heal_with_its_first_fresh_core(who):
-    """Given an edge that reaches no other core than the one that is cut off, it serves on as cut; healed, it obeys within two seconds of
-    the next change, and no core that is not fresh has moved it before."""
+def test_edge_that_reaches_only_a_partitioned_core_catches_up_when_it_heals(who):
+    """An edge that reaches only the partitioned core must keep its state and count as disconnected.
+
+    After the partition heals, it must apply the next change within two seconds; until then, no core that is not fresh
+    may modify its state.
+    """
     deployment = _deployment(440 + (who == "leader"), edges=3)
-    watch, lone = _Watch(deployment), _lone(deployment, who)
-    rest = _sides(deployment, lone, "both")
+    monitor, lone = _EdgeMonitor(deployment), _core_to_partition(deployment, who)
+    rest = _partition(deployment, lone, "both")
     deployment.cut(["edge-1"], rest)
     far = deployment.boxes["edge-1"].machine
-    watch.held.pop(far.node)
+    monitor.held.pop(far.node)
     machines = deployment.machines
     deployment_edges = [edge for edge in machines("edge") if edge is not far]
     before = far.follower.number
@@ -145,19 +153,22 @@
     assert far.follower.trust(deployment.now) is Trust.DISCONNECTED and all(
         edge.follower.trust(deployment.now) is Trust.FRESH for edge in deployment_edges
     )
-    watch._send(rest[0])
+    monitor._send(rest[0])
     deployment.heal()
-    watch.held[far.node] = far.follower.number
-    watch.run(8)
-    assert watch.acked and watch.late == [] and watch.went_back == [] and far.state.version == watch.version
+    monitor.held[far.node] = far.follower.number
+    monitor.run(8)
+    assert monitor.acked and monitor.late == [] and monitor.went_back == [] and far.state.version == monitor.version
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_what_was_held_up_on_its_way_to_an_edge_makes_no_proof_newer(seed):
-    """Given links between edges and cores that hold for a second what is sent and deliver it late, over and over, with changes all the
-    while: what an edge takes for proved, it holds; no edge goes back; and once links are whole, it obeys in time."""
+def test_delayed_messages_to_an_edge_make_no_proof_newer(seed):
+    """Links between edges and cores buffer messages for about a second, again and again, while changes are committed.
+
+    An edge must have every change up to its latest proof of freshness and never go back. Once the links are restored,
+    it must apply changes in time.
+    """
     deployment = _deployment(470 + seed, edges=4)
-    watch, cores = _Watch(deployment), ("core-1", "core-2", "core-3")
+    monitor, cores = _EdgeMonitor(deployment), ("core-1", "core-2", "core-3")
     for turn in range(12):
         edge = f"edge-{turn % 4 + 1}"
         core = next(
@@ -166,20 +177,22 @@
             if box.address == deployment.boxes[edge].machine.follower.upstream
         )
         links = deployment.cut([core], [edge], one_way=turn % 3 == 0, holds=True)
-        watch.run(0.6 + 0.3 * (turn % 3), cores)
+        monitor.run(0.6 + 0.3 * (turn % 3), cores)
         deployment.heal(links)
-        watch.run(0.4, cores)
-    watch.acked.clear()
-    watch.run(3, cores)
-    assert watch.false_proofs == watch.went_back == watch.late == [] and len(watch.acked) > 10
+        monitor.run(0.4, cores)
+    monitor.acked.clear()
+    monitor.run(3, cores)
+    assert monitor.false_proofs == monitor.went_back == monitor.late == [] and len(monitor.acked) > 10
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_cores_that_are_cut_off_by_links_that_deliver_late_prove_nothing_to_edges(seed):
-    """Given a core behind links to the others that hold for a second and more, over and over, with changes all the while and edges that reach
-    all: what an edge takes for proved, it holds, whichever core it follows, and no edge goes back."""
+def test_cores_behind_delaying_links_give_edges_no_false_proof(seed):
+    """Links from one core to the others buffer messages for a second or more, again and again, while edges reach all cores.
+
+    Whichever core an edge follows, it must have every change up to its latest proof of freshness and never go back.
+    """
     deployment = _deployment(480 + seed, edges=4)
-    watch, cores = _Watch(deployment), ["core-1", "core-2", "core-3"]
+    monitor, cores = _EdgeMonitor(deployment), ["core-1", "core-2", "core-3"]
     for turn in range(8):
         lone = (
             cores[turn % 3]
@@ -190,7 +203,7 @@
         )
         rest = [core for core in cores if core != lone]
         links = deployment.cut([lone], rest, one_way=turn % 4 == 3, holds=True)
-        watch.run(1.0 + 0.4 * (turn % 3), rest)
+        monitor.run(1.0 + 0.4 * (turn % 3), rest)
         deployment.heal(links)
-        watch.run(1.5, cores)
-    assert watch.false_proofs == watch.went_back == [] and len(watch.acked) > 10
+        monitor.run(1.5, cores)
+    assert monitor.false_proofs == monitor.went_back == [] and len(monitor.acked) > 10
--- a/tests/control_state/test_changes.py
+++ b/tests/control_state/test_changes.py
@@ -1,4 +1,4 @@
-"""Typed changes and their stored form."""
+"""Tests the types of change and their stored form."""
 
 import json
 
@@ -44,28 +44,28 @@
 }
 
 
-def test_each_stored_kind_has_a_fixture():
-    """Given the committed changes, each of them stands in this module's table, and nothing else does."""
+def test_table_covers_every_stored_kind_of_change():
+    """The table of this module must list exactly the kinds in changes.jsonl, or a stored format would go untested."""
     assert [kind for kind, _ in STORED] == list(FIXTURES)
 
 
 @pytest.mark.parametrize("kind,packed", STORED)
-def test_a_change_is_encoded_as_the_tagged_array_that_is_stored(kind, packed):
-    """Given a typed change, it is packed to the very bytes that an earlier version stored."""
+def test_change_encodes_to_the_stored_tagged_array(kind, packed):
+    """Each change must encode to exactly the bytes that an earlier release stored."""
     assert pack_entry(FIXTURES[kind]) == packed.encode()
     assert changes.tag_of(FIXTURES[kind]) == json.loads(packed)[0]
 
 
 @pytest.mark.parametrize("kind,packed", STORED)
-def test_a_stored_change_is_read_as_its_type(kind, packed):
-    """Given stored bytes, they are read as the type of their tag with its values, and packing gives the bytes back."""
+def test_stored_change_decodes_to_the_type_of_its_tag(kind, packed):
+    """Stored bytes must decode to the type of their tag with the same values, and encode to the same bytes again."""
     change = changes.read_change(packed.encode())
     assert type(change) is type(FIXTURES[kind]) and plain(change) == plain(FIXTURES[kind])
     assert pack_entry(change) == packed.encode()
 
 
 @pytest.mark.parametrize("values", [("no-such-change", 1), ("evacuate", "r-1"), ("founded", 1)])
-def test_what_is_no_change_is_refused(values):
-    """Given a tag or a number of fields that no change has, reading raises an error that says so."""
+def test_unknown_tag_or_field_count_raises_unknown_change_error(values):
+    """Decoding an array whose tag or number of fields is unknown must raise UnknownChangeError."""
     with pytest.raises(changes.UnknownChangeError):
         changes.read_change(msgspec.json.encode(values))
--- a/tests/control_state/test_configuration_rules.py
+++ b/tests/control_state/test_configuration_rules.py
@@ -1,4 +1,4 @@
-"""Configurations by version on one state: bases, repeats, parts, refusals."""
+"""Tests how one state applies versioned configurations: base versions, repeats, parts and rejections."""
 
 import msgspec
 
@@ -23,8 +23,10 @@
     return [route.name for route in state.catalogue.http_routes]
 
 
-def test_base_and_version_decide():
-    """Given version 5, a change on another base is stale and one that does not rise is refused, both without a trace."""
+def test_base_version_and_version_decide_acceptance():
+    """With version 5 in force, a change with another base version is stale and one without a higher version is
+    rejected; neither modifies the state.
+    """
     state = _configured(5)
     before = state.snapshot()["doc"]
     result = state.apply(2, changes.Configure("a", whole(7), {}, False, 3))
@@ -39,17 +41,19 @@
     assert state.apply(6, changes.Configure("e", whole(70), {}, False, 5)) == accepted(2) and state.version == 70
 
 
-def test_first_configuration_builds_on_none():
-    """Given no catalogue, base 0 is the only one and a part has nothing to change."""
+def test_first_configuration_needs_base_version_zero():
+    """Without a configuration in force, only base version 0 is accepted, and a part is rejected."""
     state = State()
     assert state.apply(1, changes.Configure("a", whole(3), {}, False, 1)).outcome is Outcome.STALE
     assert state.apply(2, _part(3, 0, {"services": services()})).outcome is Outcome.REJECTED and state.catalogue is None
     assert state.apply(3, changes.Configure("a", whole(3), {}, False, 0)) == accepted(1)
 
 
-def test_same_content_is_acknowledged_again_whoever_asks_and_whatever_came_since():
-    """Given a configuration taken and newer ones after it, it is acknowledged again under any request id, and changes nothing;
-    other content under its number is not, nor the same content on another base."""
+def test_repeated_content_is_acknowledged_again_under_any_request_id():
+    """A repeat of an accepted configuration is acknowledged again after newer versions, and changes nothing.
+
+    Other content with the same version is not acknowledged, nor is the same content with another base version.
+    """
     state = _configured(1)
     second = _part(3, 1, {"httpRoutes": [route(9)]}, {"httpRoutes": ["r-0"]})
     assert state.apply(2, second) == accepted(2)
@@ -63,31 +67,35 @@
     assert msgspec.json.encode(state.doc) == held and _names(state) == ["r-9", "r-8"]
 
 
-def test_request_id_of_an_earlier_order_excuses_no_other_content():
-    """Given two different configurations under one request id on one base, the first is taken and the second is stale."""
+def test_reused_request_id_with_other_content_is_not_acknowledged():
+    """Of two different configurations with the same request id and base version, the first is accepted and the second
+    is stale.
+    """
     state = _configured(1)
     assert state.apply(2, _part(2, 1, {"httpRoutes": [route(1)]}, request="same")).outcome is Outcome.ACCEPTED
     assert state.apply(3, _part(2, 1, {"httpRoutes": [route(2)]}, request="same")).outcome is Outcome.STALE
     assert _names(state) == ["r-0", "r-1"]
 
 
-def test_refused_one_may_come_again_once_it_is_right():
-    """Given a configuration refused for its content, its number is still free."""
+def test_rejected_version_can_be_used_again_with_valid_content():
+    """A configuration that is rejected for its content must not use up its version."""
     state = _configured(1)
     assert state.apply(2, _part(2, 1, {"httpRoutes": [route(1, timeout_ms=0)]})).outcome is Outcome.REJECTED
     assert state.apply(3, _part(2, 1, {"httpRoutes": [route(1)]})) == accepted(2)
 
 
-def test_refused_one_that_comes_again_unchanged_is_refused_again():
-    """Given a configuration refused for its content, its repeat is no repeat of anything that was taken."""
+def test_rejected_configuration_is_rejected_again_unchanged():
+    """A rejected configuration must not be recorded as accepted, so a repeat of it is rejected as well."""
     state = _configured(1)
     wrong = _part(2, 1, {"httpRoutes": [route(1, timeout_ms=0)]})
     assert state.apply(2, wrong).outcome is Outcome.REJECTED and state.apply(3, wrong).outcome is Outcome.REJECTED
     assert state.accepted_versions.digests.keys() == {1} and state.version == 1
 
 
-def test_items_of_a_part_are_whole():
-    """Given an item of a standing name, it takes its place and nothing of the old one stays; removals of the unknown do nothing."""
+def test_part_replaces_items_of_the_same_name_as_a_whole():
+    """An item of a part replaces the item of the same name and keeps none of its fields; removals of unknown names have
+    no effect.
+    """
     state = _configured(1, routes=3)
     changed = route(1, timeout_ms=9000, split=[{"service": "wuno96b", "weight": 1}])
     assert (
@@ -116,8 +124,8 @@
     )
 
 
-def test_part_is_refused_whole():
-    """Given a part that breaks what stands, or that is wrong in itself, nothing of it counts."""
+def test_invalid_part_is_rejected_as_a_whole():
+    """If an item of a part is invalid or conflicts with the configuration in force, nothing of the part is applied."""
     state = _configured(1, routes=2)
     before = msgspec.json.encode(state.doc)
     wrong = {
@@ -134,9 +142,12 @@
     assert msgspec.json.encode(state.doc) == before and state.generation == 1
 
 
-def test_memory_of_what_was_taken_is_bounded_and_in_the_image():
-    """Given more configurations than are remembered, the last 1,024 are known again, on a copy too; of an older one that may have been
-    taken nothing is said, neither that it was nor that it was not; an image without the memory knows none, and says so."""
+def test_accepted_versions_are_bounded_and_part_of_the_snapshot():
+    """The last 1,024 accepted versions are recognized, also by a state restored from a snapshot.
+
+    Whether an older version was accepted is unknown: it is neither acknowledged nor rejected. After a snapshot without
+    the record of accepted versions, that holds for every version up to the one in force.
+    """
     state, again = _configured(1, routes=0), State()
     newest = MAX_ACCEPTED_VERSIONS + 2
     for version in range(2, newest + 1):
@@ -150,10 +161,10 @@
         )
         assert (
             each.apply(9999, _part(3, 2, {"httpRoutes": []})).outcome is Outcome.STALE
-        )  # what is remembered is told apart
+        )  # other content with a recorded version is not acknowledged
         assert (
             each.apply(9999, _part(2, newest, {})).outcome is Outcome.REJECTED
-        )  # what builds on the version in force was never taken
+        )  # a change whose base is the version in force was never accepted
         assert (
             each.apply(9999, _part(newest + 1, 1, {})).outcome is Outcome.STALE
             and each.apply(9999, _part(2, 2, {})).outcome is Outcome.STALE
@@ -168,8 +179,8 @@
     )
 
 
-def test_evacuation_stands_over_configurations_and_may_be_repeated():
-    """Given an evacuated area, a new whole and a part leave it so; a repeat of what stands is acknowledged."""
+def test_evacuation_persists_across_configurations_and_can_be_repeated():
+    """An area stays evacuated when a whole document or a part is applied; a repeated evacuation is acknowledged."""
     state = _configured(1)
     assert (
         state.apply(2, changes.Evacuate("out-1", "hall-b")).outcome is Outcome.ACCEPTED
--- a/tests/control_state/test_configuration_versions.py
+++ b/tests/control_state/test_configuration_versions.py
@@ -1,4 +1,4 @@
-"""Configurations by version on a fleet: repeats, races, parts and storms."""
+"""Tests versioned configurations on a simulated deployment: repeats, concurrent changes, parts and faults."""
 
 from sumachook.host.effects import Reply
 from sumachook.host.events import MessageReceived
@@ -16,7 +16,7 @@
 
 
 def _post(deployment, core, *order, **more):
-    """An order that is under way; its number among the operator's answers."""
+    """Sends a configuration without waiting; returns the number under which its answer is stored."""
     return deployment.operator().ask(
         f"http://{deployment.boxes[core].http_address}/operator/configure", "POST", _order(*order, **more)
     )
@@ -27,7 +27,7 @@
 
 
 def _deployment(seed, **more):
-    """A town whose cores know all edges, with version 5 in force."""
+    """Starts a deployment whose cores know all edges, with configuration version 5 in force."""
     deployment = found(seed, **more)
     edges = {edge.node for edge in deployment.machines("edge")}
     assert deployment.run_until(
@@ -39,8 +39,10 @@
     return deployment
 
 
-def test_any_core_takes_a_configuration_and_every_edge_has_it_when_it_is_acknowledged():
-    """Given a calm fleet, when each core in turn is asked, all edges hold the version by the answer, which waits for no pulse of theirs."""
+def test_acknowledged_configuration_is_on_every_edge_whichever_core_received_it():
+    """Without faults, all edges have applied a version when any core acknowledges it, without waiting for a tick of
+    theirs.
+    """
     deployment = _deployment(201)
     for place, core in enumerate(("core-1", "core-2", "core-3")):
         before = deployment.now
@@ -53,8 +55,10 @@
     assert deployment.ask("core-2", "GET", "/show/catalogue")[1]["catalogue"]["httpRoutes"][-1] == route(52)
 
 
-def test_race_on_one_base_is_won_by_exactly_one():
-    """Given three operators at three cores on one base at once, over and over, one is acknowledged and the others hear what stands."""
+def test_one_of_three_concurrent_configurations_with_one_base_is_accepted():
+    """Of three configurations sent at once to three cores with the same base version, exactly one is acknowledged; the
+    others are answered with the version in force.
+    """
     deployment = _deployment(202)
     deployment.ask("core-1", "GET", "/show/duties")
     operator, base = deployment.operator(), 5
@@ -73,8 +77,8 @@
     assert deployment.run_until(lambda: _versions(deployment) == {base}, 2)
 
 
-def test_two_contents_under_one_request_id_at_one_core_are_not_both_acknowledged():
-    """Given two operators that chose one request id for different content, each hears of its own."""
+def test_one_request_id_with_different_contents_is_not_acknowledged_for_both():
+    """Two operators that chose the same request id for different content each get the result of their own content."""
     deployment = _deployment(203)
     deployment.ask("core-1", "GET", "/show/duties")
     numbers = [
@@ -85,8 +89,8 @@
     assert sorted(answers[number][0] for number in numbers) == [200, 409]
 
 
-def test_repeat_at_any_core_is_acknowledged_also_when_newer_ones_came():
-    """Given a configuration whose answer was lost, the same to each core is acknowledged and nothing moves."""
+def test_repeat_at_any_core_is_acknowledged_after_newer_versions():
+    """A configuration whose answer was lost is acknowledged when it is repeated at any core, and changes nothing."""
     deployment = _deployment(204)
     order = ("q", {"version": 6, "httpRoutes": [route(1)]}, 5, True)
     assert _configure(deployment, "core-1", *order)[0] == 200
@@ -98,8 +102,8 @@
     assert _versions(deployment) == {9}
 
 
-def test_invalid_kinds_are_refused_with_reasons_and_none_is_half_applied():
-    """Given parts of a good route and one fault each, the answer names the fault and no node holds any of it."""
+def test_invalid_configurations_are_rejected_with_reasons_and_not_applied():
+    """A part with a valid route and an invalid item is rejected with path and reason, and no node applies any of it."""
     deployment = _deployment(205)
     for number, wrong in enumerate(
         (
@@ -129,8 +133,11 @@
     )
 
 
-def test_four_hundred_routes_are_added_at_once_and_removed_again():
-    """Given 400 routes in one part, every edge holds them by the answer; whoever comes later holds them too; then they go as one."""
+def test_one_part_adds_400_routes_and_another_removes_them():
+    """When a part is acknowledged, every edge has its 400 routes; a restarted edge gets them too.
+
+    One part then removes them from every edge.
+    """
     deployment = _deployment(206)
     doc = {"version": 6, "httpRoutes": [route(number) for number in range(1, 401)]}
     assert _configure(deployment, "core-3", "many", doc, 5, True)[0] == 200
@@ -143,10 +150,13 @@
     assert {len(edge.state.catalogue.http_routes) for edge in deployment.machines("edge")} == {1}
 
 
-def test_storm_of_configurations_is_answered_and_stands_as_acknowledged():
-    """Given sixty operators at three cores at once on guessed bases, each is answered, those whose base came into force meanwhile
-    with no clear answer, and these clearly once they are sent again; the versions acknowledged make one rising chain, each on the
-    one before, and its last is in force everywhere."""
+def test_sixty_concurrent_configurations_are_answered_and_applied_as_acknowledged():
+    """Sixty configurations are sent to three cores at once with guessed base versions, and each must be answered.
+
+    Those whose base version came into force in the meantime get status 503 (perhaps applied), and a definite answer
+    when they are sent again. Each acknowledged version must have the previous one as its base, and the last must be in
+    force on every node.
+    """
     deployment = _deployment(207)
     deployment.ask("core-1", "GET", "/show/duties")
     operator, asked = deployment.operator(), {}
@@ -172,9 +182,11 @@
     assert {route.name for route in leader(deployment).state.catalogue.http_routes} == good | {"r-0"}
 
 
-def test_nobody_goes_back_when_cores_start_anew():
-    """Given changes while cores are killed, cut and started in turn, no edge's version ever falls within one life, and a core that
-    has just started gives nobody the older state on its disk."""
+def test_no_edge_goes_back_to_an_older_version_when_cores_restart():
+    """While cores are killed, partitioned and restarted in turn, no edge's version may decrease during one process run.
+
+    The failure would be a restarted core that sends the older state on its disk to an edge.
+    """
     deployment = _deployment(208)
     seen, version = {}, 5
 
@@ -208,9 +220,11 @@
     assert _versions(deployment) == {version}
 
 
-def test_core_that_starts_from_its_disk_serves_its_feed_only_in_a_working_view():
-    """Given a core alone with the image on its disk, an edge that follows it hears nothing from it until it is in a view, and then
-    what is newest."""
+def test_restarted_core_serves_the_feed_only_in_a_working_view():
+    """A core that restarts alone from its snapshot on disk must send nothing to an edge that follows it.
+
+    Once it is in a working view, it sends the newest state.
+    """
     deployment = _deployment(209)
     compact_after(deployment, 2)
     for version in range(6, 12):
@@ -236,9 +250,11 @@
     }
 
 
-def test_order_is_proposed_until_a_view_takes_it_or_its_time_is_over():
-    """Given a leader lost just as an order comes, the order is proposed again to the next view and acknowledged; given no majority,
-    it is answered as perhaps applied when its time is over, and the repeat finishes it."""
+def test_configuration_is_proposed_again_until_it_commits_or_times_out():
+    """If the leader fails as a configuration arrives, it is proposed again in the next view and acknowledged.
+
+    Without a majority, it is answered as perhaps applied after its timeout, and a repeat completes it.
+    """
     deployment = _deployment(210, order_within=4.0)
     names = ("core-1", "core-2", "core-3")
     first = next(name for name in names if deployment.boxes[name].machine is leader(deployment))
@@ -265,8 +281,10 @@
     assert _configure(deployment, first, *order)[0] == 200 and leader(deployment).state.version == 7
 
 
-def test_answer_waits_for_a_silent_edge_no_longer_than_it_is_told_to():
-    """Given an edge that is frozen, the answer comes when `confirmWithin` is over and names it; what was confirmed is named too."""
+def test_answer_waits_for_a_frozen_edge_at_most_for_confirm_within():
+    """With a frozen edge, the answer is sent after `confirmWithin` and lists that edge as unconfirmed, the others as
+    confirmed.
+    """
     deployment = _deployment(211, confirm_within=0.5)
     deployment.run(1)
     deployment.freeze("edge-3")
@@ -276,8 +294,8 @@
     assert 0.5 <= (deployment.now - before).total_seconds() < 1
 
 
-class _Watched:
-    """A core that notes what it heard when it answered a configuration."""
+class _RecordingCore:
+    """Wraps a core and records the events on which it answered a configuration."""
 
     def __init__(self, core):
         self.core, self.causes = core, []
@@ -292,19 +310,21 @@
         return effects
 
 
-def test_answer_leaves_with_the_last_confirmation():
-    """Given changes at each core, each answer is caused by an edge's word, heard from it or from another core, and by no pulse."""
+def test_answer_is_sent_on_the_last_confirmation():
+    """A core must answer when the last confirmation of an edge arrives, directly or from another core, and not wait for
+    a tick.
+    """
     deployment = _deployment(212)
     deployment.run(1)
     for place, name in enumerate(("core-1", "core-2", "core-3")):
         box = deployment.boxes[name]
-        box.machine = watched = _Watched(box.machine)
+        box.machine = recording_core = _RecordingCore(box.machine)
         assert _configure(deployment, name, f"q{place}", {"version": 6 + place}, 5 + place, True)[0] == 200
-        assert len(watched.causes) == 1 and watched.causes[0] in ("confirm", "confirmed")
+        assert len(recording_core.causes) == 1 and recording_core.causes[0] in ("confirm", "confirmed")
 
 
-def test_places_are_shown_by_the_holder_of_the_placing_duty():
-    """Given a town with a placer, `show places` at its core names the holder and the servers that it knows."""
+def test_show_places_names_the_holder_of_the_placer_role():
+    """At the core of the placer, `show places` names the holder of the role and the servers that it knows."""
     from tests.deployment_fixtures import leader, settled
 
     deployment = settled(91)
--- a/tests/control_state/test_state.py
+++ b/tests/control_state/test_state.py
@@ -1,4 +1,4 @@
-"""The replicated state: repeats, races, snapshots."""
+"""Tests the replicated state: repeated, concurrent and stale changes, and snapshots."""
 
 import msgspec
 
@@ -17,7 +17,8 @@
     }
 
 
-def test_repeats_races_and_stale_changes():
+def test_repeated_stale_and_invalid_changes():
+    """A repeat gets the first result; stale and invalid parts leave the state as it is."""
     state = State()
     assert state.apply(1, changes.ApplyDocument("r1", _doc(), False, None)) == accepted(1)
     assert state.apply(2, changes.ApplyDocument("r1", _doc(), False, None)) == accepted(1)
@@ -36,7 +37,8 @@
     assert state.apply(6, changes.Evacuate("r5", "b")) == accepted(3) and not state.is_open("b")
 
 
-def test_image_brings_back_the_same_state():
+def test_snapshot_restores_the_same_state():
+    """A restored state equals the original; a server list compared with an older list is rejected."""
     state, again = State(), State()
     state.apply(1, changes.FoundCluster({"s": "x:1"}))
     state.apply(2, changes.ApplyDocument("r1", _doc(), False, None))
@@ -46,8 +48,10 @@
     assert again.snapshot() == state.snapshot() and again.catalogue == state.catalogue
 
 
-def test_an_image_is_of_its_moment_whatever_is_applied_after_it():
-    """A log is cut by an image and the disk's thread writes it later: neither may see changes above its number."""
+def test_snapshot_is_not_modified_by_later_changes():
+    """The log is truncated at a snapshot and the disk thread writes it later; it must not contain changes above its
+    number.
+    """
     state = State()
     state.apply(1, changes.UpdateServers(0, {"v": {"area": "a"}}))
     state.apply(2, changes.AcquireRole("placer", "s", 1))
--- a/tests/leases/lease_deployment.py
+++ b/tests/leases/lease_deployment.py
@@ -1,4 +1,4 @@
-"""Voters with leases over in-memory links, whose messages and ordered changes are late, cut and lost by chance."""
+"""Simulates voters with leases whose messages and log entries are delayed, cut and lost at random."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 @dataclass
 class Tenure:
-    """A voter that was seen to hold the role, at first and at last."""
+    """A voter that held the role, with the times when it was first and last observed to hold it."""
 
     voter: str
     first: timedelta
@@ -29,9 +29,9 @@
 
 
 class LeaseDeployment:
-    """Three voters whose ordered changes come to each in order, late by chance; messages are cut one way, delayed and lost by chance.
+    """Simulates three voters; each applies the log in order with random delays, and messages are delayed or cut one way.
 
-    All call themselves fresh whether or not they are in a view, which is harder than the ordered state allows.
+    Every voter counts as fresh, in a working view or not, which is a harder case than the replicated state allows.
     """
 
     def __init__(self, seed: int, is_fenced: bool, turn_gap: timedelta = timedelta(0)):
@@ -42,7 +42,7 @@
         self.queue, self.order = [], count()
         self.states, self.leases = {}, {}
         self.changes, self.ordered = [], State()
-        self.cuts: set[tuple[str, str]] = set()  # (sender, receiver)
+        self.cuts: set[tuple[str, str]] = set()  # pairs of a sender and a receiver whose messages are lost
         self.frozen: set[str] = set()
         self.leader = "s0"
         self.tenures: list[Tenure] = []
@@ -68,7 +68,7 @@
         return self.tenures[-1].voter
 
     def lead_another(self) -> None:
-        """Another than the last holder leads from now on."""
+        """Makes a voter other than the last holder the leader."""
         self.leader = next(voter for voter in VOTERS if voter != self.last_holder)
 
     def run(self, duration: timedelta) -> None:
@@ -119,22 +119,22 @@
         self._schedule(TICK_INTERVAL, self._tick)
 
 
-def storm(seed: int, is_fenced: bool, turn_gap: timedelta = timedelta(0)) -> LeaseDeployment:
-    """Sixty steps of cuts, freezes, other leaders, leavings, restarts and quiet."""
+def run_random_faults(seed: int, is_fenced: bool, turn_gap: timedelta = timedelta(0)) -> LeaseDeployment:
+    """Runs sixty steps of random cuts, freezes, leader changes, releases, restarts and times without faults."""
     deployment = LeaseDeployment(seed, is_fenced, turn_gap)
     random = Random(seed + 1)
     deployment.delay = lambda: MS * random.choice((1, 2, 3, 10, 80, 300))
     for _ in range(60):
-        luck = random.random()
-        if luck < 0.4:
+        draw = random.random()
+        if draw < 0.4:
             deployment.cuts = {(random.choice(VOTERS), random.choice(VOTERS)) for _ in range(random.randrange(4))}
-        elif luck < 0.6:
-            deployment.frozen = {random.choice(VOTERS)}  # its clock goes on
-        elif luck < 0.7:
+        elif draw < 0.6:
+            deployment.frozen = {random.choice(VOTERS)}  # the clock of a frozen voter keeps running
+        elif draw < 0.7:
             deployment.leader = random.choice(VOTERS)
-        elif luck < 0.75:
-            deployment.quit(random.choice(VOTERS))  # it leaves in order, and starts again by and by
-        elif luck < 0.85:
+        elif draw < 0.75:
+            deployment.quit(random.choice(VOTERS))  # it releases its roles, and is restarted by a later step
+        elif draw < 0.85:
             deployment.start(random.choice(VOTERS))
         else:
             deployment.cuts, deployment.frozen = set(), set()
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,39 +1,44 @@
-"""Leases of singleton roles: never two holders at once, and soon a new one where servers check fences."""
+"""Tests the leases of singleton roles: never two holders at once, and a fast failover if servers check fencing tokens."""
 
 from datetime import timedelta
 
 from sumachook.leases.timing import ORDER_TIMEOUT
-from tests.leases.lease_deployment import MS, VOTERS, LeaseDeployment, storm
+from tests.leases.lease_deployment import MS, VOTERS, LeaseDeployment, run_random_faults
 
 
 def _with_holder(seed: int, is_fenced: bool = True) -> tuple[LeaseDeployment, str]:
-    """A deployment in which a voter has come to hold the role, and that voter."""
+    """Returns a deployment in which a voter holds the role, and the name of that voter."""
     deployment = LeaseDeployment(seed, is_fenced)
     deployment.run(timedelta(seconds=4))
     return deployment, deployment.last_holder
 
 
-def test_never_two_holders_at_once_by_clocks_where_a_vacancy_is_filled_soon():
-    """Given cuts one way, freezes, restarts, late messages and late changes, at every moment at most one voter's lease runs."""
-    changes = sum(len(storm(seed, True).tenures) for seed in range(60))
-    assert changes > 120  # and it did change hands
+def test_never_two_holders_at_once_with_fencing():
+    """Under one-way cuts, freezes, restarts and delayed messages and changes, at most one voter may have a valid lease."""
+    changes = sum(len(run_random_faults(seed, True).tenures) for seed in range(60))
+    assert changes > 120  # the holder changed often enough to test this
 
 
-def test_orders_of_two_holders_never_come_within_the_turn_gap_where_servers_check_no_fences():
-    """Given the same storms and leavings in order, where servers don't check fences, no two leases run at once, and from the last moment of
-    one holder to the first of the next an order's timeout passes and the least time between two holders' orders as well."""
+def test_orders_of_two_holders_are_apart_by_the_turn_gap_without_fencing():
+    """Under the same random faults, if servers check no fencing tokens, no two leases may be valid at once.
+
+    Between the last moment of one holder and the first of the next, the timeout of an order and `turn_gap` must pass.
+    """
     changes = 0
     for seed in range(120):
         gap = timedelta(seconds=3 * (seed % 2))
-        tenures = storm(seed, False, gap).tenures
+        tenures = run_random_faults(seed, False, gap).tenures
         changes += len(tenures) - 1
         for former, successor in zip(tenures, tenures[1:]):
             assert successor.first - former.last >= ORDER_TIMEOUT + gap, (seed, former, successor)
-    assert changes > 60  # and it did change hands
+    assert changes > 60  # the holder changed often enough to test this
+
 
+def test_frozen_holder_is_replaced_within_two_seconds():
+    """The role of a frozen holder becomes vacant after 1.1 s, and the voters elect another holder.
 
-def test_a_holder_that_falls_silent_is_followed_within_two_seconds():
-    """Given a holder that freezes, a vacancy after 1.1 s, then votes; here a change is ordered as soon as it is proposed."""
+    In this simulation a change is committed as soon as its proposal arrives.
+    """
     waits = []
     for seed in range(20):
         deployment, holder = _with_holder(seed)
@@ -46,8 +51,8 @@
     assert max(waits) < timedelta(seconds=2.2) and sorted(waits)[len(waits) // 2] < timedelta(seconds=2)
 
 
-def test_a_released_role_is_taken_up_at_once_and_its_old_holder_orders_no_more():
-    """Given a holder that quits, it holds nothing from then on, and another voter holds the role 1.2 s later."""
+def test_released_role_is_lost_at_once_and_soon_acquired_by_another_voter():
+    """A holder that quits must lose the role at once, and another voter must hold it within 1.2 s."""
     deployment, holder = _with_holder(3)
     deployment.quit(holder)
     assert not deployment.holds(holder)
@@ -57,9 +62,11 @@
     assert deployment.tenures[-1].first - start < timedelta(seconds=1.2)
 
 
-def test_a_lease_lasts_from_when_its_renewal_was_sent():
-    """Given answers that take 0.6 s and a holder whom nobody hears any more, its lease is over a second after its last renewal went out,
-    however late the answers came."""
+def test_lease_lasts_from_when_its_renewal_was_sent():
+    """A lease must expire a second after its last renewal was sent, however late the acknowledgements arrive.
+
+    Here the round trip of a renewal takes 0.6 s, and then all messages of the holder are lost.
+    """
     for seed in range(5):
         deployment, holder = _with_holder(seed)
         deployment.lead_another()
@@ -71,9 +78,10 @@
         assert not deployment.holds(holder), seed
 
 
-def test_answers_that_come_after_a_role_was_released_bring_it_back_to_nobody():
-    """Given a holder that leaves while renewals are under way, it holds nothing from then on, whatever answers come before the vacancy
-    is ordered."""
+def test_acknowledgements_after_a_role_was_released_do_not_restore_the_lease():
+    """A holder that quits while renewals are in flight must not hold the role again when acknowledgements arrive before
+    the vacancy is committed.
+    """
     deployment, holder = _with_holder(3)
     deployment.delay = lambda: MS * 300
     deployment.run(timedelta(seconds=2))
@@ -84,8 +92,8 @@
         deployment.run(MS * 10)
 
 
-def test_without_fences_a_successor_waits_for_lease_order_timeout_and_margin():
-    """Given a holder that freezes where servers check no fences, nobody follows for four seconds, and somebody within seven."""
+def test_without_fencing_a_successor_waits_for_lease_order_timeout_and_clock_drift():
+    """If servers check no fencing tokens, a frozen holder must not be replaced within four seconds, but within seven."""
     deployment, holder = _with_holder(4, is_fenced=False)
     deployment.lead_another()
     deployment.run(MS * 500)
--- a/tests/leases/test_messages.py
+++ b/tests/leases/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages about leases, as the codec knows them."""
+"""Tests the encoding of the messages about leases."""
 
 import pytest
 
@@ -16,13 +16,13 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=kind_of)
-def test_message_has_the_fields_of_its_schema_in_order(message):
-    """Given a type of message, its fields are those of its kind's schema, so that values never change places."""
+def test_message_fields_match_the_order_of_their_schema(message):
+    """Each message type must have the fields of its wire schema in the same order, or values would be swapped."""
     assert message.__struct_fields__ == tuple(name for name, _ in FIELDS[kind_of(message)])
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=kind_of)
-def test_message_is_read_as_it_was_sent(message):
-    """Given a packed message, it is read as an equal message of the same type."""
+def test_message_decodes_to_what_was_encoded(message):
+    """An encoded message must decode to an equal message of the same type."""
     raw = Codec("kosice", "core-1", "a:1", 1).pack(message)
     assert read_frame("kosice", raw) == ("core-1", "a:1", 1, message)
--- a/tests/leases/test_voting.py
+++ b/tests/leases/test_voting.py
@@ -1,4 +1,4 @@
-"""For whom a voter votes."""
+"""Tests for which claims and at which times a voter votes."""
 
 from datetime import timedelta
 
@@ -20,8 +20,8 @@
     return Voting(voters, FENCED, True, timedelta(0))
 
 
-def test_a_voter_votes_once_in_a_round_and_again_for_a_higher_one():
-    """Given a vote for one claim, another claimant has the vote only with a higher round, and a repeated claim is answered again."""
+def test_voter_votes_once_per_round_and_again_in_a_higher_round():
+    """After a vote for one claim, another claimant gets a vote only in a higher round; a repeated claim is answered again."""
     voting = _voting()
     vote = [Send("b:1", ClaimVote("placer", 1, 1))]
     assert voting.on_claim("b", "b:1", ClaimLease("placer", 1, 1), NOW) == vote
@@ -31,8 +31,8 @@
     assert voting.vote_for_self("placer", 1, 1) == 3
 
 
-def test_a_voter_outside_a_view_and_claims_that_are_not_in_order_get_no_vote():
-    """Given a voter that is not fresh, a wrong fence, an unknown role or a stranger, there is no vote."""
+def test_invalid_claims_and_voters_outside_a_view_give_no_vote():
+    """There is no vote if the voter is not fresh, the fencing token is wrong, or the role or the claimant is unknown."""
     claim = ClaimLease("placer", 1, 1)
     assert _voting(is_fresh=False).on_claim("b", "b:1", claim, NOW) == []
     assert _voting().on_claim("x", "x:1", claim, NOW) == []
@@ -40,8 +40,8 @@
     assert _voting().on_claim("b", "b:1", ClaimLease("none", 1, 1), NOW) == []
 
 
-def test_no_vote_while_a_lease_that_was_prolonged_may_run():
-    """Given a role that was held and a renewal answered, there is no vote until the lease and its margin are over, or it is released."""
+def test_no_vote_while_an_acknowledged_lease_may_be_valid():
+    """A voter that acknowledged a renewal must not vote until the lease and its margin have expired or it is released."""
     voting = _voting()
     state = voting.voters.state
     state.apply(2, ("duty-fill", "placer", "b", 1))
