--- a/sumachook/control_state/accepted_versions.py
+++ b/sumachook/control_state/accepted_versions.py
@@ -47,7 +47,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: dict[str, Any] | None, version: int) -> Self:
-        """Restores the data that `snapshot` returned; if that is None, nothing is known about versions up to `version`."""
+        """Restores what `snapshot` returned; if that is None, nothing is known about versions up to `version`."""
         if snapshot is None:
             return cls({}, version)
         return cls(dict(snapshot["digests"]), snapshot["forgotten"])
