--- a/sumachook/control_state/changes.py
+++ b/sumachook/control_state/changes.py
@@ -35,7 +35,7 @@
 
 
 class ClusterFounded(Change, frozen=True, tag="founded"):
-    """Shows that the founders can commit a change; it leaves the state as it is."""
+    """Shows, once committed, that the founders form a quorum; it leaves the state as it is."""
 
 
 class AddVoter(Change, frozen=True, tag="seat-in"):
