--- a/harness/mutations/answers.py
+++ b/harness/mutations/answers.py
@@ -300,8 +300,8 @@
     Mutation(
         "ORDER",
         "a whole body is joined to a stream",
-        '        if request.reached_client:\n            return self.resend.take(request, FailureKind.CUT.because("no stream',
-        '        if False:\n            return self.resend.take(request, FailureKind.CUT.because("no stream',
+        '        if request.reached_client:\n            return self.resend.take(request, FailureKind.CUT.because("the resumed response',
+        '        if False:\n            return self.resend.take(request, FailureKind.CUT.because("the resumed response',
         STREAMS,
         "resume_that_is_turned_away",
     ),
--- a/harness/mutations/quotas.py
+++ b/harness/mutations/quotas.py
@@ -188,7 +188,7 @@
     Mutation(
         13,
         "what yields takes all places",
-        "            limit = (limit + 1) // 2  # it runs where room is left\n",
+        "            limit = (limit + 1) // 2  # over its quota: it may use only half of the connections\n",
         "            pass\n",
         ADMISSION,
         "what_yields_goes_last",
--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -48,8 +48,8 @@
     Mutation(
         "ROUTE",
         "a node that is not in touch says 404",
-        "if trust is not Trust.FRESH:  # just",
-        "if False:  # just",
+        "if trust is not Trust.FRESH:  # just restarted",
+        "if False:  # just restarted",
         PROXY_PIPELINE,
         "not_found_is_said",
     ),
--- a/harness/mutations/tenants.py
+++ b/harness/mutations/tenants.py
@@ -75,8 +75,8 @@
     Mutation(
         "CONFIG",
         "an unknown key is refused for good by a node that may be behind",
-        "if trust is not Trust.FRESH:  # a key may be new",
-        "if False:  # a key may be new",
+        "if trust is not Trust.FRESH:  # the key may have been added",
+        "if False:  # the key may have been added",
         REVOKED,
         "may_be_behind",
     ),
--- a/sumachook/forwarding/__init__.py
+++ b/sumachook/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that are forwarded whole to services behind routes (docs/design/forwarding.md)."""
+"""The forwarding pipeline: proxies whole HTTP requests to the services behind routes (docs/design/forwarding.md)."""
--- a/sumachook/forwarding/access.py
+++ b/sumachook/forwarding/access.py
@@ -1,4 +1,4 @@
-"""Who may send requests on a route, and for which tenant."""
+"""Authenticates clients by API key and determines the tenant and the urgency of a request."""
 
 from collections.abc import Iterable, Mapping
 from datetime import timedelta
@@ -14,17 +14,17 @@
 
 
 class Access(NamedTuple):
-    """What was found of a request: its tenant, None where it has none, or why it is refused."""
+    """The result of an access check: the tenant of the request (None if it has none), or the reason to refuse it."""
 
     tenant: Tenant | None = None
     failure: RequestFailure | None = None
 
 
 class AccessRules:
-    """The keys of a configuration's tenants by their digests, made once a configuration: a look-up is one probe.
+    """Maps the digests of all API keys of one configuration to tenants, so that checking a key is one dict lookup.
 
-    As soon as one tenant is known by keys, a request needs one of its own, except on public routes and on routes that
-    a tenant owns. A key that is stated is looked up on these as well: one that nobody holds is refused on every route.
+    As soon as one tenant has API keys, every request needs a valid key, except on public routes and on routes that
+    a tenant owns. A key sent on such a route is checked as well: an unknown key is refused on every route.
     """
 
     __slots__ = ("tenants", "secret", "tenant_by_digest", "owner_by_route", "is_key_needed", "lowest_priority")
@@ -39,32 +39,32 @@
 
     @classmethod
     def none(cls) -> Self:
-        """The rules before there is a configuration."""
+        """Returns the empty rules that apply until the first configuration arrives."""
         return cls((), b"")
 
     def check(self, route: HttpRoute, credentials: tuple[Credential, ...]) -> Access:
-        """What a request on this route with these keys is to be taken for."""
+        """Returns the tenant of a request on `route` that carries `credentials`, or why it is refused."""
         if not self.is_key_needed:
             return Access(self.owner_by_route.get(route.name))
         if len(credentials) > 1:
-            return Access(failure=FailureKind.UNKNOWN_CALLER.because("more than one key"))
+            return Access(failure=FailureKind.UNKNOWN_CALLER.because("the request carries more than one API key"))
         if credentials:
             tenant = self.tenant_by_digest.get(credentials[0].digest(self.secret))
             if tenant is None:
-                return Access(failure=FailureKind.UNKNOWN_CALLER.because("the key is not known"))
+                return Access(failure=FailureKind.UNKNOWN_CALLER.because("unknown API key"))
             return Access(tenant)
         owner = self.owner_by_route.get(route.name)
         if owner is None and not route.public:
-            return Access(failure=FailureKind.UNKNOWN_CALLER.because("a key is needed"))
+            return Access(failure=FailureKind.UNKNOWN_CALLER.because("this route requires an API key"))
         return Access(owner)
 
     def priority_of(self, tenant: Tenant | None) -> int:
-        """A tenant's priority; requests without a tenant come after those of all tenants but the last."""
+        """Returns the priority of a tenant; a request without one gets the lowest priority of any tenant."""
         return self.lowest_priority if tenant is None else tenant.priority
 
 
 class UrgencyScale:
-    """One urgency, 0 (first) to `LOWEST_URGENCY`, for a tenant's priority and then a route's.
+    """Maps a tenant's priority, then a route's, to one urgency level from 0 (served first) to `LOWEST_URGENCY`.
 
     >>> scale = UrgencyScale((1, 0), (2, 0))
     >>> [scale.level(*pair) for pair in ((0, 0), (0, 2), (1, 0), (1, 2))]
@@ -86,34 +86,34 @@
 
     @classmethod
     def of(cls, catalogue: Any) -> Self:
-        """The scale of a configuration; without tenants a route's priority is the urgency itself."""
+        """Builds the scale of a configuration; without tenants the priority of a route is the urgency itself."""
         routes = {route.priority for route in catalogue.http_routes}
         if not catalogue.tenants:
             routes |= set(range(cls.LOWEST_URGENCY + 1))
         return cls({tenant.priority for tenant in catalogue.tenants} or {0}, routes)
 
     def level(self, tenant_priority: int, route_priority: int) -> int:
-        """The urgency of a request; that of a pair of an earlier configuration may be the last."""
+        """Returns the urgency of a request; an unknown pair, from an earlier configuration, gets the lowest one."""
         return self.levels.get((tenant_priority, route_priority), self.LOWEST_URGENCY)
 
 
 class ClientAccess:
-    """What an edge goes by when clients come: rules and urgencies of its configuration, worked out once each.
+    """Holds the access rules and the urgency scale of an edge, recomputed for each new configuration.
 
-    `credential_lifetime` is for how long a key is believed without word of a core; None for any time.
+    `credential_lifetime` is for how long API keys stay valid without contact with a core; None means forever.
     """
 
     __slots__ = ("random", "secret", "rules", "urgency_scale", "credential_lifetime")
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.secret = b""  # under which keys are compared; drawn with the first of them
+        self.secret = b""  # keys the digests of API keys; drawn at random when a configuration first has one
         self.rules = AccessRules.none()
         self.urgency_scale = UrgencyScale((), ())
         self.credential_lifetime: timedelta | None = None
 
     def refresh(self, catalogue: Any) -> None:
-        """Another configuration is in force."""
+        """Recomputes rules and scale after a change of the configuration."""
         if not self.secret and any(tenant.keys for tenant in catalogue.tenants):
             self.secret = self.random.randbytes(SECRET_BYTES)
         if catalogue.tenants is not self.rules.tenants:
--- a/sumachook/forwarding/admit.py
+++ b/sumachook/forwarding/admit.py
@@ -1,4 +1,4 @@
-"""The pass that admits requests to be forwarded, or refuses them."""
+"""The pipeline pass that admits or refuses incoming requests, or parks them until the node has a configuration."""
 
 from datetime import timedelta
 from typing import Any
@@ -16,23 +16,24 @@
 from sumachook.requests.failures import FailureKind, RequestFailure
 from sumachook.requests.request_table import MAX_REQUESTS
 
-# While a node does not know its routes a request waits for them, for this part of its time and never longer than
-# `MAX_PARK_TIME`; `DEFAULT_PATIENCE` is taken where the client states no time.
+# Until a node has received its routes it parks requests, each for this fraction of its timeout and at most for
+# `MAX_PARK_TIME`. `DEFAULT_PATIENCE` is the timeout of a request whose client states none.
 PARK_FRACTION = 0.25
 MAX_PARK_TIME = timedelta(seconds=1.5)
 DEFAULT_PATIENCE = timedelta(seconds=4)
-# `Retry-After` of refusals, in seconds.
+# `Retry-After` values of refusals, in seconds.
 RETRY_AFTER_DRAINING_S = 0.1
 RETRY_AFTER_NOT_READY_S = 0.3
 RETRY_AFTER_FULL_S = 1.0
-# Metrics of headers that are passed on unread: the label, and bounds on what clients can make of it.
+# Metric label for headers that are forwarded without being interpreted, with bounds on the number and the length of
+# the label values, since clients choose the header names.
 UNREAD_HEADER = "unread-header"
 MAX_UNREAD_HEADERS = 16
 MAX_HEADER_NAME_LENGTH = 64
 
 
 class Admit:
-    """Host and longest prefix pick the route, its weights the service; its key tells a request's tenant."""
+    """Admits requests: finds the route by host and longest prefix, the service by weight, the tenant by API key."""
 
     __slots__ = ("charge", "entry", "table")
 
@@ -42,9 +43,9 @@
         self.charge = charge
 
     def take(self, event: ProxyRequestReceived, now: timedelta, arrived_at: timedelta | None = None) -> list[Any]:
-        """Puts the request into the table, replies, or parks it while this node learns what it must know.
+        """Admits the request into the table, refuses it, or parks it until this node has a current configuration.
 
-        `arrived_at` is given for a request that was parked.
+        `arrived_at` is the original arrival time of a request that was parked, and None for a new one.
         """
         table = self.table
         metadata = table.port.read_request(event.headers)
@@ -53,7 +54,7 @@
         return self._note_unread(metadata) + self._decide(event, metadata, now, now)
 
     def _note_unread(self, metadata: RequestMetadata) -> list[Any]:
-        """Counts headers that are passed on without being read, and logs each name once."""
+        """Counts headers that are forwarded without being interpreted, and logs each header name once."""
         counts = self.table.counts
         effects: list[Any] = []
         for name in metadata.unread_headers:
@@ -63,7 +64,7 @@
                 continue
             self.table.count(*labels)
             if not is_known:
-                text = "A header is passed on that this version does not read."
+                text = "Forwarded a request header that this version does not interpret."
                 effects.append(Log("warning", FORWARDING, text, {"header": labels[1]}))
         return effects
 
@@ -73,28 +74,34 @@
         table = self.table
         trust = table.follower.trust(now)
         if metadata.repeated_headers:
-            failure = FailureKind.MALFORMED.because(f"stated twice: {', '.join(metadata.repeated_headers)}")
+            failure = FailureKind.MALFORMED.because(f"repeated headers: {', '.join(metadata.repeated_headers)}")
             return self._refuse(event, metadata, failure.status, failure, None)
         if table.is_closed:
-            failure = FailureKind.DRAINING.because("this node is leaving")
+            failure = FailureKind.DRAINING.because("this node is shutting down")
             return self._refuse(event, metadata, 503, failure, RETRY_AFTER_DRAINING_S)
         if trust is Trust.EMPTY:
-            return self._park(event, metadata, FailureKind.NOT_READY.because("no catalogue yet"), now, arrived_at)
+            return self._park(event, metadata, FailureKind.NOT_READY.because("no catalogue received"), now, arrived_at)
         table.refresh()
         route = table.routes.find(metadata.host, event.raw_path)
         if route is None:
-            if trust is not Trust.FRESH:  # just woke or cut off: what it knows may be old, and a 404 is final
-                return self._park(event, metadata, FailureKind.NOT_READY.because("not in touch"), now, arrived_at)
+            if trust is not Trust.FRESH:  # just restarted or cut off: routes may be outdated, a 404 is final
+                return self._park(
+                    event, metadata, FailureKind.NOT_READY.because("not connected to a core"), now, arrived_at
+                )
             return self._refuse(event, metadata, 404, FailureKind.NOT_FOUND.because("no route"), None)
         access = table.access.rules.check(route, metadata.credentials)
         if access.failure is not None:
-            if trust is not Trust.FRESH:  # a key may be new, and a 401 is final
-                return self._park(event, metadata, FailureKind.NOT_READY.because("not in touch"), now, arrived_at)
+            if trust is not Trust.FRESH:  # the key may have been added since, and a 401 is final
+                return self._park(
+                    event, metadata, FailureKind.NOT_READY.because("not connected to a core"), now, arrived_at
+                )
             return self._refuse(event, metadata, access.failure.status, access.failure, None)
         if access.tenant is not None and metadata.credentials and table.has_stale_credentials(now):
-            return self._park(event, metadata, FailureKind.NOT_READY.because("not in touch"), now, arrived_at)
+            return self._park(
+                event, metadata, FailureKind.NOT_READY.because("not connected to a core"), now, arrived_at
+            )
         if len(table.requests) >= MAX_REQUESTS:
-            failure = FailureKind.OVERLOAD.because(f"{MAX_REQUESTS} requests in hand")
+            failure = FailureKind.OVERLOAD.because(f"{MAX_REQUESTS} requests are in flight")
             return self._refuse(event, metadata, 503, failure, RETRY_AFTER_FULL_S)
         return self._admit(event, metadata, route, access.tenant, trust, now, arrived_at)
 
@@ -144,7 +151,7 @@
         now: timedelta,
         arrived_at: timedelta,
     ) -> list[Any]:
-        """It is tried again with the next tick; refused once a quarter of its time is over."""
+        """Parks the request for the next tick, or refuses it once `PARK_FRACTION` of its timeout has passed."""
         patience = (
             timedelta(milliseconds=metadata.deadline_ms) if metadata.deadline_ms is not None else DEFAULT_PATIENCE
         )
@@ -155,7 +162,7 @@
         return []
 
     def _choose_service(self, route: Any) -> str:
-        """A service of the route, at random by weight."""
+        """Draws a service of the route at random by weight."""
         if len(route.split) == 1:
             return str(route.split[0].service)
         remainder = self.table.random.random() * sum(part.weight for part in route.split)
--- a/sumachook/forwarding/cold_allowance.py
+++ b/sumachook/forwarding/cold_allowance.py
@@ -1,19 +1,19 @@
-"""This edge's part of the requests that all edges together may send to a cold server."""
+"""Divides the request rate of a cold server (one in slow start) among all edges."""
 
 from datetime import timedelta
 
-# Of what may come beyond the rate; the rest is for edges that differ on the time or on how many they are.
+# Fraction of the allowed burst that edges use; the rest covers edges that disagree on the time or on their number.
 SAVED_FRACTION = 0.8
 
 
 class ColdAllowance:
-    """Parts the allowance of a cold server among the edges, so that all parts add up to it.
+    """Computes this edge's share of the requests a cold server can handle; the shares of all edges add up to its limit.
 
-    A cold server bears `rate` requests a second, and over any second `rate * overshoot + slack` from all edges. What is
-    beyond the rate may be saved up. Where that is a whole request for each edge, an edge keeps a bucket of one request
-    (`ServerWindow`). Where it is less, an edge may send one request within a window of its own. The windows begin one
-    after the other, `1 / rate` seconds apart in the agreed time, by the rank of the edge; so many are open at once as
-    may be saved up.
+    A cold server can handle `rate` requests per second, and `rate * overshoot + slack` from all edges within any one
+    second. The difference is the burst. If the burst is at least one request per edge, each edge keeps a token bucket
+    of one request (`ServerWindow`). Otherwise an edge may send one request within a time window of its own. The windows
+    start one after the other by the rank of the edge, `1 / rate` seconds apart in cluster time; as many of them are
+    open at once as the burst has requests.
 
     >>> second = timedelta(seconds=1)
     >>> parts = [ColdAllowance(1.5, 5.0) for _ in range(60)]
@@ -31,15 +31,15 @@
         self.edges = 1
 
     def _saved(self, rate: float) -> float:
-        """Requests that all edges together may have saved up."""
+        """Returns the burst in requests: how many unsent ones all edges together may save up."""
         return SAVED_FRACTION * ((self.overshoot - 1) * rate + self.slack)
 
     def needs_window(self, rate: float) -> bool:
-        """Whether there are more edges than requests that may be saved up."""
+        """Returns whether there are more edges than requests in the burst, so that edges take turns in windows."""
         return self.edges > self._saved(rate)
 
     def window(self, rate: float, agreed: timedelta) -> int | None:
-        """The number of this edge's window that is open at the agreed time, or None."""
+        """Returns the number of this edge's window that is open at this cluster time, or None if none is."""
         period = self.edges / rate
         since_first = agreed.total_seconds() - self.rank / rate
         number = int(since_first // period)
--- a/sumachook/forwarding/credential.py
+++ b/sumachook/forwarding/credential.py
@@ -1,4 +1,4 @@
-"""The API key that a request bears."""
+"""An API key as sent by a client."""
 
 from hashlib import blake2b
 
@@ -6,7 +6,7 @@
 
 
 class Credential:
-    """A key as a client sent it; it shows itself nowhere, and gives only its digest.
+    """Wraps an API key so that it never appears in logs or texts; only its digest can be read.
 
     >>> key = Credential("rjvz48wuakn2ftimaj3n")
     >>> key, str(key), key.digest(b"a") == Credential("rjvz48wuakn2ftimaj3n").digest(b"a")
@@ -24,9 +24,9 @@
         return "Credential(...)"
 
     def digest(self, secret: bytes) -> bytes:
-        """The key's digest under a secret of at most 64 bytes.
+        """Returns the digest of the API key, keyed with a secret of at most 64 bytes.
 
-        Digests are what is compared: how long that takes tells nothing of a key to who does not know the secret.
+        Keys are compared by their digests: without the secret, the time of a comparison reveals nothing about a key.
         """
         text = self._text.encode("utf-8", "surrogatepass")
         return blake2b(text, key=secret, digest_size=DIGEST_BYTES).digest()
--- a/sumachook/forwarding/entry.py
+++ b/sumachook/forwarding/entry.py
@@ -1,4 +1,4 @@
-"""The pass that lets an admitted request wait for a server."""
+"""The pipeline pass that queues an admitted request for server selection."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class Entry:
-    """From here on a request counts: for retry credit, and for what models are asked for."""
+    """Queues admitted requests; from here on they earn retry credit and count as demand for their model."""
 
     __slots__ = ("table",)
 
@@ -16,7 +16,7 @@
         self.table = table
 
     def take(self, request: ForwardedRequest) -> list[Any]:
-        """Lets the request wait."""
+        """Queues the request for server selection and counts it."""
         table = self.table
         table.waiting[request.number] = request
         table.newly_waiting.add(request.number)
--- a/sumachook/forwarding/finish.py
+++ b/sumachook/forwarding/finish.py
@@ -1,4 +1,4 @@
-"""The pass that ends an attempt and a request."""
+"""The pipeline pass that ends attempts and requests, and writes the closing ledger record."""
 
 from datetime import timedelta
 from typing import Any
@@ -13,7 +13,7 @@
 from sumachook.requests.failures import FailureKind, RequestFailure
 from sumachook.runtime.cluster_clock import MILLISECOND
 
-# Failures that say nothing against the server: it answered as it should, or the client or this node gave up.
+# Failures that do not count against the server: it refused properly, or the client or this node gave up.
 BLAMELESS = frozenset(
     {
         FailureKind.OVERLOAD,
@@ -41,7 +41,7 @@
 
 
 class Finish:
-    """Gives back what a request had of its server, and takes the request off the table with its last effects."""
+    """Releases the server capacity of an attempt, and removes a finished request from the table."""
 
     __slots__ = ("charge", "table")
 
@@ -50,7 +50,7 @@
         self.charge = charge
 
     def end_attempt(self, request: ForwardedRequest, failure: RequestFailure | None, now: timedelta) -> None:
-        """Ends the attempt under way, if there is one; `failure` is None where the server answered."""
+        """Ends the current attempt, if there is one; `failure` is None if the server answered."""
         if request.attempt_id is None:
             return
         server_window = self.table.server_window(request.server)
@@ -85,7 +85,7 @@
         now: timedelta,
         failure: RequestFailure | None = None,
     ) -> list[Any]:
-        """Ends the request: `ending` is "done", "fault" or "gone", `effects` are those that answer its client."""
+        """Ends the request: `ending` is "done", "fault" or "gone"; `effects` carry the response to the client."""
         self.end_attempt(request, failure, now)
         table = self.table
         table.waiting.pop(request.number, None)
@@ -99,13 +99,13 @@
             return effects
         fields = {field: record[field] for field in LOGGED_FIELDS}
         fields["reason"] = failure.reason if failure is not None else ""
-        text = "Request late or dropped." if record["late"] or not is_done else "Request sent again."
+        text = "Request late or dropped." if record["late"] or not is_done else "Request completed after a retry."
         return [*effects, Log("info", FORWARDING, text, fields)]
 
     def _closing_record(
         self, request: ForwardedRequest, ending: str, now: timedelta, failure: RequestFailure | None
     ) -> dict[str, Any]:
-        """The request as the ledger closes it."""
+        """Returns the ledger record that closes the request."""
         is_done = ending == "done"
         arrived_at, first_byte_at = request.arrived_at, request.first_byte_at
         return {
--- a/sumachook/forwarding/forwarded_request.py
+++ b/sumachook/forwarding/forwarded_request.py
@@ -1,4 +1,4 @@
-"""A forwarded request in flight."""
+"""The state of one forwarded request in flight."""
 
 from datetime import timedelta
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class ForwardedRequest(InFlightRequest):
-    """What is known of a forwarded request between its admission and its final answer."""
+    """Holds the state of a forwarded request from its admission to its final response."""
 
     __slots__ = (
         "arrivals",
@@ -66,29 +66,29 @@
         self.is_stream = route.kind == "stream"
         self.is_repeatable = route.kind == "repeatable" or (self.is_stream and route.resumable)
         self.last_event_id = metadata.last_event_id
-        self.checked_generation = -1  # of the configuration by which its key was looked up last
+        self.checked_generation = -1  # configuration generation under which its API key was last checked
         self.tenant_priority = 0
-        self.is_recorded = False  # whether the ledger knows that it is open
-        # waiting
-        self.awaits_placement = False  # nothing that it could run on stands anywhere
-        self.wanted_at: timedelta | None = None  # when a placement was last asked for
-        # where it went
+        self.is_recorded = False  # whether the ledger has its opening record
+        # waiting for a server
+        self.awaits_placement = False  # no server holds its model yet
+        self.wanted_at: timedelta | None = None  # when its demand was last reported to the placer
+        # servers it was sent to
         self.sent_to: tuple[str, ...] = ()
-        self.arrivals = 0  # attempts whose first byte went out
-        self.stale_arrivals = 0  # those on a kept connection that turned out to be dead
-        self.is_reused = False  # whether the attempt's connection carried an earlier call
-        self.pending_tokens = 0  # of its prompt, until the server shows that it has read it
-        # the answer as it comes
+        self.arrivals = 0  # attempts whose first byte was sent
+        self.stale_arrivals = 0  # arrivals on a keep-alive connection that turned out to be dead
+        self.is_reused = False  # whether the current attempt runs on a reused connection
+        self.pending_tokens = 0  # prompt tokens counted as unread until the first token of the response
+        # the response as it is received
         self.response: ResponseMetadata | None = None
         self.status = 0
         self.response_headers: tuple[tuple[str, str], ...] = ()
         self.is_event_stream = False
         self.buffer = b""
-        self.events = 0  # counted where a tenant is charged
-        self.first_token_at: timedelta | None = None  # of the attempt under way
-        self.first_byte_at: timedelta | None = None  # when the client was first sent something
+        self.events = 0  # server-sent events relayed; counted only if a tenant is charged
+        self.first_token_at: timedelta | None = None  # first token of the current attempt
+        self.first_byte_at: timedelta | None = None  # when the first byte was sent to the client
 
     @property
     def name(self) -> str:
-        """What it asks a placement of: model, or model/adapter."""
+        """The model or "model/adapter" that a server must hold to run this request."""
         return f"{self.metadata.model}/{self.metadata.adapter}" if self.metadata.adapter else self.metadata.model
--- a/sumachook/forwarding/pipeline.py
+++ b/sumachook/forwarding/pipeline.py
@@ -1,4 +1,4 @@
-"""The path of forwarded requests through an edge: one table and the passes over it."""
+"""The forwarding pipeline of an edge: a request table and the passes that process events on it."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -32,18 +32,18 @@
 from sumachook.requests.quota_decision import QuotaDecision
 from sumachook.runtime.cluster_clock import MILLISECOND
 
-# What was sent to a server is no longer looked up after this time; longer than `server_selection.PREFIX_CACHE_TIME`.
+# Prompt prefixes sent to a server are forgotten after this time; longer than `server_selection.PREFIX_CACHE_TIME`.
 PREFIX_MEMORY = timedelta(seconds=30)
 PREFIX_SWEEP_INTERVAL = PREFIX_MEMORY / 6
-# After these events every request that waits is looked at.
+# After these events server selection considers every waiting request.
 COMPLETE_PASS_EVENTS = frozenset({Tick, PlacesChanged, ServersCold, ServersLeaving})
 
 
 class ProxyPipeline:
-    """Takes events and runs the passes: admit, select a server, send, relay the answer, resend, settle.
+    """Dispatches events to the passes: admit, select a server, send, relay the response, resend, settle.
 
-    Beside the events of `requests/events.py` and of the host it takes the `AdmissionDecision`s of the rate limiter.
-    Beside effects of the host it gives `PlacementRequest`s for the placer, `RecordDeferred` for the ledger, and
+    Handles events of the host and of `requests/events.py`, and `AdmissionDecision`s of the rate limiter. Returns
+    effects for the host, `PlacementRequest`s for the placer, `RecordDeferred` for the ledger, and
     `AdmissionRequested` and `UsageSettled` for the rate limiter.
     """
 
@@ -74,7 +74,7 @@
         self.timeouts = Timeouts(table, resend, self.settle, self.server_selection)
 
     def take(self, event: Any, now: timedelta) -> list[Any]:
-        """The effects of one event."""
+        """Processes one event and returns its effects."""
         kind = type(event)
         if kind is DrainStarted or kind is ProxyServerClosed:
             self.table.is_draining = True
@@ -115,7 +115,7 @@
         return effects
 
     def _handle_disconnect(self, event: ClientDisconnected, now: timedelta) -> list[Any]:
-        """The client hung up: its attempt is called off."""
+        """Ends the request of a client that disconnected, and cancels its current attempt."""
         self.table.parked_requests.pop(event.call_id, None)
         request = self.table.requests.get(self.table.by_call_id.get(event.call_id))
         if request is None:
@@ -124,21 +124,21 @@
         return effects + self.finish.take(request, [], "gone", now, FailureKind.HUNG_UP.because(event.ended_by))
 
     def _retry_parked(self, now: timedelta) -> list[Any]:
-        """What waited for this node to know its routes is let in, or refused in time."""
+        """Tries again to admit the requests parked until this node has a current configuration."""
         parked = self.table.parked_requests
         self.table.parked_requests = {}
         return [effect for event, arrived_at in parked.values() for effect in self.admit.take(event, now, arrived_at)]
 
     def _finish_all(self, now: timedelta) -> list[Any]:
-        """The node leaves: what is still in flight gets its final answer."""
+        """Gives every request still in flight its final response, because the node shuts down."""
         effects = self._retry_parked(now)
-        failure = FailureKind.DRAINING.because("this node is leaving")
+        failure = FailureKind.DRAINING.because("this node is shutting down")
         for request in list(self.table.requests.values()):
             effects += self.settle.take(request, failure, now)
         return effects
 
     def _forget_expired(self, now: timedelta) -> None:
-        """Forgets servers that are gone, and parts that nobody asked for of late."""
+        """Drops the state of removed servers, expired marks, and prompt prefixes that were not sent recently."""
         table = self.table
         table.server_windows = {
             name: server_window
--- a/sumachook/forwarding/port.py
+++ b/sumachook/forwarding/port.py
@@ -1,4 +1,4 @@
-"""How requests are spoken to services; another format is another such file."""
+"""Reads and writes the HTTP headers exchanged with clients and servers; another header format needs its own port."""
 
 from functools import cache
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 class RequestPort:
-    """The product's own headers. Every call is static in effect; a port holds no state."""
+    """Translates between HTTP headers and request metadata, with the product's own header names; holds no state."""
 
     __slots__ = ()
     REQUEST, DEADLINE, MODEL, TOKENS, PARTS = (
@@ -42,12 +42,12 @@
     )
     INSTANCE, URGENCY, NOT_RUN, SEAL, COLD = "x-expect-instance", "x-urgency", "x-not-run", "x-server-seal", "x-cold-ms"
     LAST_EVENT = "last-event-id"
-    CREDENTIAL, TENANT = "x-api-key", "x-tenant"  # the client's key, which no server gets; the tenant that holds it
-    NAMESPACE = ""  # what begins the names of all headers of this format, where they have that in common
-    PASSED_ON: frozenset[str] = frozenset()  # those of the namespace that are for the server alone
+    CREDENTIAL, TENANT = "x-api-key", "x-tenant"  # the API key, never forwarded to servers; the name of its tenant
+    NAMESPACE = ""  # common prefix of the header names of this format, if there is one
+    PASSED_ON: frozenset[str] = frozenset()  # headers of the namespace that only servers read
 
     def read_request(self, headers: Any) -> RequestMetadata:
-        """What the headers of a request say; counts that are no numbers are taken as 0.
+        """Parses the headers of a request; token counts that are not numbers become 0.
 
         >>> headers = (("Host", "a:80"), ("X-Request-Id", "r1"), ("X-Model", "m/a1"), ("X-Token-Counts", "5,x"))
         >>> RequestPort().read_request(headers)[:6]
@@ -78,13 +78,13 @@
         )
 
     def _repeated_headers(self, headers: Any) -> tuple[str, ...]:
-        """Of the headers by which this node decides and that servers read as well, those that are stated twice."""
+        """Returns repeated routing headers; this node and the server might each read a different value."""
         stated = [name.lower() for name, _ in headers]
         deciding = ("host", self.REQUEST, self.MODEL, self.TOKENS, self.PARTS, self.LAST_EVENT)
         return tuple(name for name in deciding if stated.count(name) > 1)
 
     def _credentials(self, headers: Any) -> tuple[Credential, ...]:
-        """Each key that is stated; an empty one is none."""
+        """Returns every non-empty API key in the headers."""
         return tuple(Credential(value) for name, value in headers if name.lower() == self.CREDENTIAL and value)
 
     def _unread_headers(self, names: Any) -> tuple[str, ...]:
@@ -94,7 +94,7 @@
     @classmethod
     @cache
     def _read_headers(cls) -> frozenset[str]:
-        """Names of a request's headers that this port reads or replaces, or knows to be for the server."""
+        """Returns the names of the request headers that this port reads or replaces, or that only servers read."""
         read = (cls.REQUEST, cls.DEADLINE, cls.MODEL, cls.TOKENS, cls.PARTS, cls.INSTANCE, cls.URGENCY)
         return cls.PASSED_ON.union(read, (cls.CREDENTIAL, cls.TENANT))
 
@@ -108,11 +108,11 @@
         last_event_id: str,
         tenant: str | None = None,
     ) -> list[tuple[str, str]]:
-        """The client's headers but for what concerns one connection, with what this node states instead.
+        """Returns the client's headers for the server, without hop-by-hop headers and with those that this node sets.
 
-        `instance` is the server that the request is meant for, `left_ms` what is left of its time, `tenant` the name
-        of the tenant whose key the request bears. A tenant that the client names itself says nothing, and its key is
-        for this node alone.
+        `instance` is the name of the target server, `left_ms` the time to the deadline, `tenant` the name of the tenant
+        that the API key belongs to. A tenant header from the client is dropped because it proves nothing, and the API
+        key is never forwarded.
         """
         own = {self.DEADLINE, self.INSTANCE, self.URGENCY, self.LAST_EVENT, self.CREDENTIAL, self.TENANT}
         dropped = HOP_BY_HOP | own | _connection_options(headers)
@@ -123,7 +123,7 @@
         return out + [(self.LAST_EVENT, last_event_id)] if last_event_id else out
 
     def read_response(self, status: int, headers: Any) -> ResponseMetadata:
-        """What status and headers of a server's answer say."""
+        """Parses the status and the headers of a server's response."""
         names = {name.lower(): value for name, value in headers}
         return ResponseMetadata(
             says_not_run(status, self.NOT_RUN in names),
@@ -134,14 +134,14 @@
         )
 
     def pass_headers(self, headers: Any) -> tuple[tuple[str, str], ...]:
-        """The server's headers for the client, but for what concerns one connection."""
+        """Returns the server's headers for the client, without hop-by-hop headers."""
         dropped = HOP_BY_HOP | _connection_options(headers)
         return tuple((name, value) for name, value in headers if name.lower() not in dropped)
 
     def refusal(
         self, status: int, failure: RequestFailure, request_id: str, ran: str, retry_after: float | None
     ) -> tuple[int, tuple[tuple[str, str], ...], bytes]:
-        """(status, headers, body) of an answer of this node's own."""
+        """Builds an error response of this node, as (status, headers, body)."""
         headers = [("Content-Type", "application/json")]
         if request_id:
             headers.append((self.REQUEST, request_id))
@@ -158,7 +158,7 @@
 
 
 def _number(text: Any) -> float | None:
-    """A number from 0 on, or None for anything else.
+    """Parses a number from 0 up to 1e9; returns None for anything else.
 
     >>> _number("1.5"), _number("x"), _number("nan"), _number(None)
     (1.5, None, None, None)
--- a/sumachook/forwarding/quota_charge.py
+++ b/sumachook/forwarding/quota_charge.py
@@ -1,4 +1,4 @@
-"""What forwarded requests are charged to their tenant."""
+"""Charges forwarded requests to the quota of their tenant."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 class ForwardingQuotaCharge(QuotaCharge):
-    """A request is charged what its client says it may take; of a stream counts what came out."""
+    """Charges a request the tokens that its client declares, and refunds those that an event stream did not produce."""
 
     __slots__ = ("table",)
 
@@ -16,7 +16,10 @@
         self.table = table
 
     def unused_tokens(self, request: Any, is_done: bool) -> int | None:
-        """Of an event stream, whose events stand for as many tokens as the engine's stride says."""
+        """Returns the unused tokens of an event stream, or None for other responses.
+
+        Each event of a stream counts as as many tokens as the `stride` of the engine.
+        """
         if not request.is_event_stream:
             return None
         service = self.table.services.get(request.service)
--- a/sumachook/forwarding/request_metadata.py
+++ b/sumachook/forwarding/request_metadata.py
@@ -1,4 +1,4 @@
-"""What an edge reads off a request before it forwards it."""
+"""The request attributes that an edge reads from the headers before forwarding."""
 
 from typing import NamedTuple
 
@@ -6,19 +6,19 @@
 
 
 class RequestMetadata(NamedTuple):
-    """The facts of a request, whatever its headers are called."""
+    """Holds the parsed attributes of a request, independent of the header names."""
 
     host: str
     request_id: str
-    deadline_ms: float | None = None  # what the client will still wait
+    deadline_ms: float | None = None  # the time that the client will wait from now
     model: str = ""
     adapter: str = ""
     prompt_tokens: int = 0
-    max_tokens: int = 0  # of the answer
+    max_tokens: int = 0  # limit on the tokens of the response
     parts: tuple[
         tuple[str, int], ...
-    ] = ()  # (id, tokens) of the prompt's parts in order; the last is the request's own
+    ] = ()  # (id, tokens) of each part of the prompt, in order; only the last part is unique to the request
     last_event_id: str = ""
-    credentials: tuple[Credential, ...] = ()  # each API key that it bears; more than one is not to be believed
-    repeated_headers: tuple[str, ...] = ()  # names of headers that decide and are stated more than once
-    unread_headers: tuple[str, ...] = ()  # names of the port's own namespace that it does not know; passed on
+    credentials: tuple[Credential, ...] = ()  # every API key sent; more than one is refused
+    repeated_headers: tuple[str, ...] = ()  # names of routing headers that occur more than once
+    unread_headers: tuple[str, ...] = ()  # unknown header names in the port's namespace; forwarded unchanged
--- a/sumachook/forwarding/request_table.py
+++ b/sumachook/forwarding/request_table.py
@@ -1,4 +1,4 @@
-"""The forwarded requests that an edge has in flight, and what the passes over them share."""
+"""The table of forwarded requests in flight at an edge, with the state that the pipeline passes share."""
 
 from datetime import timedelta
 from random import Random
@@ -16,15 +16,15 @@
 from sumachook.requests import request_table
 from sumachook.runtime.cluster_clock import UNIX_EPOCH
 
-USED_FRACTION = 0.9  # of a server's connections; the rest is for edges that differ on how many they are
-UNEVEN_LOAD = 1.5  # an edge's part is more than the even one, so that uneven load finds room
-DEFAULT_CONNECTIONS = 2.0  # to a server of a service that the catalogue does not know
-MAX_KEPT_CONNECTIONS = 4  # idle ones to one server
-KEPT_CONNECTIONS_PART = 2  # idle connections take no more than this part of the share: a half
+USED_FRACTION = 0.9  # of a server's connections; the rest covers edges that disagree on the number of edges
+UNEVEN_LOAD = 1.5  # over-provisions an edge's connection share, so that uneven load fits
+DEFAULT_CONNECTIONS = 2.0  # connections to a server whose service is not in the catalogue
+MAX_KEPT_CONNECTIONS = 4  # idle connections per server
+KEPT_CONNECTIONS_PART = 2  # idle connections use at most half of the connection share
 
 
 class RequestTable(request_table.RequestTable):
-    """Requests by number, windows and placements of servers, and what is known of the rest of the fleet."""
+    """Holds requests by number, the window and the placements of each server, and what is known of other edges."""
 
     __slots__ = (
         "access",
@@ -66,32 +66,34 @@
     ) -> None:
         super().__init__(node, restart_epoch, zone, state, follower, retry_budget, random, port, cluster_clock)
         self.places = places
-        self.edges = 1  # how many share the servers
-        self.rank = 0  # of this edge among them
-        self.is_closed = False  # the proxy server takes no more connections
-        # requests that wait: by number for a server; by call id, with their arrival, until their route is known
+        self.edges = 1  # number of edges that share the servers
+        self.rank = 0  # rank of this edge among all edges
+        self.is_closed = False  # the proxy server accepts no more connections
+        # requests waiting for a server, by number; requests parked until their route is known, by call id, with their
+        # arrival time
         self.waiting: dict[int, ForwardedRequest] = {}
         self.parked_requests: dict[Any, tuple[Any, timedelta]] = {}
-        # since the last selection: requests that began to wait, and whether an attempt ended
+        # since the last server selection: requests that started to wait, and whether any attempt ended
         self.newly_waiting: set[int] = set()
         self.has_freed_capacity = False
-        # for the placer, by service and name: begun since the last report, running now, and wanted
+        # demand reported to the placer, by service and model: requests begun since the last report, running now, and
+        # waiting for a placement
         self.begun_by_service: dict[str, dict[str, int]] = {}
         self.running_by_service: dict[str, dict[str, dict[str, int]]] = {}
         self.wanted_models: dict[str, dict[str, tuple[int, float]]] = {}
-        # of the catalogue
+        # derived from the catalogue
         self.routes = Routes({})
         self.access = ClientAccess(random)
         self.services: dict[str, Any] = {}
         self.models: dict[str, dict[str, Any]] = {}
-        # servers that all edges together spare
+        # servers that all edges avoid or send fewer requests
         self.outcome_counts = OutcomeCounts(timedelta(0))
         self.ejected_until: dict[str, timedelta] = {}
         self.cold_until: dict[str, timedelta] = {}
         self.cold_allowance = ColdAllowance(COLD_OVERSHOOT, COLD_SLACK)
 
     def refresh(self) -> None:
-        """Works out what the catalogue gives, once a generation."""
+        """Recomputes the routes, services and models when the generation of the catalogue has changed."""
         if self.generation == self.state.generation or self.state.catalogue is None:
             return
         catalogue = self.state.catalogue
@@ -106,20 +108,23 @@
         }
 
     def has_stale_credentials(self, now: timedelta) -> bool:
-        """Whether a key may have been taken away too long ago for this node not to have learnt of it."""
+        """Returns whether the last contact with a core is longer ago than `credential_lifetime`.
+
+        An API key may have been revoked since, without this node having learnt of it.
+        """
         lifetime = self.access.credential_lifetime
         return lifetime is not None and now - self.follower.proved_at > lifetime
 
     def connection_share(self, service: str) -> float:
-        """This edge's part of the connections that a server of the service takes; may be less than one."""
+        """Returns this edge's share of the connections that a server of the service accepts; may be less than 1."""
         known = self.services.get(service)
         return USED_FRACTION * UNEVEN_LOAD * known.connections / self.edges if known else DEFAULT_CONNECTIONS
 
     def max_connections(self, service: str, server: str) -> int:
-        """How many requests this edge may have at one server of the service.
+        """Returns how many requests this edge may have in flight at one server of the service.
 
-        Where there are more edges than a server takes connections, so many of them use it as it takes, each for one
-        request: by the ranks of the edges, others at each server.
+        If there are more edges than a server accepts connections, only as many edges as it accepts use the server, for
+        one request each. They are chosen by rank, and differ from server to server.
         """
         known = self.services.get(service)
         single_users = int(USED_FRACTION * known.connections) if known else self.edges
@@ -129,11 +134,11 @@
         return 1 if rank_at_server < single_users else 0
 
     def max_kept_connections(self, service: str) -> int:
-        """How many idle connections to one server of the service this edge may keep beside those in use."""
+        """Returns how many idle connections this edge may keep to one server of the service, besides those in use."""
         return min(MAX_KEPT_CONNECTIONS, int(self.connection_share(service) / KEPT_CONNECTIONS_PART))
 
     def record(self, request: ForwardedRequest) -> dict[str, Any]:
-        """The request as the ledger opens it; `tag` is the client's own id."""
+        """Returns the ledger record that opens the request; `tag` is the request id chosen by the client."""
         opened_at = self.cluster_clock.time(request.arrived_at).isoformat(timespec="milliseconds")
         return {
             "request": f"{self.node}.{self.restart_epoch}.{request.number}",
@@ -151,18 +156,18 @@
         }
 
     def with_connection_close(self, headers: tuple[tuple[str, str], ...]) -> tuple[tuple[str, str], ...]:
-        """The headers of a response; a leaving node says that it is the last on its connection."""
+        """Returns the response headers, with `Connection: close` added while this node drains."""
         return (*headers, ("Connection", "close")) if self.is_draining else headers
 
     def may_send_cold(self, server_window: ServerWindow, rate: float, now: timedelta) -> bool:
-        """Whether a cold server that bears `rate` requests a second may be sent one of this edge's now."""
+        """Returns whether this edge may send a request now to a cold server limited to `rate` requests per second."""
         if not self._allowance.needs_window(rate):
             return server_window.may_send_cold(rate / self.edges, now)
         window = self._allowance.window(rate, self.cluster_clock.time(now) - UNIX_EPOCH)
         return window is not None and window != server_window.cold_window
 
     def count_cold_request(self, server_window: ServerWindow, service: str, now: timedelta) -> None:
-        """Counts a request of this edge that goes to a cold server."""
+        """Counts a request that this edge sends to a cold server against its share of the server's rate."""
         rate = self.services[service].cold_per_s if service in self.services else 0.0
         has_window = bool(rate) and self._allowance.needs_window(rate)
         server_window.count_cold_request(
@@ -175,11 +180,11 @@
         return self.cold_allowance
 
     def is_ejected(self, name: str, now: timedelta) -> bool:
-        """Whether the edges together keep off this server; it is selected only where no other has room."""
+        """Returns whether the server is ejected; it is then selected only if no other server has capacity."""
         return name in self.ejected_until and now < self.ejected_until[name]
 
     def usable(self, service: str, trust: Trust, now: timedelta) -> list[tuple[str, Any]]:
-        """(name, server) of the service's servers that may be sent requests."""
+        """Returns (name, server) of all servers of the service that may be sent requests."""
         return [
             (name, server)
             for name, server in self.state.servers.items()
@@ -187,7 +192,7 @@
         ]
 
     def usable_among(self, names: Any, service: str, trust: Trust, now: timedelta) -> list[tuple[str, Any]]:
-        """Those of the named servers that are of the service and may be sent requests."""
+        """Returns (name, server) of the named servers that belong to the service and may be sent requests."""
         servers = self.state.servers
         return [
             (name, servers[name])
@@ -198,7 +203,7 @@
         ]
 
     def count_running(self, request: ForwardedRequest, delta: int) -> None:
-        """Counts what runs, by service, name and server, for the placer."""
+        """Adds `delta` to the requests running per service, model and server, which the placer is told."""
         if request.service not in self.models:
             return
         names = self.running_by_service.setdefault(request.service, {})
--- a/sumachook/forwarding/resend.py
+++ b/sumachook/forwarding/resend.py
@@ -1,4 +1,4 @@
-"""The pass that decides, by the kind of a failure, whether and when a request goes again."""
+"""The pipeline pass that decides, by the kind of failure, whether and when a request is retried."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,15 +12,16 @@
 from sumachook.requests.in_flight_request import RequestState
 
 MAX_RESUMES = 3
-# The common backoff (`requests/request_table.py`) is cut off here.
+# Upper bound on the exponential backoff of `requests/request_table.py`.
 MAX_RESEND_DELAY = timedelta(seconds=0.2)
 
 
 class Resend:
-    """Not-run answers move on at once, transient ones after a jittered delay, what may not run twice never.
+    """Retries at once if the server did not run the request, and after a jittered backoff if it may have run.
 
-    A request goes to no more servers than its route's `tries`, and arrives no more often than that; two things are no
-    further try: taking a stream up at its last event, and one arrival on a kept connection that turned out to be dead.
+    A request that may not run twice is never retried after it may have run. A request is sent to at most as many
+    servers as its route's `tries`, and arrives at servers at most that often. Two kinds of attempt do not count:
+    resuming a stream at its last event, and one arrival on a keep-alive connection that turned out to be dead.
     """
 
     __slots__ = ("finish", "settle", "table")
@@ -31,7 +32,7 @@
         self.settle = settle
 
     def take(self, request: ForwardedRequest, failure: RequestFailure, now: timedelta) -> list[Any]:
-        """Ends the attempt under way; the request waits for another server, or gets its final answer."""
+        """Ends the current attempt; the request then waits for another server, or gets its final response."""
         effects = [CancelCall(request.attempt_id)] if request.is_at_server else []
         stated = request.response.retry_after if request.response is not None else None
         self._note_at_server(request, failure, stated, now)
@@ -50,7 +51,7 @@
         return effects
 
     def may_resend(self, request: ForwardedRequest) -> bool:
-        """Whether the request may be sent once more."""
+        """Returns whether the rules on retries and resumes allow another attempt of the request."""
         if request.reached_client:
             return bool(request.route.resumable and request.last_event_id and request.resumes < MAX_RESUMES)
         has_tries_left = request.arrivals - request.stale_arrivals < request.route.tries
--- a/sumachook/forwarding/response_metadata.py
+++ b/sumachook/forwarding/response_metadata.py
@@ -1,13 +1,13 @@
-"""What an edge reads off the head of a server's answer."""
+"""The response attributes that an edge reads from the status and headers of a server's response."""
 
 from typing import NamedTuple
 
 
 class ResponseMetadata(NamedTuple):
-    """The facts of an answer, whatever its headers are called."""
+    """Holds the parsed attributes of a response, independent of the header names."""
 
-    is_not_run: bool  # the server promises that it did not run the request and never will
+    is_not_run: bool  # the server states that it did not run the request and never will
     request_id: str
-    is_sealed: bool  # the server vouches for the body
+    is_sealed: bool  # the seal header marks the response as the server's own
     retry_after: float | None  # seconds
-    cold_ms: float  # for how long the server will still be cold
+    cold_ms: float  # remaining slow-start time of the server
--- a/sumachook/forwarding/response_relay.py
+++ b/sumachook/forwarding/response_relay.py
@@ -1,4 +1,4 @@
-"""The pass over what servers answer."""
+"""The pipeline pass that relays the responses of servers to clients."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -22,14 +22,14 @@
 from sumachook.requests.in_flight_request import RequestState
 from sumachook.runtime.cluster_clock import MILLISECOND
 
-NOT_RUN_STATUSES = (408, 429, 503)  # those that say to a client: not run
+NOT_RUN_STATUSES = (408, 429, 503)  # statuses that clients read as: the request did not run
 EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 OVERLOAD_STATUSES = (429, 503)
-MISDIRECTED = 421  # the server has not the model that the request asks for
+MISDIRECTED = 421  # the server does not hold the model of the request
 
 
 class ResponseRelay:
-    """Hands answers on unchanged: plain ones once they are complete, streams by complete events."""
+    """Relays responses unchanged: event streams event by event, other responses once they are complete."""
 
     __slots__ = ("_handlers", "finish", "resend", "table")
 
@@ -46,14 +46,14 @@
         }
 
     def take(self, event: Any, now: timedelta) -> list[Any]:
-        """An event of a call; one of an attempt that was given up is dropped."""
+        """Processes an event of an upstream call; ignores events of abandoned attempts."""
         request = self.table.requests.get(event.call_id.request)
         if request is None or request.attempt_id != event.call_id or not request.is_at_server:
             return []
         return self._handlers[type(event)](request, event, now)
 
     def _handle_sent(self, request: ForwardedRequest, event: Any, now: timedelta) -> list[Any]:
-        """The first byte is about to go out."""
+        """Counts the arrival of the attempt, because its first byte is about to be sent."""
         self._count_arrival(request, event.is_reused)
         return []
 
@@ -79,27 +79,29 @@
             return self.resend.take(request, failure, now)
         names = {name.lower(): value for name, value in headers}
         if status < 300 and (not response.is_sealed or names.get("content-encoding", "identity") != "identity"):
-            failure = FailureKind.UPSTREAM.because("bytes that are not the server's answer")
+            failure = FailureKind.UPSTREAM.because("the response is not marked as the server's own, or is encoded")
             return self.resend.take(request, failure, now)
         request.is_event_stream = status < 300 and names.get("content-type", "").startswith("text/event-stream")
         if status >= 300 and request.reached_client:
-            return self.resend.take(request, FailureKind.CUT.because(f"no resume, status {status}"), now)
+            return self.resend.take(
+                request, FailureKind.CUT.because(f"the server refused to resume the stream: status {status}"), now
+            )
         return []
 
     def _failure_of_head(
         self, request: ForwardedRequest, response: ResponseMetadata, status: int
     ) -> RequestFailure | None:
-        """Why this is no answer to be passed on, by its id, its marks and its status; or None."""
+        """Returns why the response must not be relayed, judged by request id, headers and status; None if it may be."""
         has_id = not request.metadata.request_id or response.request_id == request.metadata.request_id
         if not has_id and (response.request_id or request.is_reused):
-            return FailureKind.RESET.because("an answer to another request")
+            return FailureKind.RESET.because("the response belongs to another request")
         if response.is_not_run:
             request.run_history.note_not_run()
             return _kind_of_not_run(status).because()
-        if status in NOT_RUN_STATUSES:  # the client would take it for a promise that the server did not give
-            return FailureKind.UPSTREAM.because(f"{status} without the mark")
+        if status in NOT_RUN_STATUSES:  # the client would take it to mean that the request did not run
+            return FailureKind.UPSTREAM.because(f"{status} without the not-run header")
         if not has_id or status < 200:
-            return FailureKind.UPSTREAM.because("bytes that are no answer to this request")
+            return FailureKind.UPSTREAM.because("no request id in the response, or a status below 200")
         return None
 
     def _handle_chunk(self, request: ForwardedRequest, event: Any, now: timedelta) -> list[Any]:
@@ -114,7 +116,9 @@
             request.events += sum(events.count(mark) for mark in EVENT_ENDS)
         if request.first_token_at is None:
             if request.reached_client and not _continues(request.last_event_id or "", events):
-                return self.resend.take(request, FailureKind.CUT.because("the resume does not go on"), now)
+                return self.resend.take(
+                    request, FailureKind.CUT.because("the resumed stream does not continue after the last event"), now
+                )
             self._note_first_token(request, now)
         for line in events.split(b"\n"):
             if line.startswith(b"id:"):
@@ -144,11 +148,11 @@
             self.table.server_window(request.server).note_kept_connection(now)
         if request.is_event_stream:
             if request.buffer or not request.reached_client:
-                return self.resend.take(request, FailureKind.CUT.because("ended within an event"), now)
+                return self.resend.take(request, FailureKind.CUT.because("the stream ended within an event"), now)
             return self.finish.take(request, [EndResponse(request.call_id)], "done", now)
         if request.reached_client:
-            return self.resend.take(request, FailureKind.CUT.because("no stream on resuming"), now)
-        failure = FailureKind.UPSTREAM.because(f"the server said {request.status}") if request.status >= 500 else None
+            return self.resend.take(request, FailureKind.CUT.because("the resumed response is no event stream"), now)
+        failure = FailureKind.UPSTREAM.because(f"server error {request.status}") if request.status >= 500 else None
         if failure is not None and request.is_repeatable and request.attempt < request.route.tries:
             return self.resend.take(request, failure, now)
         reply = Reply(request.call_id, request.status, self._headers(request.response_headers), request.buffer)
@@ -166,19 +170,19 @@
 
 
 def _is_last_on_connection(headers: Any) -> bool:
-    """Whether the server says that it closes the connection after this answer."""
+    """Returns whether the server closes the connection after this response."""
     return any(name.lower() == "connection" and value.lower() == "close" for name, value in headers)
 
 
 def _kind_of_not_run(status: int) -> FailureKind:
-    """What it means that a server did not run a request, by the status that it gives."""
+    """Returns the kind of failure for a request that the server did not run, by the status of the response."""
     if status in OVERLOAD_STATUSES:
         return FailureKind.OVERLOAD
     return FailureKind.NO_MODEL if status == MISDIRECTED else FailureKind.REFUSED
 
 
 def _continues(last_event_id: str, events: bytes) -> bool:
-    """Whether the first event comes after the last one that was passed on; their ids rise.
+    """Returns whether the first event follows the last one relayed; numeric ids must increase, others must differ.
 
     >>> _continues("2", b"id: 3\\ndata: x\\n\\n"), _continues("2", b"id: 2\\n\\n"), _continues("2", b"data: x\\n\\n")
     (True, False, False)
--- a/sumachook/forwarding/routes.py
+++ b/sumachook/forwarding/routes.py
@@ -1,10 +1,10 @@
-"""Routes by host and prefix: a table, so that a thousand more cost nothing."""
+"""Route lookup by host and path prefix, in a hash table: a thousand more routes do not slow it down."""
 
 from typing import Any
 
 
 class Routes:
-    """Finds the route of the longest prefix that begins a path.
+    """Finds the route with the longest prefix of a request path.
 
     >>> from types import SimpleNamespace as Item
     >>> routes = Routes({("a", prefix): Item(prefix=prefix) for prefix in ("/", "/x/", "/x/y/")})
@@ -17,11 +17,11 @@
     __slots__ = ("by_match",)
 
     def __init__(self, by_match: dict[tuple[str, str], Any]) -> None:
-        """`by_match`: routes by host in small letters and prefix, as a checked document has them; it is read only."""
+        """`by_match` maps (lowercase host, prefix) to routes, as in a checked document; it is never modified."""
         self.by_match = by_match
 
     def find(self, host: str, path: str) -> Any:
-        """The route of this host whose prefix is the longest that begins the path, or None."""
+        """Returns the route of the host with the longest prefix of the path, or None if no route matches."""
         path = path.partition("?")[0]
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
--- a/sumachook/forwarding/send.py
+++ b/sumachook/forwarding/send.py
@@ -1,4 +1,4 @@
-"""The pass that sends a request to the server chosen for it."""
+"""The pipeline pass that sends a request to its selected server."""
 
 from datetime import timedelta
 from typing import Any
@@ -11,15 +11,15 @@
 from sumachook.requests.in_flight_request import RequestState
 
 CONNECT_TIMEOUT = timedelta(seconds=0.4)
-# A server gets twice the route's target for its first token, but no less than this, before another one is tried.
+# Another server is tried after twice the route's target latency without a first token, but not before this time.
 MIN_FIRST_TOKEN_TIME = timedelta(seconds=0.3)
 TARGETS_TO_FIRST_TOKEN = 2
 
 
 class SendAttempt:
-    """Names the instance, states what is left of the time, and keeps the three bounds apart.
+    """Starts an attempt: names the target server and the remaining time in the headers, and sets three timeouts.
 
-    The bounds are those on the connection, on the first token and on the whole answer.
+    The timeouts bound connecting, the first token and the whole response, separately.
     """
 
     __slots__ = ("table",)
@@ -28,7 +28,7 @@
         self.table = table
 
     def take(self, request: ForwardedRequest, name: str, now: timedelta) -> list[Any]:
-        """Sends the request to the server of this name."""
+        """Starts an attempt of the request at the server called `name`."""
         self.table.waiting.pop(request.number, None)
         self._begin_attempt(request, name, now)
         self._count_at_server(request, name, now)
@@ -89,7 +89,7 @@
         return self.table.access.urgency_scale.level(request.tenant_priority, request.route.priority)
 
     def _reuse(self, request: ForwardedRequest) -> ConnectionReuse:
-        """On a connection that was used before only the id tells an answer from a late one."""
+        """Forbids connection reuse without a request id, which alone tells a late response to another request apart."""
         if not request.metadata.request_id:
             return ConnectionReuse.NEVER
         return ConnectionReuse.ALWAYS if request.is_repeatable else ConnectionReuse.WHEN_ALIVE
--- a/sumachook/forwarding/server_selection.py
+++ b/sumachook/forwarding/server_selection.py
@@ -1,4 +1,4 @@
-"""The pass that selects servers for the requests that wait."""
+"""The pipeline pass that selects servers for waiting requests."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,30 +12,30 @@
 from sumachook.requests.failures import FailureKind, RequestFailure
 from sumachook.retry_budget.budget import service_key
 
-# Costs by which servers are compared, in milliseconds that a request is likely to take longer. Those of a server that
-# should be avoided are far above any load, so that it is taken only where no other has room.
-PREFILL_TOKENS_PER_MS = 38.0  # prompt tokens that a server reads in a millisecond, where nothing better is known
-ENGINE_IN_FLIGHT_COST_MS = 0.5  # for each request in flight at a model server
-IN_FLIGHT_COST_MS = 20.0  # for each request in flight at another server
-FULL_COST_MS = 200.0  # for as many requests beyond its slots as it has slots
+# Costs by which servers are compared, as the expected extra latency in milliseconds. The costs of a server to avoid are
+# far above those of any load, so that it is selected only if no other server has capacity.
+PREFILL_TOKENS_PER_MS = 38.0  # assumed prefill speed of a server
+ENGINE_IN_FLIGHT_COST_MS = 0.5  # per request in flight at a model server
+IN_FLIGHT_COST_MS = 20.0  # per request in flight at any other server
+FULL_COST_MS = 200.0  # at twice as many requests in flight as slots; linear in the excess
 OTHER_ZONE_COST_MS = 3.0
-NEW_CONNECTION_COST_MS = 2.0  # a round trip, and a moment of the server
+NEW_CONNECTION_COST_MS = 2.0  # a round trip, and some work for the server
 OVERLOADED_COST_MS = 500.0
 BREAKER_OPEN_COST_MS = 2000.0
-FAILED_COST_MS = 4 * BREAKER_OPEN_COST_MS  # it failed this very request
+FAILED_COST_MS = 4 * BREAKER_OPEN_COST_MS  # the server has failed this request before
 EJECTED_COST_MS = 4000.0
-# A prompt's prefix counts as cached at a server for so long after it was last sent there.
+# A prompt prefix counts as cached at a server for this time after it was last sent there.
 PREFIX_CACHE_TIME = timedelta(seconds=20)
-NO_DEADLINE_MS = 1e9  # above any request's time
-DEMAND_REPEAT = timedelta(seconds=0.3)  # between two reports that a request wants a placement
-CREDIT_WAIT = timedelta(seconds=0.5)  # that a resend waits for retry credit
-PLACEMENT_WAIT_FRACTION = 0.45  # of a request's time that it may wait for a placement that is being made
-CAPACITY_WAIT_FRACTION = 0.2  # of a request's time that it may wait for room at servers that are there
-MIN_RETRY_AFTER_S = 0.2  # the least that a client is told to wait where the end of its wait is known
+NO_DEADLINE_MS = 1e9  # longer than the timeout of any request
+DEMAND_REPEAT = timedelta(seconds=0.3)  # interval of demand reports per request that waits for a placement
+CREDIT_WAIT = timedelta(seconds=0.5)  # how long a retry waits for retry credit
+PLACEMENT_WAIT_FRACTION = 0.45  # of a request's timeout, spent waiting for a placement
+CAPACITY_WAIT_FRACTION = 0.2  # of a request's timeout, spent waiting for capacity at the servers
+MIN_RETRY_AFTER_S = 0.2  # lower bound on the Retry-After value if the end of the wait is known
 
 
 class ServerSelection:
-    """Compares servers by what they have in flight, what they have cached of the prompt, and where they stand."""
+    """Selects the server with the lowest expected latency, by load, cached prompt prefixes, connections and zone."""
 
     __slots__ = ("send", "settle", "table")
 
@@ -45,11 +45,11 @@
         self.settle = settle
 
     def take(self, now: timedelta, is_complete: bool = True) -> list[Any]:
-        """Sends what can be sent.
+        """Sends every waiting request for which a server has capacity.
 
-        Where not `is_complete`, only requests are looked at that began to wait since the last pass, and after the end
-        of an attempt also those that wait for room. What waits for a placement or for a moment is looked at when
-        placements change and with each tick.
+        Unless `is_complete`, only requests that started to wait since the last pass are considered and, if an attempt
+        has ended, those that wait for capacity. Requests that wait for a placement or for a backoff are considered when
+        placements change and on each tick.
         """
         table = self.table
         newly_waiting, has_freed_capacity = table.newly_waiting, table.has_freed_capacity
@@ -78,9 +78,9 @@
     def _candidates(
         self, request: ForwardedRequest, known: dict[str, list[tuple[str, Any]]], trust: Trust, now: timedelta
     ) -> list[tuple[str, Any]]:
-        """(name, server) of what the request may go to: the holders of its model, or all servers of its service.
+        """Returns (name, server) of the holders of the request's model, or else of all servers of its service.
 
-        Those of a whole service are kept in `known` for the rest of the pass.
+        `known` caches the servers of whole services for the rest of the pass.
         """
         table = self.table
         if request.service in table.models and request.metadata.model:
@@ -91,16 +91,16 @@
         return known[request.service]
 
     def _recheck(self, request: ForwardedRequest, now: timedelta) -> RequestFailure | None:
-        """Why a request that was admitted is not sent after all.
+        """Returns why an admitted request may no longer be sent, or None if it may.
 
-        Its key is looked up again whenever the configuration is another one: it may have waited for a long time, and
-        each further attempt is one more use of its key.
+        The API key is checked again after each change of the configuration: the request may have waited for a long
+        time, and each further attempt is one more use of its key.
         """
         table = self.table
         if request.needs_recheck and not self._has_same_route(request):
-            return FailureKind.NOT_READY.because("its route changed while this node was away")
+            return FailureKind.NOT_READY.because("the route changed while this node was disconnected")
         if request.metadata.credentials and request.tenant is not None and table.has_stale_credentials(now):
-            return FailureKind.NOT_READY.because("not in touch")
+            return FailureKind.NOT_READY.because("not connected to a core")
         if request.checked_generation == table.generation:
             return None
         request.checked_generation = table.generation
@@ -108,10 +108,10 @@
         if access.failure is not None:
             return access.failure
         tenant = access.tenant.name if access.tenant is not None else None
-        return None if tenant == request.tenant else FailureKind.NOT_READY.because("its key is of another tenant now")
+        return None if tenant == request.tenant else FailureKind.NOT_READY.because("the API key changed its tenant")
 
     def _has_same_route(self, request: ForwardedRequest) -> bool:
-        """What a node admitted that just woke goes on only where the catalogue that it knows now leads it as well."""
+        """Returns whether the current catalogue has the same route for a request admitted under an unconfirmed one."""
         request.needs_recheck = False
         return bool(self.table.routes.find(request.metadata.host, request.path) == request.route)
 
@@ -119,7 +119,7 @@
         table = self.table
         needs_placement = request.service in table.models and request.metadata.model
         if needs_placement and request.metadata.model not in table.models[request.service]:
-            failure = FailureKind.NO_MODEL.because(f"no model {request.metadata.model[:80]!r}")
+            failure = FailureKind.NO_MODEL.because(f"unknown model {request.metadata.model[:80]!r}")
             return self.settle.take(request, failure, now)
         usable = _allowed(request, usable)
         if not usable:
@@ -136,7 +136,7 @@
         return self.send.take(request, name, now)
 
     def _cheapest(self, request: ForwardedRequest, usable: list[tuple[str, Any]], now: timedelta) -> str | None:
-        """The name of the server that costs the request least, or None where none has room."""
+        """Returns the name of the server with the lowest cost for the request, or None if no server has capacity."""
         cheapest = None
         lowest = None
         for name, server in usable:
@@ -156,7 +156,7 @@
         return self._wait(request, now, is_unreachable and needs_placement)
 
     def has_other_server(self, request: ForwardedRequest, now: timedelta) -> bool:
-        """Whether the request could be sent to a server other than the one it is at."""
+        """Returns whether the request could be sent now to a server other than its current one."""
         trust = self.table.follower.trust(now)
         if trust in (Trust.EMPTY, Trust.UNPROVEN):
             return False
@@ -164,7 +164,7 @@
         return any(name != request.server and self._may_take(request, name, server, now) for name, server in usable)
 
     def _cost(self, request: ForwardedRequest, name: str, server: Any, now: timedelta) -> float | None:
-        """Milliseconds that this choice is likely to cost, or None where the server may not be given more now."""
+        """Returns the cost of the server in milliseconds, or None if the request may not be sent to it now."""
         table = self.table
         server_window: ServerWindow = table.server_window(name)
         if not self._may_take(request, name, server, now):
@@ -180,7 +180,7 @@
             + EJECTED_COST_MS * table.is_ejected(name, now)
             + table.random.random()
         )
-        # other edges are taken to have half as much in flight there as this one
+        # each other edge is assumed to have half as much in flight at the server as this one
         if request.service in table.models:
             pending = server_window.pending_tokens * max(1, table.edges // 2)
             unread = pending + self._uncached_tokens(request, server_window, now)
@@ -190,20 +190,20 @@
         return cost + IN_FLIGHT_COST_MS * server_window.in_use + FULL_COST_MS * excess / slots
 
     def _may_take(self, request: ForwardedRequest, name: str, server: Any, now: timedelta) -> bool:
-        """Whether the server may be given this request now: the one rule for selecting and for leaving a server."""
+        """Returns whether the request may be sent to the server now; used to select and to abandon servers."""
         return self._has_room(request, name, server, now) and not self._is_backing_off(request, name, now)
 
     def _is_backing_off(self, request: ForwardedRequest, name: str, now: timedelta) -> bool:
-        """Whether the server refused this request and its backoff is not over: it would most likely refuse again."""
+        """Returns whether the server refused this request and still backs off: it would most likely refuse again."""
         return name in request.failed_servers and self.table.server_window(name).is_overloaded(now)
 
     def _has_room(self, request: ForwardedRequest, name: str, server: Any, now: timedelta) -> bool:
-        """Whether the server may be given one more now."""
+        """Returns whether the server has capacity for one more request of this edge."""
         table, server_window = self.table, self.table.server_window(name)
         service: Any = table.services.get(request.service)
         limit = table.max_connections(request.service, name)
         if request.is_yielding:
-            limit = (limit + 1) // 2  # it runs where room is left
+            limit = (limit + 1) // 2  # over its quota: it may use only half of the connections
         if server_window.in_use >= limit or server_window.is_unreachable(now):
             return False
         return not self._is_cold(name, service, now) or table.may_send_cold(server_window, service.cold_per_s, now)
@@ -215,7 +215,7 @@
         return until is not None and now < until
 
     def _uncached_tokens(self, request: ForwardedRequest, server_window: ServerWindow, now: timedelta) -> int:
-        """Tokens of the prompt that this server is not known to have cached."""
+        """Returns how many tokens of the prompt the server is not known to have cached."""
         metadata = request.metadata
         tokens = metadata.prompt_tokens
         prefix: tuple[str, ...] = ()
@@ -228,14 +228,14 @@
         return max(0, tokens)
 
     def _wait_for_backoff(self, request: ForwardedRequest, until: timedelta, now: timedelta) -> list[Any]:
-        """The request waits until a server that refused it may be asked again, or ends at once if that is too late."""
+        """Lets the request wait for the end of the servers' backoff; refuses it at once if that is too late."""
         if until > _room_by(request):
             request.retry_after = max(MIN_RETRY_AFTER_S, (until - now).total_seconds())
             return self.settle.take(request, _last_failure(request), now)
         return []
 
     def _wait(self, request: ForwardedRequest, now: timedelta, is_wanted: Any) -> list[Any]:
-        """The request waits while a placement or room may come; it is refused as soon as its time will not do."""
+        """Lets the request wait for a placement or for capacity; refuses it once it has waited for too long."""
         table = self.table
         request.awaits_placement = bool(is_wanted)
         model = table.models.get(request.service, {}).get(request.metadata.model)
@@ -249,7 +249,7 @@
         return []
 
     def _report_demand(self, request: ForwardedRequest, now: timedelta) -> None:
-        """Tells the placer how many requests want the model, and how soon the first of them will be too late."""
+        """Reports to the placer how many requests wait for the model, and the shortest time left to a deadline."""
         request.wanted_at = now
         names = self.table.wanted_models.setdefault(request.service, {})
         count, soonest_ms = names.get(request.name, (0, NO_DEADLINE_MS))
@@ -258,22 +258,22 @@
 
 
 def _priority(request: ForwardedRequest) -> tuple[bool, int, int, int]:
-    """The order in which requests that wait are looked at."""
+    """Sort key of waiting requests: over quota last, then by tenant and route priority, then in order of arrival."""
     return request.is_yielding, request.tenant_priority, request.route.priority, request.number
 
 
 def _room_by(request: ForwardedRequest) -> timedelta:
-    """Until when the request may wait for room at servers that are there."""
+    """Returns until when the request may wait for capacity at the existing servers."""
     return request.arrived_at + (request.deadline - request.arrived_at) * CAPACITY_WAIT_FRACTION
 
 
 def _allowed(request: ForwardedRequest, usable: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
-    """As many servers as the route allows: then only those that it went to."""
+    """Limits the servers to those already tried once the request has been sent to as many as its route allows."""
     if len(request.sent_to) < request.route.tries:
         return usable
     return [(name, server) for name, server in usable if name in request.sent_to]
 
 
 def _last_failure(request: ForwardedRequest) -> RequestFailure:
-    """What went wrong with the last attempt, or that there was no room for one."""
-    return request.last_failure or FailureKind.OVERLOAD.because("no place in time")
+    """Returns the failure of the last attempt, or an overload failure if there was none."""
+    return request.last_failure or FailureKind.OVERLOAD.because("no server had capacity in time")
--- a/sumachook/forwarding/server_window.py
+++ b/sumachook/forwarding/server_window.py
@@ -1,16 +1,16 @@
-"""What an edge has in flight at one server of a service."""
+"""The per-server state of an edge's forwarding pipeline: requests in flight, backoffs and caches."""
 
 from datetime import timedelta
 
 from sumachook.requests import server_window
 from sumachook.requests.server_window import BackoffPolicy
 
-# A connection that rests is likely to be there for so long; a little less than it is kept.
+# An idle connection counts as usable for this time; a little shorter than it is kept open.
 KEPT_CONNECTION_TIME = timedelta(seconds=6)
 
 
 class ServerWindow(server_window.ServerWindow):
-    """Requests in flight, prompt tokens not yet read, breaker and backoffs of one server, as one edge sees them.
+    """Tracks requests in flight, unread prompt tokens, circuit breaker and backoffs of one server, as seen by one edge.
 
     >>> window = ServerWindow()
     >>> for _ in range(ServerWindow.BACKOFF.failures_to_open): window.record_failure(timedelta(0))
@@ -30,7 +30,7 @@
         "unreachable_until",
     )
 
-    # Forwarded requests are short: a failing server is left quickly, and tried again soon.
+    # Forwarded requests are short, so a failing server is avoided quickly and probed again soon.
     BACKOFF = BackoffPolicy(
         failures_to_open=2,
         min_breaker_backoff=timedelta(seconds=0.5),
@@ -41,54 +41,54 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.pending_tokens = 0  # of prompts that are not read yet
+        self.pending_tokens = 0  # prompt tokens sent to the server that it has not read yet
         self.unreachable_until: timedelta | None = None
         self.unreachable_backoff = self.BACKOFF.min_breaker_backoff
-        # when a prefix was last sent there, by model, adapter and the ids of the prompt's parts up to here
+        # when a prompt prefix was last sent to the server, by model, adapter and the part ids of the prefix
         self.cached_prefixes: dict[tuple[str, str, tuple[str, ...]], timedelta] = {}
-        # the token bucket of a cold server, and the last window of the `ColdAllowance` that was used
+        # token bucket for a cold server, and the last `ColdAllowance` window used
         self.cold_tokens = 0.0
         self.cold_tokens_at: timedelta | None = None
         self.cold_window: int | None = None
-        # about how many connections to it rest, and since when the last of them does
+        # estimated number of idle connections to the server, and when the latest became idle
         self.kept_connections = 0
         self.kept_since = timedelta(0)
 
     def is_unreachable(self, now: timedelta) -> bool:
-        """Whether nobody listened there a moment ago: nothing is sent until a probe is due."""
+        """Returns whether the last connection attempt failed recently; nothing is sent until the backoff ends."""
         return self.unreachable_until is not None and now < self.unreachable_until
 
     def record_unreachable(self, now: timedelta) -> None:
-        """Nobody listens there."""
+        """Records that the server accepted no connection, and doubles the backoff."""
         self.unreachable_until = now + self.unreachable_backoff
         self.unreachable_backoff = min(self.unreachable_backoff * 2, self.BACKOFF.max_breaker_backoff)
 
     def begin(self, tokens: int) -> None:
-        """An attempt with so many prompt tokens begins."""
+        """Counts the start of an attempt with `tokens` prompt tokens."""
         self.count_attempt()
         self.pending_tokens += tokens
         self.kept_connections = max(0, self.kept_connections - 1)
 
     def note_kept_connection(self, now: timedelta) -> None:
-        """An answer is complete, and its connection may carry another request."""
+        """Counts an idle connection: a response is complete, and its connection can be reused."""
         self.kept_connections += 1
         self.kept_since = now
 
     def has_kept_connection(self, now: timedelta) -> bool:
-        """Whether a request that is sent now is likely to need no new connection."""
+        """Returns whether a request sent now is likely to reuse an idle connection."""
         if now - self.kept_since > KEPT_CONNECTION_TIME:
             self.kept_connections = 0
         return self.kept_connections > 0
 
     def record_success(self) -> None:
-        """The server answers: all backoffs end."""
+        """Ends all backoffs, because the server answered."""
         super().record_success()
         self.clear_overload()
         self.unreachable_until = None
         self.unreachable_backoff = self.BACKOFF.min_breaker_backoff
 
     def may_send_cold(self, per_second: float, now: timedelta) -> bool:
-        """A bucket of this edge's part of what the cold server bears a second; it holds one request at most."""
+        """Refills the token bucket at `per_second`, up to one request, and returns whether it covers a request."""
         if self.cold_tokens_at is None:
             self.cold_tokens_at = now
             self.cold_tokens = 1.0
@@ -97,6 +97,6 @@
         return self.cold_tokens >= 1.0
 
     def count_cold_request(self, window: int | None = None) -> None:
-        """Counts a request to a cold server: one token of the bucket, and this edge's window where it has one."""
+        """Counts a request to a cold server: takes one token from the bucket and records the `ColdAllowance` window."""
         self.cold_tokens -= 1.0
         self.cold_window = window
--- a/sumachook/forwarding/settle.py
+++ b/sumachook/forwarding/settle.py
@@ -1,4 +1,4 @@
-"""The pass that gives a failed request its final answer, at once."""
+"""The pipeline pass that ends a failed request with its final error response."""
 
 from datetime import timedelta
 from typing import Any
@@ -10,7 +10,7 @@
 from sumachook.host.effects import AbortResponse, CancelCall, Reply
 from sumachook.requests.failures import FailureKind, RequestFailure
 
-DEFAULT_RETRY_AFTER_S = 0.3  # where nothing better is known
+DEFAULT_RETRY_AFTER_S = 0.3  # used if neither a server nor the quota states a time
 FINAL_REFUSALS = frozenset({FailureKind.ALLOWANCE, FailureKind.UNKNOWN_CALLER})
 TIMEOUTS = frozenset(
     {FailureKind.DEADLINE, FailureKind.TOTAL_TIMEOUT, FailureKind.FIRST_TOKEN_TIMEOUT, FailureKind.WAKE_TIMEOUT}
@@ -18,7 +18,7 @@
 
 
 class Settle:
-    """What has not run is promised not to have run, with a time to come back; what may have run promises nothing."""
+    """Ends failed requests: only one that has not run is reported as not run and answered with `Retry-After`."""
 
     __slots__ = ("finish", "table")
 
@@ -27,7 +27,7 @@
         self.finish = finish
 
     def take(self, request: ForwardedRequest, failure: RequestFailure, now: timedelta) -> list[Any]:
-        """Ends the request with an answer that tells this failure."""
+        """Ends the request with an error response for `failure`; a response already begun is aborted."""
         effects = [CancelCall(request.attempt_id)] if request.attempt_id is not None and request.is_at_server else []
         if request.reached_client:
             return self.finish.take(request, [*effects, AbortResponse(request.call_id)], "fault", now, failure)
@@ -40,7 +40,7 @@
 
 
 def _status(request: ForwardedRequest, failure: RequestFailure) -> int:
-    """The HTTP status of the answer: 503 promises that the request did not run."""
+    """Returns the HTTP status of the error response; 503 guarantees that the request did not run."""
     has_not_run = request.run_status is RunStatus.NOT_RUN
     if failure.kind is FailureKind.REFUSED and request.response is not None and has_not_run:
         if 400 <= request.status < 500:
--- a/sumachook/forwarding/timeouts.py
+++ b/sumachook/forwarding/timeouts.py
@@ -1,4 +1,4 @@
-"""The pass over requests whose time is up."""
+"""The pipeline pass that enforces deadlines and first-token timeouts."""
 
 from datetime import timedelta
 from typing import Any
@@ -13,13 +13,13 @@
 from sumachook.requests.in_flight_request import RequestState
 from sumachook.retry_budget.budget import service_key
 
-RECHECK_INTERVAL = timedelta(seconds=0.1)  # for another server, while this one is silent
-# The ledger is told that a request is open once it is in flight for longer; most are closed before.
+RECHECK_INTERVAL = timedelta(seconds=0.1)  # between looking for another server while the current one is silent
+# A request in flight for longer gets an opening record in the ledger; most requests are closed before.
 RECORD_OPEN_AFTER = timedelta(seconds=0.2)
 
 
 class Timeouts:
-    """First token and total, each its own bound; neither ends a running stream before the request's own deadline."""
+    """Enforces two timeouts, on the first token and on the request; a running stream ends only at its deadline."""
 
     __slots__ = ("resend", "server_selection", "settle", "table")
 
@@ -30,7 +30,7 @@
         self.server_selection = server_selection
 
     def take(self, now: timedelta) -> list[Any]:
-        """Looks at every request in flight."""
+        """Checks every request in flight: records long ones, ends those past their deadline, retries silent ones."""
         effects = []
         for request in list(self.table.requests.values()):
             if not request.is_recorded and now - request.arrived_at > RECORD_OPEN_AFTER:
@@ -47,7 +47,7 @@
         return is_attempting and now >= request.first_token_by and request.first_token_at is None
 
     def _try_another_server(self, request: ForwardedRequest, now: timedelta) -> list[Any]:
-        """A silent server is left only for another that the request may be sent to now: silence ends no answer."""
+        """Abandons a silent server only if the request may be sent to another one now; else keeps waiting for it."""
         is_paid = bool(request.sent_to)
         if (
             not self.resend.may_resend(request)
