--- a/sumachook/calls/__init__.py
+++ b/sumachook/calls/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to servers: what forwarded requests, inference requests and orders to servers have in common."""
+"""Whether calls to servers may have run, tracked alike for forwarded requests, inference requests and orders."""
--- a/sumachook/calls/run_status.py
+++ b/sumachook/calls/run_status.py
@@ -1,25 +1,25 @@
-"""When a call to a server may have run: the rule that forwarded requests, inference requests and orders share.
-
-1. Until the first byte of a call is handed to the kernel, the call has not run. A connection that was refused, or that
-   did not come up in time, carried no byte: nothing is queued on a connection before it stands.
-2. From that byte on the call may have run, whatever happens next: silence, a reset, a close, a cut answer, a timeout,
-   bytes that are no answer, or a kept connection that was already dead, and whether or not the kernel still holds
-   the byte.
-3. Only the server's explicit statement takes that back: an answer to this very call, with a refusing status, that says
-   it was not run. It speaks of one attempt; an earlier attempt that may have run stays so.
+"""Rules on whether a call to a server may have run, for forwarded requests, inference requests and orders.
+
+1. Until the first byte of a call is passed to the kernel, the call has not run. A connection that was refused or timed
+   out while connecting carried no byte: nothing is queued on a connection before it is established.
+2. From that byte on the call may have run, whatever happens next: silence, a reset, a close, a truncated response, a
+   timeout, bytes that are not a valid response, or a keep-alive connection that was already dead, and whether or not
+   the byte is still in the kernel's send buffer.
+3. Only an explicit statement of the server revokes that: a response to this very call, with a refusing status, that
+   says it was not run. It covers one attempt; an earlier attempt that may have run still counts.
 4. A call that may not be repeated is sent again only while none of its attempts may have run, and always on a fresh
    connection.
 """
 
 from enum import StrEnum
 
-MISDIRECTED_REQUEST = 421  # by itself says that the server did not run the call
-# with one of these a server may say that it did not run the call; another status contradicts that
+MISDIRECTED_REQUEST = 421  # states by itself that the server did not run the call
+# a not-run header counts only with one of these statuses; any other status contradicts it
 REFUSING_STATUSES = frozenset({400, 408, MISDIRECTED_REQUEST, 429, 503})
 
 
 class RunStatus(StrEnum):
-    """What is known about whether a call has run; the values are those that the ledger writes."""
+    """Whether a call has run, as far as this node knows; the values are written to ledger records."""
 
     NOT_RUN = "no"
     MAY_HAVE_RUN = "maybe"
@@ -27,7 +27,7 @@
 
 
 class CallFailure(StrEnum):
-    """How an attempt ended without a complete answer."""
+    """How an attempt failed without a complete response."""
 
     REFUSED = "refused"
     CONNECT_TIMEOUT = "connect-timeout"
@@ -36,12 +36,12 @@
 
     @property
     def was_before_first_byte(self) -> bool:
-        """Whether the attempt ended before any byte of the call was handed to the kernel."""
+        """Whether the attempt failed before any byte of the call was passed to the kernel."""
         return self in (CallFailure.REFUSED, CallFailure.CONNECT_TIMEOUT)
 
 
 def says_not_run(status: int, is_marked: bool) -> bool:
-    """Whether an answer to this call states that the server did not run it; `is_marked` where a header says so.
+    """Returns whether a response states that the call was not run; `is_marked` means that it has the not-run header.
 
     >>> says_not_run(503, True), says_not_run(503, False), says_not_run(200, True), says_not_run(421, False)
     (True, False, False, True)
@@ -50,7 +50,7 @@
 
 
 class RunHistory:
-    """Whether one call has run, over all attempts made for it.
+    """Tracks whether one call has run, over all of its attempts.
 
     >>> history = RunHistory()
     >>> history.begin_attempt(); history.note_first_byte(); history.note_not_run(); history.status
@@ -69,12 +69,12 @@
     __slots__ = ("_earlier", "_attempt")
 
     def __init__(self) -> None:
-        self._earlier = RunStatus.NOT_RUN  # over the attempts before the latest
-        self._attempt = RunStatus.NOT_RUN  # of the latest
+        self._earlier = RunStatus.NOT_RUN  # over all attempts before the latest
+        self._attempt = RunStatus.NOT_RUN  # status of the latest attempt
 
     @property
     def status(self) -> RunStatus:
-        """What is known over all attempts."""
+        """The combined status of all attempts."""
         return self._attempt if self._earlier is RunStatus.NOT_RUN else self._earlier
 
     @property
@@ -88,28 +88,28 @@
         return self.status is not RunStatus.NOT_RUN
 
     def begin_attempt(self) -> None:
-        """The call is about to be sent (again)."""
+        """Starts a new attempt, which has not run yet."""
         self._earlier, self._attempt = self.status, RunStatus.NOT_RUN
 
     def note_first_byte(self) -> None:
-        """The first byte of the latest attempt is handed to the kernel (rule 2)."""
+        """Records that the first byte of the latest attempt was passed to the kernel (rule 2)."""
         if self._attempt is RunStatus.NOT_RUN:
             self._attempt = RunStatus.MAY_HAVE_RUN
 
     def note_not_run(self) -> None:
-        """The server stated that it did not run the latest attempt (rule 3)."""
+        """Records the server's statement that it did not run the latest attempt (rule 3)."""
         self._attempt = RunStatus.NOT_RUN
 
     def note_complete_answer(self) -> None:
-        """The server answered, so the call has run."""
+        """Records a complete response, which means that the call has run."""
         self._earlier = RunStatus.RAN
         self._attempt = RunStatus.RAN
 
     def note_failure(self, failure: CallFailure) -> None:
-        """The latest attempt failed (rules 1 and 2)."""
+        """Records that the latest attempt failed (rules 1 and 2)."""
         if not failure.was_before_first_byte:
             self.note_first_byte()
 
     def may_send_again(self, is_repeatable: bool) -> bool:
-        """Whether another attempt is allowed (rule 4)."""
+        """Returns whether another attempt is allowed (rule 4)."""
         return is_repeatable or not self.may_have_run
--- a/sumachook/requests/__init__.py
+++ b/sumachook/requests/__init__.py
@@ -1,1 +1,1 @@
-"""What both request pipelines of an edge share: the states of a request, of a server and of a quota claim."""
+"""Code shared by the forwarding and inference pipelines of an edge: requests, server windows and quota charges."""
--- a/sumachook/requests/call_ids.py
+++ b/sumachook/requests/call_ids.py
@@ -1,23 +1,23 @@
-"""Ids by which hosts and other parts of an edge name what a pipeline has under way."""
+"""Identifiers of the client requests and upstream calls of a pipeline."""
 
 from typing import Any, NamedTuple
 
-FORWARDING = "transit"  # a forwarded attempt; also the component of its lines in the program's log
-INFERENCE = "ferry"  # the inference pipeline in the program's log
-PROXY = "front"  # a request of a client at the proxy server
+FORWARDING = "transit"  # an attempt of a forwarded request; also the component of the forwarding pipeline in the log
+INFERENCE = "ferry"  # the component of the inference pipeline in the log
+PROXY = "front"  # a client request at the proxy server
 
 
 class ProxyCallId(NamedTuple):
-    """One request of a client at the proxy server; `kind` is `PROXY`."""
+    """Identifies one client request at the proxy server; `kind` is always `PROXY`."""
 
     kind: str
     number: int
 
 
 class AttemptId(NamedTuple):
-    """One attempt of a request at a server; the id of a call that the host makes.
+    """Identifies one attempt of a request at a server, and the HTTP call that the host makes for it.
 
-    `kind` is `FORWARDING`, or "prompt" or "lookup" of the inference pipeline.
+    `kind` is `FORWARDING`, or "prompt" or "lookup" for the inference pipeline.
     """
 
     kind: str
@@ -25,12 +25,12 @@
     attempt: int
 
     def __repr__(self) -> str:
-        """As the plain tuple that it is to hosts; what is printed of calls stays comparable over versions."""
+        """Formats the id as a plain tuple, so that the printed calls of different versions stay comparable."""
         return tuple.__repr__(self)
 
 
 def is_proxied(call_id: Any) -> bool:
-    """Whether a call belongs to a forwarded request: that of its client, or an attempt at a server.
+    """Returns whether a call id belongs to a forwarded request: to its client or to an attempt at a server.
 
     >>> is_proxied(ProxyCallId(PROXY, 1)), is_proxied(AttemptId("lookup", 1, 1)), is_proxied(1)
     (True, False, False)
--- a/sumachook/requests/events.py
+++ b/sumachook/requests/events.py
@@ -1,4 +1,4 @@
-"""What an edge tells its request pipelines beside the events of its host."""
+"""Events that an edge passes to its request pipelines, in addition to the events of the host."""
 
 from collections.abc import Collection, Mapping
 
@@ -6,38 +6,38 @@
 
 
 class DrainStarted(Event, frozen=True):
-    """The node will leave: it says so to its clients."""
+    """The node will shut down, and its responses announce that the connection closes."""
 
 
 class ProxyServerClosed(Event, frozen=True):
-    """No more connections of clients are taken."""
+    """The proxy server accepts no more client connections."""
 
 
 class DrainEnded(Event, frozen=True):
-    """The node leaves now: what is still in flight gets its final answer."""
+    """The node shuts down now: requests still in flight get their final response."""
 
 
 class ConnectivityRestored(Event, frozen=True):
-    """The node was cut off from the cores and is no longer."""
+    """The node is connected to the cores again."""
 
 
 class ServersLeaving(Event, frozen=True):
-    """A core says that these servers are leaving, before that is ordered."""
+    """A core announces that these servers are leaving, before the change is committed."""
 
     servers: Collection[str]
 
 
 class ServersEjected(Event, frozen=True):
-    """The edges together keep off these servers, for so many milliseconds."""
+    """All edges avoid these servers as outliers, each for the given number of milliseconds."""
 
     durations_ms: Mapping[str, float]
 
 
 class ServersCold(Event, frozen=True):
-    """These servers bear few requests, for so many milliseconds."""
+    """These servers are in slow start, each for the given number of milliseconds."""
 
     durations_ms: Mapping[str, float]
 
 
 class PlacesChanged(Event, frozen=True):
-    """Other models stand at the servers than before."""
+    """The placement of models on servers has changed."""
--- a/sumachook/requests/failures.py
+++ b/sumachook/requests/failures.py
@@ -1,4 +1,4 @@
-"""How requests can fail, and what that means for a resend and for the answer."""
+"""Failure kinds of requests, with their HTTP statuses and whether they may be retried."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class FailureKind(StrEnum):
-    """The class of a failure; the value is what callers and the ledger read."""
+    """The class of a failure; its value appears in error responses and in ledger records."""
 
     UNREACHABLE = "unreachable"
     RESET = "reset"
@@ -32,12 +32,12 @@
     ALLOWANCE = "allowance"
 
     def because(self, reason: str = "") -> "RequestFailure":
-        """A failure of this kind with its reason."""
+        """Returns a failure of this kind with the given reason."""
         return RequestFailure(self, reason)
 
 
 class RequestFailure(msgspec.Struct, frozen=True):
-    """Why a request, or one attempt of it, failed.
+    """Describes why a request, or one attempt of it, failed.
 
     >>> failure = FailureKind.OVERLOAD.because("line counter holds 64")
     >>> failure.kind is FailureKind.OVERLOAD, failure.name, failure.status
@@ -49,12 +49,12 @@
 
     @property
     def name(self) -> str:
-        """The word for its kind that callers and the ledger read."""
+        """The value of its kind, as written to error responses and ledger records."""
         return self.kind.value
 
     @property
     def status(self) -> int:
-        """The HTTP status of the answer that tells a caller of it."""
+        """The HTTP status of the error response for this failure."""
         return HTTP_STATUSES[self.kind]
 
 
@@ -83,7 +83,7 @@
     FailureKind.ALLOWANCE: 429,
 }
 
-# The edge itself may send such a request again.
+# Failures after which the edge may retry the request itself.
 RESENDABLE = frozenset(
     {
         FailureKind.UNREACHABLE,
@@ -94,7 +94,7 @@
     }
 )
 
-# The caller may send such a request again later, and is told when (`Retry-After`).
+# Failures after which the client may retry later; the error response says when (`Retry-After`).
 RETRYABLE_BY_CALLER = RESENDABLE | {
     FailureKind.WAKE_TIMEOUT,
     FailureKind.TOTAL_TIMEOUT,
--- a/sumachook/requests/in_flight_request.py
+++ b/sumachook/requests/in_flight_request.py
@@ -1,4 +1,4 @@
-"""What both pipelines know of a request between its admission and its final answer."""
+"""The request state that the forwarding and inference pipelines share, from admission to the final response."""
 
 from datetime import timedelta
 from enum import StrEnum
@@ -10,12 +10,12 @@
 
 
 class RequestState(StrEnum):
-    """Where a request stands."""
+    """The stages of a request in flight."""
 
-    RECORDING = "recording"  # until the ledger has its record
-    WAITING = "waiting"  # for a server
-    ATTEMPTING = "attempting"  # sent to a server; nothing has reached the client
-    STREAMING = "streaming"  # a part of the answer has reached the client
+    RECORDING = "recording"  # waiting until the ledger has stored its opening record
+    WAITING = "waiting"  # waiting for a server
+    ATTEMPTING = "attempting"  # sent to a server; nothing has been sent to the client yet
+    STREAMING = "streaming"  # a part of the response has been sent to the client
     SETTLED = "settled"
 
 
@@ -24,7 +24,7 @@
 
 
 class InFlightRequest:
-    """A request that was admitted and has no final answer yet; times are those of the machine's clock."""
+    """Holds the state of an admitted request without a final response; times are of the monotonic clock."""
 
     __slots__ = (
         "arrived_at",
@@ -62,10 +62,10 @@
         self.deadline = arrived_at + patience
         self.not_before = arrived_at
         self.state = state
-        self.generation = 0  # of the catalogue under which it was admitted
-        self.needs_recheck = False  # admitted while this node could not yet trust its catalogue
+        self.generation = 0  # generation of the catalogue that admitted it
+        self.needs_recheck = False  # admitted before this node could confirm that its catalogue is current
         self.is_stream = False
-        # the latest attempt, and those before it
+        # the current attempt, and earlier ones
         self.attempt = 0
         self.attempt_id: AttemptId | None = None
         self.server = ""
@@ -73,16 +73,16 @@
         self.first_token_by = self.deadline
         self.run_history = RunHistory()
         self.finished_attempts: list[Any] = []
-        self.failed_servers: tuple[str, ...] = ()  # the one that failed last comes last
+        self.failed_servers: tuple[str, ...] = ()  # in order of their latest failure
         self.last_failure: RequestFailure | None = None
         self.reached_client = False
         self.last_event_id: str | None = None
         self.resumes = 0
-        # waiting for another attempt
+        # state while waiting for another attempt
         self.needs_credit = False
         self.credit_by = self.deadline
-        self.retry_after: float | None = None  # seconds, as a server or the quota states them
-        # of its tenant's quota
+        self.retry_after: float | None = None  # seconds, as stated by a server or by the quota
+        # quota of its tenant
         self.tenant: str | None = None
         self.charged_tokens = 0
         self.is_yielding = False
@@ -90,14 +90,17 @@
 
     @property
     def is_at_server(self) -> bool:
-        """Whether an attempt is under way."""
-        return self.state is _ATTEMPTING or self.state is _STREAMING  # asked for every event: no hash of an enum
+        """Whether an attempt is in progress at a server."""
+        return self.state is _ATTEMPTING or self.state is _STREAMING  # runs on every event; avoids hashing the enum
 
     @property
     def run_status(self) -> RunStatus:
-        """What is known about whether it has run."""
+        """Whether the request has run, as far as this edge knows."""
         return self.run_history.status
 
     def note_failed_server(self, server: str) -> None:
-        """Selections prefer servers that have not failed this request, then the one that did longest ago."""
+        """Moves the server to the end of `failed_servers`.
+
+        Server selection prefers servers that have not failed this request, then the one that failed it longest ago.
+        """
         self.failed_servers = (*(name for name in self.failed_servers if name != server), server)
--- a/sumachook/requests/model_server_api.py
+++ b/sumachook/requests/model_server_api.py
@@ -1,4 +1,4 @@
-"""How one format of model server is spoken to; another format is another such file."""
+"""The HTTP API of model servers: builds calls and parses responses; another API needs its own module."""
 
 from typing import Any, NamedTuple
 
@@ -11,17 +11,17 @@
 
 
 class ChatDelta(NamedTuple):
-    """What one event of a chat completion says."""
+    """The content of one server-sent event of a chat completion."""
 
     text: str
     finish_reason: str | None
-    tokens_used: int | None  # so far, where the server counts them
+    tokens_used: int | None  # completion tokens so far, if the server reports them
 
 
 class ModelServerApi:
-    """Chat completions with server-sent events, llama.cpp's router for models, vLLM's calls for adapters.
+    """Supports OpenAI chat completions as server-sent events, llama.cpp's model router and vLLM's LoRA adapter calls.
 
-    Reading is static, so this holds no state.
+    All methods are static or class methods, since the API needs no state.
     """
 
     __slots__ = ()
@@ -31,19 +31,22 @@
 
     @staticmethod
     def chat(request_id: str, body: dict[str, Any]) -> HttpCall:
-        """The call that runs a prompt; its answer is always streamed."""
+        """Returns the call that runs a prompt; the response is always streamed."""
         document = {**body, "stream": True, "stream_options": {"include_usage": True}}
         return "POST", "/v1/chat/completions", _json_headers({REQUEST: request_id}), msgspec.json.encode(document)
 
     @staticmethod
     def resume(request_id: str, last_event_id: str) -> HttpCall:
-        """A GET: a server that does not know how to resume can never run the prompt again for it."""
+        """Returns the call that resumes a stream.
+
+        It is a GET, so that a server without support for resuming can never run the prompt again.
+        """
         headers = {"Last-Event-ID": last_event_id, REQUEST: request_id}
         return "GET", f"/v1/chat/completions/{request_id}", headers, b""
 
     @staticmethod
     def order(verb: str, kind: str, name: str, fence: int) -> HttpCall:
-        """The call that loads or unloads ("load", "unload") a model or an adapter, with its fencing token."""
+        """Returns the call that loads or unloads (`verb`) a model or an adapter (`kind`), with its fencing token."""
         if kind == "model":
             path, body = f"/models/{verb}", {"model": name}
         elif verb == "load":
@@ -54,7 +57,7 @@
 
     @classmethod
     def read_models(cls, body: bytes) -> dict[str, str] | None:
-        """{name: condition}, or None for an answer that is none.
+        """Parses the list of models into {name: "ready" or "loading"}; returns None if the body is invalid.
 
         >>> loaded, unloaded = b'{"id":"m","status":{"value":"loaded"}}', b'{"id":"n","status":{"value":"unloaded"}}'
         >>> ModelServerApi.read_models(b'{"data":[%s,%s]}' % (loaded, unloaded))
@@ -72,7 +75,7 @@
 
     @staticmethod
     def read_adapters(body: bytes) -> dict[str, str] | None:
-        """{name: "ready"} of the entries that have a parent."""
+        """Parses the adapters, which are entries with a parent, into {name: "ready"}; None if the body is invalid."""
         try:
             return {item["id"]: "ready" for item in msgspec.json.decode(body)["data"] if item.get("parent")}
         except (msgspec.DecodeError, KeyError, TypeError, AttributeError):
@@ -80,7 +83,7 @@
 
     @staticmethod
     def read_event(data: str) -> ChatDelta | None:
-        """What an event says, or None where it is no event of a chat completion."""
+        """Parses a server-sent event; returns None if it is not one of a chat completion."""
         try:
             event = msgspec.json.decode(data.encode())
             choice: dict[str, Any] = (event.get("choices") or ({},))[0]
--- a/sumachook/requests/quota_charge.py
+++ b/sumachook/requests/quota_charge.py
@@ -1,4 +1,4 @@
-"""Claims a tenant's quota for a request, and sets the charge right at the request's end."""
+"""Claims tenant quota for a request, and refunds the unused part when the request ends."""
 
 from datetime import timedelta
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class QuotaCharge:
-    """A request that did not run costs nothing; one that ran gives back the tokens that it did not use."""
+    """Charges requests to tenant quotas: one that did not run is refunded in full, one that ran its unused tokens."""
 
     __slots__ = ("pipeline",)
 
@@ -17,14 +17,14 @@
         self.pipeline = pipeline
 
     def claim(self, request: InFlightRequest, key: int | str, now: timedelta) -> list[Any]:
-        """Asks for the request's tokens; `key` is the request's in its table."""
+        """Requests admission for the tokens of a request; `key` is its key in the request table."""
         if request.tenant is None:
             return []
         admission_key = AdmissionKey(self.pipeline, key)
         return [AdmissionRequested(admission_key, request.tenant, request.charged_tokens, request.deadline - now)]
 
     def settle(self, request: InFlightRequest, key: int | str, is_done: bool) -> list[Any]:
-        """Gives back what was claimed and not used."""
+        """Refunds the quota that the request claimed but did not use."""
         if request.tenant is None or request.is_yielding or request.quota_details:
             return []
         admission_key = AdmissionKey(self.pipeline, key)
@@ -34,5 +34,5 @@
         return [] if unused is None else [UsageSettled(admission_key, request.tenant, 0, max(0, unused))]
 
     def unused_tokens(self, request: Any, is_done: bool) -> int | None:
-        """Claimed tokens that did not come out, or None where that is not counted."""
+        """Returns how many claimed tokens were not generated, or None if the pipeline does not count them."""
         raise NotImplementedError
--- a/sumachook/requests/quota_decision.py
+++ b/sumachook/requests/quota_decision.py
@@ -1,4 +1,4 @@
-"""The pass over requests that waited for their tenant's quota."""
+"""The pipeline pass that handles the rate limiter's decisions on requests waiting for quota."""
 
 from datetime import timedelta
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 class QuotaDecision:
-    """Lets them enter the pipeline, as ones that yield to others if they are over the quota; or ends them, not run."""
+    """Lets granted requests proceed, with low priority if over quota, and ends denied ones as not run."""
 
     __slots__ = ("entry", "settle", "table")
 
@@ -18,7 +18,7 @@
         self.settle = settle
 
     def take(self, decision: AdmissionDecision, now: timedelta) -> list[Any]:
-        """`decision` is what the rate limiter answers to an `AdmissionRequested`."""
+        """Processes `decision`, the rate limiter's reply to an `AdmissionRequested`."""
         request = self.table.requests.get(decision.key.request)
         if request is None:
             return []
@@ -32,4 +32,4 @@
                 request.quota_details = decision.record_fields
                 settled: list[Any] = self.settle.take(request, FailureKind.ALLOWANCE.because(decision.reason), now)
                 return settled
-        raise TypeError(f"no decision of the rate limiter: {decision!r}")
+        raise TypeError(f"unexpected rate limiter decision: {decision!r}")
--- a/sumachook/requests/request_table.py
+++ b/sumachook/requests/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that an edge has in flight, and what the passes of a pipeline share."""
+"""The table of requests in flight at an edge, with the state that the passes of a pipeline share."""
 
 from datetime import timedelta
 from random import Random
@@ -7,16 +7,16 @@
 from sumachook.changefeed.trust import Trust
 from sumachook.requests.server_window import ServerWindow
 
-# Beyond it an edge refuses: a bound on its memory.
+# An edge refuses requests beyond this number, to bound its memory.
 MAX_REQUESTS = 4000
-# A core repeats its notice until the change is ordered or no longer needed; this outlasts the pause between two.
+# A core repeats a leaving notice until the change is committed or withdrawn; this is longer than the repeat interval.
 LEAVING_NOTICE_TTL = timedelta(seconds=2)
 BASE_RETRY_DELAY = timedelta(seconds=1)
 MAX_RETRY_DELAY = timedelta(seconds=30)
 
 
 class RequestTable:
-    """Requests by id, windows of servers, and what is known of the rest of the fleet; the passes hold the logic."""
+    """Holds requests by id, server windows and cluster state; the logic is in the pipeline passes."""
 
     __slots__ = (
         "avoided_until",
@@ -40,7 +40,7 @@
     )
 
     SERVER_WINDOW: ClassVar[type[ServerWindow]]
-    # The first delay is at most this part of a request's patience, so that the impatient are not made to wait it away.
+    # Divides a request's timeout to cap its first retry delay, so that short timeouts are not spent on backoff.
     DELAY_PARTS: ClassVar[int]
 
     def __init__(
@@ -65,33 +65,34 @@
         self.port = port
         self.cluster_clock = cluster_clock
         self.requests: dict[Any, Any] = {}
-        self.by_call_id: dict[Any, Any] = {}  # the key in `requests`
+        self.by_call_id: dict[Any, Any] = {}  # maps call ids to keys of `requests`
         self.server_windows: dict[str, Any] = {}
         self.counts: dict[tuple[str, ...], int] = {}
-        self.avoided_until: dict[str, timedelta] = {}  # servers that a core says are leaving, before that is ordered
-        self.tenants: dict[str, str] = {}  # by who is charged: a caller, or a route
-        self.generation = -1  # of the catalogue that was worked out last
+        self.avoided_until: dict[str, timedelta] = {}  # servers announced as leaving, before the change is committed
+        self.tenants: dict[str, str] = {}  # tenant names by caller or route
+        self.generation = -1  # generation of the catalogue that the derived state belongs to
         self.is_draining = False
-        self.number = 0  # of the latest request
+        self.number = 0  # number of the latest request
 
     def count(self, *labels: str) -> None:
-        """Counts one event under these labels, for the metrics."""
+        """Increments the metrics counter with these labels."""
         self.counts[labels] = self.counts.get(labels, 0) + 1
 
     def server_window(self, name: str) -> Any:
-        """The window of a server, made on first use."""
+        """Returns the window of a server, and creates it on first use."""
         if name not in self.server_windows:
             self.server_windows[name] = self.SERVER_WINDOW()
         return self.server_windows[name]
 
     def note_leaving(self, servers: Any, now: timedelta) -> None:
-        """A core says that these servers are leaving, and says so again until that is ordered or no longer true."""
+        """Avoids servers announced as leaving until `LEAVING_NOTICE_TTL` passes without a repeated notice."""
         self.avoided_until |= dict.fromkeys(servers, now + LEAVING_NOTICE_TTL)
 
     def is_usable(self, name: str, server: dict[str, Any], trust: Trust, now: timedelta) -> bool:
-        """Whether requests may be sent there.
+        """Returns whether requests may be sent to the server.
 
-        A node that is cut off from the cores stays in its own zone, since an evacuation may have passed it by.
+        A node that is disconnected from the cores sends only within its own zone, because it may have missed the
+        evacuation of another zone.
         """
         is_reachable_zone = trust is not Trust.DISCONNECTED or server["area"] == self.zone
         return (
@@ -102,7 +103,7 @@
         )
 
     def retry_delay(self, request: Any) -> timedelta:
-        """Exponential backoff with full jitter; scaled down for requests of little patience."""
+        """Returns the next retry delay: exponential backoff with full jitter, scaled down for short timeouts."""
         first = min(BASE_RETRY_DELAY, (request.deadline - request.arrived_at) / self.DELAY_PARTS)
         delay: timedelta = min(MAX_RETRY_DELAY, first * 2 ** max(0, request.attempt - 1)) * self.random.random()
         return delay
--- a/sumachook/requests/server_window.py
+++ b/sumachook/requests/server_window.py
@@ -1,11 +1,11 @@
-"""What one edge has in flight at one server, and when the server is to be left alone."""
+"""The requests that one edge has in flight at one server, with its circuit breaker and overload backoff."""
 
 from datetime import timedelta
 from typing import ClassVar, NamedTuple
 
 
 class BackoffPolicy(NamedTuple):
-    """When the circuit breaker of a server opens, and for how long the server is left alone."""
+    """Configures when the circuit breaker of a server opens, and the bounds of the breaker and overload backoffs."""
 
     failures_to_open: int
     min_breaker_backoff: timedelta
@@ -15,7 +15,7 @@
 
 
 class ServerWindow:
-    """Requests in flight, circuit breaker and overload backoff of one server, as one edge sees them.
+    """Tracks requests in flight, circuit breaker and overload backoff of one server, as seen by one edge.
 
     Both backoffs double with each further failure, up to the bounds of `BACKOFF`.
     """
@@ -42,38 +42,38 @@
         self.overloaded_until: timedelta | None = None
 
     def is_breaker_open(self, now: timedelta) -> bool:
-        """Whether nothing may be sent: the backoff isn't over, or the probe that ends it is under way."""
+        """Returns whether the breaker blocks requests: its backoff has not ended, or its probe is still in flight."""
         return self.breaker_open_until is not None and (now < self.breaker_open_until or self.is_probing)
 
     def is_overloaded(self, now: timedelta) -> bool:
-        """Whether it said of late that it is overloaded: others go first, but where there is none it is asked."""
+        """Returns whether the overload backoff lasts; the server is then used only if no other is available."""
         return self.overloaded_until is not None and now < self.overloaded_until
 
     def record_overload(self, now: timedelta, retry_after_s: float | None) -> None:
-        """The server refused for want of room; `retry_after_s` is what it asks to wait, if it says so."""
+        """Starts or extends the overload backoff; `retry_after_s` is the wait that the server asked for, if any."""
         self.overloaded_until = now + max(self.overload_backoff, timedelta(seconds=retry_after_s or 0.0))
         self.overload_backoff = min(self.overload_backoff * 2, self.BACKOFF.max_overload_backoff)
 
     def clear_overload(self) -> None:
-        """The server has room again."""
+        """Ends the overload backoff."""
         self.overloaded_until = None
         self.overload_backoff = self.BACKOFF.min_overload_backoff
 
     def count_attempt(self) -> None:
-        """An attempt begins; with an open breaker it is the probe."""
+        """Counts the start of an attempt, which is the probe if the breaker is open."""
         self.in_use += 1
         if self.breaker_open_until is not None:
             self.is_probing = True
 
     def record_success(self) -> None:
-        """The server answers: the breaker closes."""
+        """Closes the circuit breaker, because the server answered."""
         self.is_probing = False
         self.consecutive_failures = 0
         self.breaker_backoff = self.BACKOFF.min_breaker_backoff
         self.breaker_open_until = None
 
     def record_failure(self, now: timedelta, spread: float = 0.0, max_breaker_backoff: timedelta | None = None) -> None:
-        """An attempt failed by the server's fault; `spread` (0 to 1) lengthens this backoff by that part."""
+        """Counts a server failure and may open the breaker; `spread` (0 to 1) is the fraction added to its backoff."""
         self.is_probing = False
         self.consecutive_failures += 1
         if self.consecutive_failures >= self.BACKOFF.failures_to_open:
