--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -189,7 +189,7 @@
     Mutation(
         "HELD",
         "a request waits for a rest that is too long for it",
-        "if until > _room_by(request):",
+        "if until > _capacity_deadline(request):",
         "if False:",
         BUDGETS,
         "ends_the_request_at_once",
@@ -237,7 +237,7 @@
     Mutation(
         "HELD",
         "a silent server is left without credit for another",
-        "(is_paid and not self.table.retry_budget.spend(service_key(request.service)))",
+        "(costs_credit and not self.table.retry_budget.spend(service_key(request.service)))",
         "False",
         PROXY_PIPELINE,
         "silent_server",
@@ -302,7 +302,7 @@
     Mutation(
         "FAILBACK",
         "each edge begins with a whole request for a cold server",
-        "return self.edges > self._saved(rate)",
+        "return self.edges > self._burst(rate)",
         "return False",
         COLD,
         "all_edges_together",
@@ -310,16 +310,16 @@
     Mutation(
         "FAILBACK",
         "the windows of all edges at a cold server are open at once",
-        "agreed.total_seconds() - self.rank / rate",
-        "agreed.total_seconds()",
+        "cluster_time.total_seconds() - self.rank / rate",
+        "cluster_time.total_seconds()",
         COLD,
         "all_edges_together",
     ),
     Mutation(
         "BUDGET",
         "a silent server is left for one that rests",
-        "self._has_room(request, name, server, now) and not self._is_backing_off(request, name, now)",
-        "self._has_room(request, name, server, now)",
+        "self._has_capacity(request, name, server, now) and not self._is_backing_off(request, name, now)",
+        "self._has_capacity(request, name, server, now)",
         PROXY_PIPELINE,
         "left_for_one_that_rests",
     ),
--- a/sumachook/calls/run_status.py
+++ b/sumachook/calls/run_status.py
@@ -40,13 +40,13 @@
         return self in (CallFailure.REFUSED, CallFailure.CONNECT_TIMEOUT)
 
 
-def says_not_run(status: int, is_marked: bool) -> bool:
-    """Returns whether a response states that the call was not run; `is_marked` means that it has the not-run header.
+def says_not_run(status: int, has_not_run_header: bool) -> bool:
+    """Returns whether a response states that the server did not run the call, by its status or its not-run header.
 
     >>> says_not_run(503, True), says_not_run(503, False), says_not_run(200, True), says_not_run(421, False)
     (True, False, False, True)
     """
-    return status == MISDIRECTED_REQUEST or (is_marked and status in REFUSING_STATUSES)
+    return status == MISDIRECTED_REQUEST or (has_not_run_header and status in REFUSING_STATUSES)
 
 
 class RunHistory:
@@ -66,21 +66,21 @@
     False
     """
 
-    __slots__ = ("_earlier", "_attempt")
+    __slots__ = ("_earlier_status", "_attempt_status")
 
     def __init__(self) -> None:
-        self._earlier = RunStatus.NOT_RUN  # over all attempts before the latest
-        self._attempt = RunStatus.NOT_RUN  # status of the latest attempt
+        self._earlier_status = RunStatus.NOT_RUN  # over all attempts before the latest
+        self._attempt_status = RunStatus.NOT_RUN  # status of the latest attempt
 
     @property
     def status(self) -> RunStatus:
         """The combined status of all attempts."""
-        return self._attempt if self._earlier is RunStatus.NOT_RUN else self._earlier
+        return self._attempt_status if self._earlier_status is RunStatus.NOT_RUN else self._earlier_status
 
     @property
     def attempt_may_have_run(self) -> bool:
         """Whether the latest attempt may have run."""
-        return self._attempt is not RunStatus.NOT_RUN
+        return self._attempt_status is not RunStatus.NOT_RUN
 
     @property
     def may_have_run(self) -> bool:
@@ -89,21 +89,21 @@
 
     def begin_attempt(self) -> None:
         """Starts a new attempt, which has not run yet."""
-        self._earlier, self._attempt = self.status, RunStatus.NOT_RUN
+        self._earlier_status, self._attempt_status = self.status, RunStatus.NOT_RUN
 
     def note_first_byte(self) -> None:
         """Records that the first byte of the latest attempt was passed to the kernel (rule 2)."""
-        if self._attempt is RunStatus.NOT_RUN:
-            self._attempt = RunStatus.MAY_HAVE_RUN
+        if self._attempt_status is RunStatus.NOT_RUN:
+            self._attempt_status = RunStatus.MAY_HAVE_RUN
 
     def note_not_run(self) -> None:
         """Records the server's statement that it did not run the latest attempt (rule 3)."""
-        self._attempt = RunStatus.NOT_RUN
+        self._attempt_status = RunStatus.NOT_RUN
 
     def note_complete_answer(self) -> None:
         """Records a complete response, which means that the call has run."""
-        self._earlier = RunStatus.RAN
-        self._attempt = RunStatus.RAN
+        self._earlier_status = RunStatus.RAN
+        self._attempt_status = RunStatus.RAN
 
     def note_failure(self, failure: CallFailure) -> None:
         """Records that the latest attempt failed (rules 1 and 2)."""
--- a/sumachook/forwarding/access.py
+++ b/sumachook/forwarding/access.py
@@ -13,7 +13,7 @@
 SECRET_BYTES = 32
 
 
-class Access(NamedTuple):
+class AccessDecision(NamedTuple):
     """The result of an access check: the tenant of the request (None if it has none), or the reason to refuse it."""
 
     tenant: Tenant | None = None
@@ -27,14 +27,14 @@
     a tenant owns. A key sent on such a route is checked as well: an unknown key is refused on every route.
     """
 
-    __slots__ = ("tenants", "secret", "tenant_by_digest", "owner_by_route", "is_key_needed", "lowest_priority")
+    __slots__ = ("tenants", "secret", "tenant_by_digest", "owner_by_route", "requires_key", "lowest_priority")
 
     def __init__(self, tenants: tuple[Tenant, ...], secret: bytes) -> None:
         self.tenants = tenants
         self.secret = secret
         self.tenant_by_digest = {Credential(key).digest(secret): tenant for tenant in tenants for key in tenant.keys}
         self.owner_by_route: Mapping[str, Tenant] = {route: each for each in tenants for route in each.http_routes}
-        self.is_key_needed = any(tenant.is_known_by_keys for tenant in tenants)
+        self.requires_key = any(tenant.is_known_by_keys for tenant in tenants)
         self.lowest_priority = max((tenant.priority for tenant in tenants), default=0)
 
     @classmethod
@@ -42,21 +42,23 @@
         """Returns the empty rules that apply until the first configuration arrives."""
         return cls((), b"")
 
-    def check(self, route: HttpRoute, credentials: tuple[Credential, ...]) -> Access:
+    def check(self, route: HttpRoute, credentials: tuple[Credential, ...]) -> AccessDecision:
         """Returns the tenant of a request on `route` that carries `credentials`, or why it is refused."""
-        if not self.is_key_needed:
-            return Access(self.owner_by_route.get(route.name))
+        if not self.requires_key:
+            return AccessDecision(self.owner_by_route.get(route.name))
         if len(credentials) > 1:
-            return Access(failure=FailureKind.UNKNOWN_CALLER.because("the request carries more than one API key"))
+            return AccessDecision(
+                failure=FailureKind.UNKNOWN_CALLER.because("the request carries more than one API key")
+            )
         if credentials:
             tenant = self.tenant_by_digest.get(credentials[0].digest(self.secret))
             if tenant is None:
-                return Access(failure=FailureKind.UNKNOWN_CALLER.because("unknown API key"))
-            return Access(tenant)
+                return AccessDecision(failure=FailureKind.UNKNOWN_CALLER.because("unknown API key"))
+            return AccessDecision(tenant)
         owner = self.owner_by_route.get(route.name)
         if owner is None and not route.public:
-            return Access(failure=FailureKind.UNKNOWN_CALLER.because("this route requires an API key"))
-        return Access(owner)
+            return AccessDecision(failure=FailureKind.UNKNOWN_CALLER.because("this route requires an API key"))
+        return AccessDecision(owner)
 
     def priority_of(self, tenant: Tenant | None) -> int:
         """Returns the priority of a tenant; a request without one gets the lowest priority of any tenant."""
--- a/sumachook/forwarding/cold_allowance.py
+++ b/sumachook/forwarding/cold_allowance.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 # Fraction of the allowed burst that edges use; the rest covers edges that disagree on the time or on their number.
-SAVED_FRACTION = 0.8
+BURST_FRACTION = 0.8
 
 
 class ColdAllowance:
@@ -30,17 +30,17 @@
         self.rank = 0
         self.edges = 1
 
-    def _saved(self, rate: float) -> float:
+    def _burst(self, rate: float) -> float:
         """Returns the burst in requests: how many unsent ones all edges together may save up."""
-        return SAVED_FRACTION * ((self.overshoot - 1) * rate + self.slack)
+        return BURST_FRACTION * ((self.overshoot - 1) * rate + self.slack)
 
     def needs_window(self, rate: float) -> bool:
         """Returns whether there are more edges than requests in the burst, so that edges take turns in windows."""
-        return self.edges > self._saved(rate)
+        return self.edges > self._burst(rate)
 
-    def window(self, rate: float, agreed: timedelta) -> int | None:
+    def window(self, rate: float, cluster_time: timedelta) -> int | None:
         """Returns the number of this edge's window that is open at this cluster time, or None if none is."""
         period = self.edges / rate
-        since_first = agreed.total_seconds() - self.rank / rate
+        since_first = cluster_time.total_seconds() - self.rank / rate
         number = int(since_first // period)
-        return number if since_first - number * period < self._saved(rate) / rate else None
+        return number if since_first - number * period < self._burst(rate) / rate else None
--- a/sumachook/forwarding/finish.py
+++ b/sumachook/forwarding/finish.py
@@ -14,7 +14,7 @@
 from sumachook.runtime.cluster_clock import MILLISECOND
 
 # Failures that do not count against the server: it refused properly, or the client or this node gave up.
-BLAMELESS = frozenset(
+NOT_SERVER_FAULTS = frozenset(
     {
         FailureKind.OVERLOAD,
         FailureKind.NO_MODEL,
@@ -71,7 +71,7 @@
         if failure is None:
             server_window.record_success()
             self.table.outcome_counts.note(server, True)
-        elif failure.kind in BLAMELESS:
+        elif failure.kind in NOT_SERVER_FAULTS:
             server_window.is_probing = False
         else:
             server_window.record_failure(now)
--- a/sumachook/forwarding/pipeline.py
+++ b/sumachook/forwarding/pipeline.py
@@ -33,8 +33,8 @@
 from sumachook.runtime.cluster_clock import MILLISECOND
 
 # Prompt prefixes sent to a server are forgotten after this time; longer than `server_selection.PREFIX_CACHE_TIME`.
-PREFIX_MEMORY = timedelta(seconds=30)
-PREFIX_SWEEP_INTERVAL = PREFIX_MEMORY / 6
+PREFIX_RETENTION = timedelta(seconds=30)
+PREFIX_SWEEP_INTERVAL = PREFIX_RETENTION / 6
 # After these events server selection considers every waiting request.
 COMPLETE_PASS_EVENTS = frozenset({Tick, PlacesChanged, ServersCold, ServersLeaving})
 
@@ -104,9 +104,9 @@
             case ServersLeaving(servers):
                 self.table.note_leaving(servers, now)
             case ServersEjected(durations_ms):
-                self.table.ejected_until |= _ends(durations_ms, now)
+                self.table.ejected_until |= _end_times(durations_ms, now)
             case ServersCold(durations_ms):
-                self.table.cold_until |= _ends(durations_ms, now)
+                self.table.cold_until |= _end_times(durations_ms, now)
         return []
 
     def _handle_tick(self, now: timedelta) -> list[Any]:
@@ -138,16 +138,16 @@
         return effects
 
     def _forget_expired(self, now: timedelta) -> None:
-        """Drops the state of removed servers, expired marks, and prompt prefixes that were not sent recently."""
+        """Drops state of removed servers, expired ejections and slow starts, and old prompt prefixes."""
         table = self.table
         table.server_windows = {
             name: server_window
             for name, server_window in table.server_windows.items()
             if name in table.state.servers or server_window.in_use
         }
-        table.cold_until = _not_over(table.cold_until, now)
-        table.ejected_until = _not_over(table.ejected_until, now)
-        table.avoided_until = _not_over(table.avoided_until, now)
+        table.cold_until = _unexpired(table.cold_until, now)
+        table.ejected_until = _unexpired(table.ejected_until, now)
+        table.avoided_until = _unexpired(table.avoided_until, now)
         if now - self.swept_at < PREFIX_SWEEP_INTERVAL:
             return
         self.swept_at = now
@@ -155,13 +155,13 @@
             server_window.cached_prefixes = {
                 prefix: sent_at
                 for prefix, sent_at in server_window.cached_prefixes.items()
-                if now - sent_at < PREFIX_MEMORY
+                if now - sent_at < PREFIX_RETENTION
             }
 
 
-def _ends(durations_ms: Mapping[str, float], now: timedelta) -> dict[str, timedelta]:
+def _end_times(durations_ms: Mapping[str, float], now: timedelta) -> dict[str, timedelta]:
     return {name: now + duration * MILLISECOND for name, duration in durations_ms.items()}
 
 
-def _not_over(ends: dict[str, timedelta], now: timedelta) -> dict[str, timedelta]:
+def _unexpired(ends: dict[str, timedelta], now: timedelta) -> dict[str, timedelta]:
     return {name: end for name, end in ends.items() if end > now}
--- a/sumachook/forwarding/port.py
+++ b/sumachook/forwarding/port.py
@@ -80,8 +80,8 @@
     def _repeated_headers(self, headers: Any) -> tuple[str, ...]:
         """Returns repeated routing headers; this node and the server might each read a different value."""
         stated = [name.lower() for name, _ in headers]
-        deciding = ("host", self.REQUEST, self.MODEL, self.TOKENS, self.PARTS, self.LAST_EVENT)
-        return tuple(name for name in deciding if stated.count(name) > 1)
+        routing_headers = ("host", self.REQUEST, self.MODEL, self.TOKENS, self.PARTS, self.LAST_EVENT)
+        return tuple(name for name in routing_headers if stated.count(name) > 1)
 
     def _credentials(self, headers: Any) -> tuple[Credential, ...]:
         """Returns every non-empty API key in the headers."""
--- a/sumachook/forwarding/request_table.py
+++ b/sumachook/forwarding/request_table.py
@@ -16,11 +16,11 @@
 from sumachook.requests import request_table
 from sumachook.runtime.cluster_clock import UNIX_EPOCH
 
-USED_FRACTION = 0.9  # of a server's connections; the rest covers edges that disagree on the number of edges
-UNEVEN_LOAD = 1.5  # over-provisions an edge's connection share, so that uneven load fits
+USED_FRACTION = 0.9  # usable fraction of a server's connections; the rest covers edges that disagree on their number
+OVERPROVISIONING_FACTOR = 1.5  # over-provisions an edge's connection share, so that uneven load fits
 DEFAULT_CONNECTIONS = 2.0  # connections to a server whose service is not in the catalogue
 MAX_KEPT_CONNECTIONS = 4  # idle connections per server
-KEPT_CONNECTIONS_PART = 2  # idle connections use at most half of the connection share
+KEPT_CONNECTIONS_DIVISOR = 2  # idle connections use at most half of the connection share
 
 
 class RequestTable(request_table.RequestTable):
@@ -49,7 +49,7 @@
     )
 
     SERVER_WINDOW = ServerWindow
-    DELAY_PARTS = 50
+    RETRY_DELAY_DIVISOR = 50
 
     def __init__(
         self,
@@ -118,7 +118,9 @@
     def connection_share(self, service: str) -> float:
         """Returns this edge's share of the connections that a server of the service accepts; may be less than 1."""
         known = self.services.get(service)
-        return USED_FRACTION * UNEVEN_LOAD * known.connections / self.edges if known else DEFAULT_CONNECTIONS
+        return (
+            USED_FRACTION * OVERPROVISIONING_FACTOR * known.connections / self.edges if known else DEFAULT_CONNECTIONS
+        )
 
     def max_connections(self, service: str, server: str) -> int:
         """Returns how many requests this edge may have in flight at one server of the service.
@@ -127,15 +129,15 @@
         one request each. They are chosen by rank, and differ from server to server.
         """
         known = self.services.get(service)
-        single_users = int(USED_FRACTION * known.connections) if known else self.edges
-        if self.edges <= single_users:
+        edges_per_server = int(USED_FRACTION * known.connections) if known else self.edges
+        if self.edges <= edges_per_server:
             return int(self.connection_share(service))
         rank_at_server = (self.rank + crc32(server.encode())) % self.edges
-        return 1 if rank_at_server < single_users else 0
+        return 1 if rank_at_server < edges_per_server else 0
 
     def max_kept_connections(self, service: str) -> int:
         """Returns how many idle connections this edge may keep to one server of the service, besides those in use."""
-        return min(MAX_KEPT_CONNECTIONS, int(self.connection_share(service) / KEPT_CONNECTIONS_PART))
+        return min(MAX_KEPT_CONNECTIONS, int(self.connection_share(service) / KEPT_CONNECTIONS_DIVISOR))
 
     def record(self, request: ForwardedRequest) -> dict[str, Any]:
         """Returns the ledger record that opens the request; `tag` is the request id chosen by the client."""
--- a/sumachook/forwarding/response_relay.py
+++ b/sumachook/forwarding/response_relay.py
@@ -23,7 +23,7 @@
 from sumachook.runtime.cluster_clock import MILLISECOND
 
 NOT_RUN_STATUSES = (408, 429, 503)  # statuses that clients read as: the request did not run
-EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 OVERLOAD_STATUSES = (429, 503)
 MISDIRECTED = 421  # the server does not hold the model of the request
 
@@ -74,7 +74,7 @@
         request.response_headers = headers
         if response.cold_ms:
             self.table.cold_until[request.server] = now + response.cold_ms * MILLISECOND
-        failure = self._failure_of_head(request, response, status)
+        failure = self._head_failure(request, response, status)
         if failure is not None:
             return self.resend.take(request, failure, now)
         names = {name.lower(): value for name, value in headers}
@@ -88,7 +88,7 @@
             )
         return []
 
-    def _failure_of_head(
+    def _head_failure(
         self, request: ForwardedRequest, response: ResponseMetadata, status: int
     ) -> RequestFailure | None:
         """Returns why the response must not be relayed, judged by request id, headers and status; None if it may be."""
@@ -97,7 +97,7 @@
             return FailureKind.RESET.because("the response belongs to another request")
         if response.is_not_run:
             request.run_history.note_not_run()
-            return _kind_of_not_run(status).because()
+            return _not_run_failure_kind(status).because()
         if status in NOT_RUN_STATUSES:  # the client would take it to mean that the request did not run
             return FailureKind.UPSTREAM.because(f"{status} without the not-run header")
         if not has_id or status < 200:
@@ -108,12 +108,12 @@
         request.buffer += event.data
         if not request.is_event_stream:
             return []
-        end = max(request.buffer.rfind(mark) + len(mark) if mark in request.buffer else 0 for mark in EVENT_ENDS)
+        end = max(request.buffer.rfind(mark) + len(mark) if mark in request.buffer else 0 for mark in EVENT_TERMINATORS)
         if not end:
             return []
         events, request.buffer = request.buffer[:end], request.buffer[end:]
         if request.tenant is not None:
-            request.events += sum(events.count(mark) for mark in EVENT_ENDS)
+            request.events += sum(events.count(mark) for mark in EVENT_TERMINATORS)
         if request.first_token_at is None:
             if request.reached_client and not _continues(request.last_event_id or "", events):
                 return self.resend.take(
@@ -174,7 +174,7 @@
     return any(name.lower() == "connection" and value.lower() == "close" for name, value in headers)
 
 
-def _kind_of_not_run(status: int) -> FailureKind:
+def _not_run_failure_kind(status: int) -> FailureKind:
     """Returns the kind of failure for a request that the server did not run, by the status of the response."""
     if status in OVERLOAD_STATUSES:
         return FailureKind.OVERLOAD
--- a/sumachook/forwarding/send.py
+++ b/sumachook/forwarding/send.py
@@ -12,8 +12,8 @@
 
 CONNECT_TIMEOUT = timedelta(seconds=0.4)
 # Another server is tried after twice the route's target latency without a first token, but not before this time.
-MIN_FIRST_TOKEN_TIME = timedelta(seconds=0.3)
-TARGETS_TO_FIRST_TOKEN = 2
+MIN_FIRST_TOKEN_TIMEOUT = timedelta(seconds=0.3)
+FIRST_TOKEN_TARGET_FACTOR = 2
 
 
 class SendAttempt:
@@ -61,7 +61,7 @@
 
     def _forward(self, request: ForwardedRequest, name: str, now: timedelta) -> ForwardRequest:
         remaining = request.deadline - now
-        request.first_token_by = now + self._first_token_time(request, remaining)
+        request.first_token_by = now + self._first_token_timeout(request, remaining)
         headers = self.table.port.write_request(
             request.headers,
             self._host(request),
@@ -94,11 +94,11 @@
             return ConnectionReuse.NEVER
         return ConnectionReuse.ALWAYS if request.is_repeatable else ConnectionReuse.WHEN_ALIVE
 
-    def _first_token_time(self, request: ForwardedRequest, remaining: timedelta) -> timedelta:
+    def _first_token_timeout(self, request: ForwardedRequest, remaining: timedelta) -> timedelta:
         if not (request.is_repeatable and request.attempt < request.route.tries):
             return remaining
         target = timedelta(milliseconds=request.route.target_ms)
-        return min(remaining / 2, max(MIN_FIRST_TOKEN_TIME, target * TARGETS_TO_FIRST_TOKEN))
+        return min(remaining / 2, max(MIN_FIRST_TOKEN_TIMEOUT, target * FIRST_TOKEN_TARGET_FACTOR))
 
     def _host(self, request: ForwardedRequest) -> str:
         return next((value for name, value in request.headers if name.lower() == "host"), request.metadata.host)
--- a/sumachook/forwarding/server_selection.py
+++ b/sumachook/forwarding/server_selection.py
@@ -14,10 +14,10 @@
 
 # Costs by which servers are compared, as the expected extra latency in milliseconds. The costs of a server to avoid are
 # far above those of any load, so that it is selected only if no other server has capacity.
-PREFILL_TOKENS_PER_MS = 38.0  # assumed prefill speed of a server
-ENGINE_IN_FLIGHT_COST_MS = 0.5  # per request in flight at a model server
-IN_FLIGHT_COST_MS = 20.0  # per request in flight at any other server
-FULL_COST_MS = 200.0  # at twice as many requests in flight as slots; linear in the excess
+PREFILL_TOKENS_PER_MS = 38.0  # assumed prefill speed of a server if no better figure is known
+ENGINE_IN_FLIGHT_COST_MS = 0.5  # per request in flight at a server with an engine
+IN_FLIGHT_COST_MS = 20.0  # per request in flight at a server without an engine
+EXCESS_COST_MS = 200.0  # at twice as many requests in flight as slots; linear in the excess
 OTHER_ZONE_COST_MS = 3.0
 NEW_CONNECTION_COST_MS = 2.0  # a round trip, and some work for the server
 OVERLOADED_COST_MS = 500.0
@@ -27,8 +27,8 @@
 # A prompt prefix counts as cached at a server for this time after it was last sent there.
 PREFIX_CACHE_TIME = timedelta(seconds=20)
 NO_DEADLINE_MS = 1e9  # longer than the timeout of any request
-DEMAND_REPEAT = timedelta(seconds=0.3)  # interval of demand reports per request that waits for a placement
-CREDIT_WAIT = timedelta(seconds=0.5)  # how long a retry waits for retry credit
+DEMAND_REPORT_INTERVAL = timedelta(seconds=0.3)  # interval of demand reports per request that waits for a placement
+MAX_CREDIT_WAIT = timedelta(seconds=0.5)  # how long a retry waits for retry credit
 PLACEMENT_WAIT_FRACTION = 0.45  # of a request's timeout, spent waiting for a placement
 CAPACITY_WAIT_FRACTION = 0.2  # of a request's timeout, spent waiting for capacity at the servers
 MIN_RETRY_AFTER_S = 0.2  # lower bound on the Retry-After value if the end of the wait is known
@@ -64,8 +64,8 @@
         effects: list[Any] = []
         servers: dict[str, list[tuple[str, Any]]] = {}
         for request in sorted(table.waiting.values(), key=_priority):
-            has_room_again = has_freed_capacity and not request.awaits_placement
-            is_due = is_complete or request.number in newly_waiting or has_room_again
+            has_capacity_again = has_freed_capacity and not request.awaits_placement
+            is_due = is_complete or request.number in newly_waiting or has_capacity_again
             if not is_due or request.not_before > now:
                 continue
             failure = self._recheck(request, now)
@@ -76,19 +76,23 @@
         return effects
 
     def _candidates(
-        self, request: ForwardedRequest, known: dict[str, list[tuple[str, Any]]], trust: Trust, now: timedelta
+        self,
+        request: ForwardedRequest,
+        servers_by_service: dict[str, list[tuple[str, Any]]],
+        trust: Trust,
+        now: timedelta,
     ) -> list[tuple[str, Any]]:
         """Returns (name, server) of the holders of the request's model, or else of all servers of its service.
 
-        `known` caches the servers of whole services for the rest of the pass.
+        `servers_by_service` caches the servers of whole services for the rest of the pass.
         """
         table = self.table
         if request.service in table.models and request.metadata.model:
             holders = table.places.holders(request.metadata.model, request.metadata.adapter)
             return table.usable_among(holders, request.service, trust, now)
-        if request.service not in known:
-            known[request.service] = table.usable(request.service, trust, now)
-        return known[request.service]
+        if request.service not in servers_by_service:
+            servers_by_service[request.service] = table.usable(request.service, trust, now)
+        return servers_by_service[request.service]
 
     def _recheck(self, request: ForwardedRequest, now: timedelta) -> RequestFailure | None:
         """Returns why an admitted request may no longer be sent, or None if it may.
@@ -121,16 +125,16 @@
         if needs_placement and request.metadata.model not in table.models[request.service]:
             failure = FailureKind.NO_MODEL.because(f"unknown model {request.metadata.model[:80]!r}")
             return self.settle.take(request, failure, now)
-        usable = _allowed(request, usable)
+        usable = _within_tries(request, usable)
         if not usable:
-            return self._wait(request, now, needs_placement)
+            return self._wait_or_refuse(request, now, needs_placement)
         name = self._cheapest(request, usable, now)
         if name is None:
-            return self._wait_for_room(request, usable, needs_placement, now)
+            return self._wait_for_capacity(request, usable, needs_placement, now)
         if request.needs_credit and not table.retry_budget.spend(service_key(request.service)):
             if request.attempt and request.credit_by <= now:
                 return self.settle.take(request, _last_failure(request), now)
-            request.credit_by = min(request.credit_by, now + CREDIT_WAIT)
+            request.credit_by = min(request.credit_by, now + MAX_CREDIT_WAIT)
             return []
         request.needs_credit = False
         return self.send.take(request, name, now)
@@ -146,28 +150,28 @@
                 lowest = cost
         return cheapest
 
-    def _wait_for_room(
+    def _wait_for_capacity(
         self, request: ForwardedRequest, usable: list[tuple[str, Any]], needs_placement: Any, now: timedelta
     ) -> list[Any]:
         windows = [self.table.server_window(name) for name, _ in usable]
         if all(self._is_backing_off(request, name, now) for name, _ in usable):
             return self._wait_for_backoff(request, min(window.overloaded_until for window in windows), now)
         is_unreachable = all(window.is_unreachable(now) for window in windows)
-        return self._wait(request, now, is_unreachable and needs_placement)
+        return self._wait_or_refuse(request, now, is_unreachable and needs_placement)
 
     def has_other_server(self, request: ForwardedRequest, now: timedelta) -> bool:
         """Returns whether the request could be sent now to a server other than its current one."""
         trust = self.table.follower.trust(now)
         if trust in (Trust.EMPTY, Trust.UNPROVEN):
             return False
-        usable = _allowed(request, self._candidates(request, {}, trust, now))
-        return any(name != request.server and self._may_take(request, name, server, now) for name, server in usable)
+        usable = _within_tries(request, self._candidates(request, {}, trust, now))
+        return any(name != request.server and self._may_send_to(request, name, server, now) for name, server in usable)
 
     def _cost(self, request: ForwardedRequest, name: str, server: Any, now: timedelta) -> float | None:
         """Returns the cost of the server in milliseconds, or None if the request may not be sent to it now."""
         table = self.table
         server_window: ServerWindow = table.server_window(name)
-        if not self._may_take(request, name, server, now):
+        if not self._may_send_to(request, name, server, now):
             return None
         cost: float = (
             OTHER_ZONE_COST_MS * (server["area"] != table.zone)
@@ -187,17 +191,17 @@
             return cost + unread / PREFILL_TOKENS_PER_MS + ENGINE_IN_FLIGHT_COST_MS * server_window.in_use
         slots: int = max(1, server.get("slots", 1))
         excess: float = max(0, server_window.in_use * table.edges / 2 - slots)
-        return cost + IN_FLIGHT_COST_MS * server_window.in_use + FULL_COST_MS * excess / slots
+        return cost + IN_FLIGHT_COST_MS * server_window.in_use + EXCESS_COST_MS * excess / slots
 
-    def _may_take(self, request: ForwardedRequest, name: str, server: Any, now: timedelta) -> bool:
+    def _may_send_to(self, request: ForwardedRequest, name: str, server: Any, now: timedelta) -> bool:
         """Returns whether the request may be sent to the server now; used to select and to abandon servers."""
-        return self._has_room(request, name, server, now) and not self._is_backing_off(request, name, now)
+        return self._has_capacity(request, name, server, now) and not self._is_backing_off(request, name, now)
 
     def _is_backing_off(self, request: ForwardedRequest, name: str, now: timedelta) -> bool:
         """Returns whether the server refused this request and still backs off: it would most likely refuse again."""
         return name in request.failed_servers and self.table.server_window(name).is_overloaded(now)
 
-    def _has_room(self, request: ForwardedRequest, name: str, server: Any, now: timedelta) -> bool:
+    def _has_capacity(self, request: ForwardedRequest, name: str, server: Any, now: timedelta) -> bool:
         """Returns whether the server has capacity for one more request of this edge."""
         table, server_window = self.table, self.table.server_window(name)
         service: Any = table.services.get(request.service)
@@ -229,22 +233,22 @@
 
     def _wait_for_backoff(self, request: ForwardedRequest, until: timedelta, now: timedelta) -> list[Any]:
         """Lets the request wait for the end of the servers' backoff; refuses it at once if that is too late."""
-        if until > _room_by(request):
+        if until > _capacity_deadline(request):
             request.retry_after = max(MIN_RETRY_AFTER_S, (until - now).total_seconds())
             return self.settle.take(request, _last_failure(request), now)
         return []
 
-    def _wait(self, request: ForwardedRequest, now: timedelta, is_wanted: Any) -> list[Any]:
+    def _wait_or_refuse(self, request: ForwardedRequest, now: timedelta, is_placement_wanted: Any) -> list[Any]:
         """Lets the request wait for a placement or for capacity; refuses it once it has waited for too long."""
         table = self.table
-        request.awaits_placement = bool(is_wanted)
+        request.awaits_placement = bool(is_placement_wanted)
         model = table.models.get(request.service, {}).get(request.metadata.model)
-        load_time = timedelta(milliseconds=model.load_ms) if model and is_wanted else timedelta(0)
-        placement_by = request.arrived_at + (request.deadline - request.arrived_at) * PLACEMENT_WAIT_FRACTION
-        if now >= placement_by or (not is_wanted and now > _room_by(request)):
+        load_time = timedelta(milliseconds=model.load_ms) if model and is_placement_wanted else timedelta(0)
+        placement_deadline = request.arrived_at + (request.deadline - request.arrived_at) * PLACEMENT_WAIT_FRACTION
+        if now >= placement_deadline or (not is_placement_wanted and now > _capacity_deadline(request)):
             request.retry_after = max(MIN_RETRY_AFTER_S, load_time.total_seconds())
             return self.settle.take(request, _last_failure(request), now)
-        if is_wanted and (request.wanted_at is None or now - request.wanted_at >= DEMAND_REPEAT):
+        if is_placement_wanted and (request.wanted_at is None or now - request.wanted_at >= DEMAND_REPORT_INTERVAL):
             self._report_demand(request, now)
         return []
 
@@ -262,12 +266,12 @@
     return request.is_yielding, request.tenant_priority, request.route.priority, request.number
 
 
-def _room_by(request: ForwardedRequest) -> timedelta:
+def _capacity_deadline(request: ForwardedRequest) -> timedelta:
     """Returns until when the request may wait for capacity at the existing servers."""
     return request.arrived_at + (request.deadline - request.arrived_at) * CAPACITY_WAIT_FRACTION
 
 
-def _allowed(request: ForwardedRequest, usable: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
+def _within_tries(request: ForwardedRequest, usable: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
     """Limits the servers to those already tried once the request has been sent to as many as its route allows."""
     if len(request.sent_to) < request.route.tries:
         return usable
--- a/sumachook/forwarding/timeouts.py
+++ b/sumachook/forwarding/timeouts.py
@@ -48,14 +48,14 @@
 
     def _try_another_server(self, request: ForwardedRequest, now: timedelta) -> list[Any]:
         """Abandons a silent server only if the request may be sent to another one now; else keeps waiting for it."""
-        is_paid = bool(request.sent_to)
+        costs_credit = bool(request.sent_to)
         if (
             not self.resend.may_resend(request)
             or not self.server_selection.has_other_server(request, now)
-            or (is_paid and not self.table.retry_budget.spend(service_key(request.service)))
+            or (costs_credit and not self.table.retry_budget.spend(service_key(request.service)))
         ):
             request.first_token_by = now + RECHECK_INTERVAL
             return []
         effects = self.resend.take(request, FailureKind.FIRST_TOKEN_TIMEOUT.because(), now)
-        request.needs_credit = request.needs_credit and not is_paid
+        request.needs_credit = request.needs_credit and not costs_credit
         return effects
--- a/sumachook/inference/request_table.py
+++ b/sumachook/inference/request_table.py
@@ -31,7 +31,7 @@
     )
 
     SERVER_WINDOW = ServerWindow
-    DELAY_PARTS = 20
+    RETRY_DELAY_DIVISOR = 20
 
     def __init__(
         self,
--- a/sumachook/requests/in_flight_request.py
+++ b/sumachook/requests/in_flight_request.py
@@ -73,7 +73,7 @@
         self.first_token_by = self.deadline
         self.run_history = RunHistory()
         self.finished_attempts: list[Any] = []
-        self.failed_servers: tuple[str, ...] = ()  # in order of their latest failure
+        self.failed_servers: tuple[str, ...] = ()  # servers that failed this request, latest failure last
         self.last_failure: RequestFailure | None = None
         self.reached_client = False
         self.last_event_id: str | None = None
--- a/sumachook/requests/request_table.py
+++ b/sumachook/requests/request_table.py
@@ -41,7 +41,7 @@
 
     SERVER_WINDOW: ClassVar[type[ServerWindow]]
     # Divides a request's timeout to cap its first retry delay, so that short timeouts are not spent on backoff.
-    DELAY_PARTS: ClassVar[int]
+    RETRY_DELAY_DIVISOR: ClassVar[int]
 
     def __init__(
         self,
@@ -104,6 +104,6 @@
 
     def retry_delay(self, request: Any) -> timedelta:
         """Returns the next retry delay: exponential backoff with full jitter, scaled down for short timeouts."""
-        first = min(BASE_RETRY_DELAY, (request.deadline - request.arrived_at) / self.DELAY_PARTS)
+        first = min(BASE_RETRY_DELAY, (request.deadline - request.arrived_at) / self.RETRY_DELAY_DIVISOR)
         delay: timedelta = min(MAX_RETRY_DELAY, first * 2 ** max(0, request.attempt - 1)) * self.random.random()
         return delay
--- a/tests/calls/test_run_history.py
+++ b/tests/calls/test_run_history.py
@@ -47,9 +47,9 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "is_marked", "is_not_run"),
+    ("status", "has_not_run_header", "is_not_run"),
     [(503, True, True), (503, False, False), (200, True, False), (421, False, True), (500, True, False)],
 )
-def test_a_mark_counts_with_a_refusing_status_only(status, is_marked, is_not_run):
+def test_a_mark_counts_with_a_refusing_status_only(status, has_not_run_header, is_not_run):
     """Given an answer, it says that the call was not run by 421, or by the mark with a status that refuses."""
-    assert says_not_run(status, is_marked) == is_not_run
+    assert says_not_run(status, has_not_run_header) == is_not_run
