--- a/harness/mutations/answers.py
+++ b/harness/mutations/answers.py
@@ -15,7 +15,7 @@
         "        if not has_id and (response.request_id or request.is_reused):",
         "        if False:",
         PROXY_PIPELINE,
-        "bytes_that_are_not",
+        "not_the_servers_own",
     ),
     Mutation(
         "MIXED",
@@ -87,7 +87,7 @@
         "if status < 300 and (not response.is_sealed or names",
         "if status < 300 and (names",
         PROXY_PIPELINE,
-        "bytes_that_are_not",
+        "not_the_servers_own",
     ),
     Mutation(
         "MIXED",
@@ -95,7 +95,7 @@
         ' or names.get("content-encoding", "identity") != "identity")',
         ")",
         PROXY_PIPELINE,
-        "bytes_that_are_not",
+        "not_the_servers_own",
     ),
     Mutation(
         "MIXED",
@@ -231,7 +231,7 @@
         "[CancelCall(request.attempt_id)] if request.attempt_id is not None and request.is_at_server else []",
         "[]",
         PROXY_PIPELINE,
-        "at_once_and_final",
+        "cancels_the_attempt_first",
     ),
     Mutation(
         "ORDER",
@@ -239,7 +239,7 @@
         'if request.reached_client and not _continues(request.last_event_id or "", events):',
         "if False:",
         STREAMS,
-        "never_joined",
+        "repeats_events",
     ),
     Mutation(
         "ORDER",
@@ -247,7 +247,7 @@
         "return int(first) > int(last_event_id)",
         "return int(first) >= int(last_event_id)",
         STREAMS,
-        "never_joined",
+        "repeats_events",
     ),
     Mutation(
         "ORDER",
@@ -255,7 +255,7 @@
         "[*effects, AbortResponse(request.call_id)]",
         "[*effects, EndResponse(request.call_id)]",
         STREAMS,
-        "without_a_closing_mark",
+        "aborted_without_an_end",
     ),
     Mutation(
         "ORDER",
@@ -271,7 +271,7 @@
         "if request.buffer or not request.reached_client:",
         "if False:",
         STREAMS,
-        "without_a_closing_mark",
+        "aborted_without_an_end",
     ),
     Mutation(
         "ORDER",
@@ -279,7 +279,7 @@
         "return bool(request.route.resumable and request.last_event_id",
         "return bool(request.last_event_id",
         STREAMS,
-        "without_a_closing_mark",
+        "aborted_without_an_end",
     ),
     Mutation(
         "ORDER",
@@ -287,7 +287,7 @@
         "end = max(request.buffer.rfind(mark) + len(mark) if mark in request.buffer else 0 for mark in EVENT_TERMINATORS)",
         "end = len(request.buffer)",
         STREAMS,
-        "only_whole",
+        "only_complete",
     ),
     Mutation(
         "ORDER",
@@ -295,7 +295,7 @@
         "request.route.resumable and request.last_event_id and request.resumes < MAX_RESUMES",
         "request.route.resumable and request.last_event_id",
         STREAMS,
-        "resume_is_bounded",
+        "resumes_is_limited",
     ),
     Mutation(
         "ORDER",
@@ -303,7 +303,7 @@
         '        if request.reached_client:\n            return self.resend.take(request, FailureKind.CUT.because("the resumed response',
         '        if False:\n            return self.resend.take(request, FailureKind.CUT.because("the resumed response',
         STREAMS,
-        "resume_that_is_turned_away",
+        "no_server_resumes",
     ),
     Mutation(
         "ORDER",
--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -19,7 +19,7 @@
         ", (self.INSTANCE, instance), ",
         ", ",
         PROXY_PIPELINE,
-        "pass_unchanged_but",
+        "forwarded_unchanged_except",
     ),
     Mutation(
         "ROUTE",
@@ -27,7 +27,7 @@
         "own = {self.DEADLINE, self.INSTANCE, ",
         "own = {self.DEADLINE, ",
         PROXY_PIPELINE,
-        "pass_unchanged_but",
+        "forwarded_unchanged_except",
     ),
     Mutation(
         "ROUTE",
@@ -51,7 +51,7 @@
         "if trust is not Trust.FRESH:  # just restarted",
         "if False:  # just restarted",
         PROXY_PIPELINE,
-        "not_found_is_said",
+        "current_catalogue",
     ),
     Mutation(
         "ROUTE",
@@ -109,7 +109,7 @@
         '            and self.state.is_open(server["area"])\n',
         "",
         PROXY_PIPELINE,
-        "closed_area",
+        "evacuated_zone",
         file="requests/request_table.py",
     ),
     Mutation(
@@ -118,7 +118,7 @@
         'is_reachable_zone = trust is not Trust.DISCONNECTED or server["area"] == self.zone',
         "is_reachable_zone = True",
         PROXY_PIPELINE,
-        "cut_off_stays",
+        "only_within_its_zone",
         file="requests/request_table.py",
     ),
     Mutation(
@@ -127,7 +127,7 @@
         "if trust in (Trust.EMPTY, Trust.UNPROVEN):\n            return []\n        table.refresh()",
         "if trust is Trust.EMPTY:\n            return []\n        table.refresh()",
         PROXY_PIPELINE,
-        "cut_off_stays",
+        "only_within_its_zone",
         file="forwarding/server_selection.py",
     ),
     Mutation(
@@ -281,7 +281,7 @@
         "server_window.may_send_cold(rate / self.edges, now)",
         "server_window.may_send_cold(rate, now)",
         PROXY_PIPELINE,
-        "share_a_second",
+        "limited_rate",
     ),
     Mutation(
         "FAILBACK",
@@ -289,7 +289,7 @@
         "            table.count_cold_request(server_window, request.service, now)",
         "            pass",
         PROXY_PIPELINE,
-        "share_a_second",
+        "limited_rate",
     ),
     Mutation(
         "FAILBACK",
@@ -321,7 +321,7 @@
         "self._has_capacity(request, name, server, now) and not self._is_backing_off(request, name, now)",
         "self._has_capacity(request, name, server, now)",
         PROXY_PIPELINE,
-        "left_for_one_that_rests",
+        "abandoned_for_one_that_backs_off",
     ),
     Mutation(
         "OUTLIER",
@@ -361,7 +361,7 @@
         "if response.cold_ms:",
         "if False:",
         PROXY_PIPELINE,
-        "says_it_is_cold",
+        "reports_itself_cold",
     ),
     Mutation(
         "EVAC",
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -73,7 +73,7 @@
         'return (*headers, ("Connection", "close")) if self.is_draining else headers',
         "return headers",
         PROXY_PIPELINE,
-        "leaving_node",
+        "draining_node",
     ),
     Mutation(
         "LOST",
@@ -291,7 +291,7 @@
         "if now - arrived_at >= min(MAX_PARK_TIME, patience * PARK_FRACTION) or",
         "if",
         PROXY_PIPELINE,
-        "not_found_is_said",
+        "current_catalogue",
     ),
     Mutation(
         "PARKED",
--- a/tests/calls/test_run_history.py
+++ b/tests/calls/test_run_history.py
@@ -1,4 +1,4 @@
-"""Whether a call may have run, over its attempts."""
+"""Tests of whether a call may have run, over all of its attempts."""
 
 import pytest
 
@@ -15,8 +15,8 @@
     ],
 )
 def test_only_a_failure_before_the_first_byte_leaves_a_call_not_run(failure, status):
-    """Given an attempt that failed, the call has not run where no byte was sent; else it may have run, and may be sent again
-    only if it may be repeated."""
+    """Given a failed attempt, the call has not run if no byte was sent; otherwise it may have run, and may be sent
+    again only if it is repeatable."""
     history = RunHistory()
     history.begin_attempt()
     history.note_failure(failure)
@@ -25,8 +25,8 @@
     assert history.may_send_again(is_repeatable=False) == (status is RunStatus.NOT_RUN)
 
 
-def test_a_refusal_of_a_later_attempt_does_not_take_an_earlier_one_back():
-    """Given an attempt that was reset and a second that the server says it did not run, the call may have run."""
+def test_a_not_run_response_does_not_cover_an_earlier_attempt():
+    """Given a reset attempt and a second one that the server states it did not run, the call may have run."""
     history = RunHistory()
     history.begin_attempt()
     history.note_failure(CallFailure.RESET)
@@ -36,8 +36,8 @@
     assert history.status is RunStatus.MAY_HAVE_RUN and not history.attempt_may_have_run
 
 
-def test_a_complete_answer_says_that_the_call_ran():
-    """Given a complete answer after an attempt that may have run, the call has run."""
+def test_a_complete_response_means_that_the_call_ran():
+    """Given a complete response after an attempt that may have run, the call has run."""
     history = RunHistory()
     history.begin_attempt()
     history.note_failure(CallFailure.TIMEOUT)
@@ -50,6 +50,7 @@
     ("status", "has_not_run_header", "is_not_run"),
     [(503, True, True), (503, False, False), (200, True, False), (421, False, True), (500, True, False)],
 )
-def test_a_mark_counts_with_a_refusing_status_only(status, has_not_run_header, is_not_run):
-    """Given an answer, it says that the call was not run by 421, or by the mark with a status that refuses."""
+def test_the_not_run_header_counts_only_with_a_refusing_status(status, has_not_run_header, is_not_run):
+    """Given a response, it states that the call was not run by status 421, or by the not-run header with a refusing
+    status."""
     assert says_not_run(status, has_not_run_header) == is_not_run
--- a/tests/forwarding/forwarding_fixtures.py
+++ b/tests/forwarding/forwarding_fixtures.py
@@ -1,4 +1,5 @@
-"""What the stories of forwarded requests begin with: a Transit machine with its table, and requests, servers and answers for it (docs/design/forwarding.md)."""
+"""Fixtures for tests of the forwarding pipeline: a pipeline with its table, requests, servers and responses
+(docs/design/forwarding.md)."""
 
 from datetime import timedelta
 from random import Random
@@ -33,14 +34,14 @@
 START = timedelta(seconds=100)
 SEAL = ("X-Server-Seal", "s.1")
 NOT_RUN = ("X-Not-Run", "1")
-OWN = ("X-Request-Id", None)  # the id of the request itself
+OWN = ("X-Request-Id", None)  # stands for the id of the request itself
 EVENTS = ("Content-Type", "text/event-stream")
 SERVICES = ("records", "other", "llm")
 PLAIN, ONCE, CHAT, LOOSE = "/plain/x", "/once/x", "/chat/x", "/loose/x"
 
 
 class FixedTrust:
-    """A follower of which only its word counts."""
+    """Stands in for a changefeed follower with a settable trust level."""
 
     def __init__(self, word):
         self.word = word
@@ -115,7 +116,7 @@
 
 
 def event_from(message):
-    """The typed event that the short form of the stories stands for."""
+    """Returns the typed event for the short form that the tests use."""
     kind, *values = message
     if kind in PIPELINE_EVENTS:
         return PIPELINE_EVENTS[kind](*values)
@@ -123,7 +124,7 @@
 
 
 class Scene:
-    """A Transit with its table, and what it said."""
+    """A forwarding pipeline with its table, and the effects that it returned."""
 
     def __init__(
         self, doc=None, servers=None, credit=4.0, seed=1, trust=Trust.FRESH, held=("l1", "l2", "l3"), port=None
@@ -164,7 +165,7 @@
         return effects
 
     def effects(self, *kinds):
-        """Effects of these kinds so far; those for the tenants' quotas have types and no kind."""
+        """Returns the effects of these kinds so far; effects for tenant quotas are typed and never included."""
         return [effect for effect in self.out if isinstance(effect, tuple) and effect[0] in kinds]
 
     def place(self, servers):
@@ -178,7 +179,7 @@
         )
 
     def ask(self, path=PLAIN, method="POST", headers=(), body=b"{}", host="a.example", **own):
-        """A request that comes in; gives its cid. The id of the client's try is the cid as well."""
+        """Submits a request and returns its call id, which is also the request id that the client sends."""
         self.number += 1
         cid = f"q{self.number}"
         names = {
@@ -204,7 +205,7 @@
         return self
 
     def run(self, seconds):
-        """Pulses, until so many seconds have passed."""
+        """Advances the time in ticks and returns the effects."""
         until, begun = self.now + timedelta(seconds=seconds), len(self.out)
         while self.now < until:
             self.now += TICK
@@ -212,12 +213,12 @@
         return self.out[begun:]
 
     def sends(self, cid=None):
-        """What was forwarded, of one request or of all."""
+        """Returns the forwarded attempts of one request or of all."""
         found = self.effects("forward")
         return found if cid is None else [effect for effect in found if ("X-Request-Id", cid) in effect[4]]
 
     def goal(self, cid, place=-1):
-        """The server that a try of a request is meant for."""
+        """Returns the target server of an attempt, by default of the last one."""
         return dict(self.sends(cid)[place][4])["x-expect-instance"]
 
     def told(self, cid):
@@ -238,7 +239,7 @@
         return float(dict(self.reply(cid)[3])["Retry-After"])
 
     def hear(self, cid, *what):
-        """What the last try of a request brings."""
+        """Passes an event of the last attempt of a request to the pipeline."""
         return self.take("fetched", self.sends(cid)[-1][1], *what)
 
     def sent(self, cid):
@@ -270,7 +271,7 @@
         return [effect[1] for effect in self.effects("behind") if effect[2] is is_close]
 
     def settled(self):
-        """Nothing is in hand and nothing is counted as though it were."""
+        """Asserts that no request is in flight, and that no counter still includes one."""
         table = self.table
         assert not (table.requests or table.by_call_id or table.waiting or table.wanted_models), (
             table.requests,
@@ -289,7 +290,7 @@
 
 
 def _readable(effect):
-    """The short form of an effect in these stories; effects for the tenants' quotas stay typed."""
+    """Returns the short form of an effect for the tests; effects for tenant quotas stay typed."""
     match effect:
         case RecordDeferred(record, is_close):
             return ("behind", record, is_close)
--- a/tests/forwarding/test_cold_servers.py
+++ b/tests/forwarding/test_cold_servers.py
@@ -1,4 +1,4 @@
-"""What all edges together send to a cold server (docs/design/inference.md)."""
+"""Tests of the rate at which all edges together send requests to a cold server (docs/design/inference.md)."""
 
 from datetime import timedelta
 
@@ -11,9 +11,9 @@
 EDGES = 67
 
 
-def test_all_edges_together_send_a_cold_server_no_more_than_it_bears():
-    """Given 67 edges that each get a request for a model whose only server is cold, what reaches that server within a second, summed over
-    the edges, stays within its rate, half as much again and the slack."""
+def test_all_edges_together_stay_within_the_rate_of_a_cold_server():
+    """Given 67 edges that each get a request for a model whose only server is cold, the requests that reach the server
+    within a second stay within 1.5 times its rate plus the slack. One request per edge would exceed that."""
     doc = catalogue()
     doc["services"][2] |= {"coldPerS": COLD_PER_S, "coldMs": 3000}
     scenes = [Scene(doc, {"l1": server("llm")}, seed=seed, held=("l1",)) for seed in range(EDGES)]
@@ -29,9 +29,9 @@
 
 
 @pytest.mark.parametrize("rest", [0.0, 3.0, 10.0])
-def test_what_edges_did_not_send_to_a_cold_server_is_not_saved_up_beyond_the_slack(rest):
-    """Given 67 edges and a cold server that nobody asked for a while, when all ask without pause, what reaches it within any second stays
-    within the bound, and over three seconds it is given what its rate allows."""
+def test_the_unused_rate_of_a_cold_server_is_saved_up_only_to_the_slack(rest):
+    """Given 67 edges and a cold server that was idle for a while, when all edges get requests without pause, the server
+    gets no more than the limit within any second, and what its rate allows over three seconds."""
     doc = catalogue()
     doc["services"][2] |= {"coldPerS": COLD_PER_S, "coldMs": 60000}
     sent_at = []
@@ -51,8 +51,9 @@
     assert len(sent_at) >= 0.9 * COLD_PER_S * 3
 
 
-def test_an_edge_whose_window_is_not_open_prefers_a_server_that_is_warm():
-    """Given 67 edges, a cold server and a warm one that hold the model, each edge's request is sent at once, and the cold one gets no more than it bears."""
+def test_an_edge_outside_its_window_sends_to_a_warm_server():
+    """Given 67 edges and a cold and a warm server that hold the model, each edge sends its request at once, and the
+    cold server gets no more than its limit."""
     doc = catalogue()
     doc["services"][2] |= {"coldPerS": COLD_PER_S, "coldMs": 3000}
     scenes = [
--- a/tests/forwarding/test_connection_shares.py
+++ b/tests/forwarding/test_connection_shares.py
@@ -1,16 +1,16 @@
-"""How many connections to one server all edges together may use (docs/design/forwarding.md)."""
+"""Tests of the number of connections that all edges together use to one server (docs/design/forwarding.md)."""
 
 import pytest
 
 from tests.forwarding.forwarding_fixtures import PLAIN, Scene, catalogue, server
 
-CONNECTIONS = 240  # that a server takes
+CONNECTIONS = 240  # connections that a server accepts
 MANY_EDGES = 380
 SERVER_NAMES = ("r1", "r2", "r3")
 
 
 def _edges(number, servers=SERVER_NAMES):
-    """So many edges before the servers of a service, each of which takes `CONNECTIONS`."""
+    """Returns a scene of one of `number` edges, with servers that accept `CONNECTIONS` each."""
     doc = catalogue()
     doc["services"][0]["connections"] = CONNECTIONS
     scene = Scene(doc, {name: server("records") for name in servers})
@@ -20,8 +20,9 @@
 
 
 @pytest.mark.parametrize("edges", [CONNECTIONS, 324, MANY_EDGES, 1000])
-def test_more_edges_than_a_server_takes_connections_stay_within_its_number(edges):
-    """Given more edges than a server takes connections, their parts add up to no more, and use most of it."""
+def test_connection_shares_of_many_edges_stay_within_the_limit_of_a_server(edges):
+    """Given at least as many edges as a server accepts connections, their shares add up to at most that number, and to
+    80 % of it."""
     table = _edges(edges).table
     for name in SERVER_NAMES:
         together = 0
@@ -31,8 +32,9 @@
         assert 0.8 * CONNECTIONS <= together <= CONNECTIONS
 
 
-def test_the_edges_that_may_use_a_server_are_others_at_each():
-    """Given 380 edges, no two servers are left to the same edges, so that an edge shut out of one finds another."""
+def test_each_server_is_used_by_different_edges():
+    """Given 380 edges, no two servers are used by the same set of edges, so that an edge excluded from one server finds
+    another."""
     table = _edges(MANY_EDGES).table
     users = {}
     for name in SERVER_NAMES:
@@ -44,8 +46,9 @@
     assert len({frozenset(ranks) for ranks in users.values()}) == len(SERVER_NAMES)
 
 
-def test_requests_of_many_edges_at_once_open_no_more_connections_than_a_server_takes():
-    """Given 380 edges with three requests each for one server, what is under way there at once stays within its number."""
+def test_simultaneous_requests_of_many_edges_stay_within_the_connection_limit():
+    """Given 380 edges with three requests each for one server, the requests in flight there stay within its connection
+    limit."""
     sent = 0
     for rank in range(MANY_EDGES):
         scene = _edges(MANY_EDGES, servers=("r1",))
@@ -56,7 +59,7 @@
     assert 0.8 * CONNECTIONS <= sent <= CONNECTIONS
 
 
-def test_an_edge_keeps_no_idle_connection_where_its_part_is_less_than_one():
-    """Given 380 edges, none keeps a connection that rests beside those in use; nine edges keep some."""
+def test_an_edge_keeps_no_idle_connection_if_its_share_is_below_one():
+    """Given 380 edges, none keeps an idle connection to a server; given nine edges, they keep some."""
     assert _edges(MANY_EDGES).table.max_kept_connections("records") == 0
     assert _edges(9).table.max_kept_connections("records") > 0
--- a/tests/forwarding/test_forwarding.py
+++ b/tests/forwarding/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarded requests through the Transit machine alone: routes, kinds, answers, times, places, budget (docs/design/forwarding.md)."""
+"""Tests of the forwarding pipeline alone: routes, retries, responses, timeouts, placement (docs/design/forwarding.md)."""
 
 from datetime import timedelta
 from random import Random
@@ -36,8 +36,8 @@
 # routes ---------------------------------------------------------------------------
 
 
-def test_longest_prefix_of_the_host_picks_the_route():
-    """Given nested prefixes on two hosts, each path goes to the service of the longest that begins it, queries aside."""
+def test_the_longest_matching_prefix_selects_the_route():
+    """Given nested prefixes on two hosts, each path is routed by its longest prefix; the query string is ignored."""
     routes = [
         route("a", "repeatable", prefix="/"),
         route("b", "repeatable", "other", prefix="/x/"),
@@ -60,8 +60,8 @@
     assert scene.status(scene.ask("/x/", host="c.example")) == 404
 
 
-def test_weights_split_and_what_has_none_gets_nothing():
-    """Given weights 90, 10 and 0, a thousand requests part in about that way, and the last service is never asked."""
+def test_requests_are_split_by_weight_and_weight_zero_gets_none():
+    """Given weights 90, 10 and 0, 1000 requests split in about that ratio, and the service of weight 0 gets none."""
     split = [{"service": "records", "weight": 90}, {"service": "other", "weight": 10}, {"service": "llm", "weight": 0}]
     scene = Scene(
         catalogue(routes=[route("s", "repeatable", split=split)]),
@@ -76,15 +76,13 @@
     assert counts["l1"] == 0 and 60 < counts["o1"] < 150, counts
 
 
-def test_not_found_is_said_only_in_touch():
-    """Given no catalogue, a node that just woke or one that is cut off, an unknown path is refused with a time to come back; a
-    node in touch says 404, which is final, without a time."""
+def test_404_is_sent_only_with_a_current_catalogue():
+    """Given no catalogue, or a node that just restarted or is disconnected, an unknown path gets 503 with Retry-After;
+    only a connected node sends a 404, which is final, without Retry-After."""
     for trust, status in ((Trust.EMPTY, 503), (Trust.UNPROVEN, 503), (Trust.DISCONNECTED, 503), (Trust.FRESH, 404)):
         scene = Scene(trust=trust)
         cid = scene.ask("/none/")
-        assert bool(scene.told(cid)) == (status == 404), (
-            trust
-        )  # where it may yet be known, it waits a quarter of its time
+        assert bool(scene.told(cid)) == (status == 404), trust  # otherwise it is parked for a quarter of its timeout
         scene.run(1.1)
         assert scene.status(cid) == status and scene.fault(cid)["run"] == "no", trust
         assert ("Retry-After" in dict(scene.reply(cid)[3])) == (status == 503)
@@ -97,8 +95,9 @@
     assert empty.status(cid) == 503
 
 
-def test_what_comes_before_the_catalogue_is_served_when_it_is_there():
-    """Given a node that knows no catalogue yet, requests that come wait; with the catalogue they go on, with the time that is left."""
+def test_requests_that_arrive_before_the_catalogue_are_served_once_it_is_there():
+    """Given a node without a catalogue, requests are parked; once the catalogue arrives they are sent with the
+    remaining time, except those whose client disconnected."""
     scene = Scene(False)
     scene.trust.word = Trust.EMPTY
     cid, gone = scene.ask(PLAIN, deadline=3000), scene.ask(PLAIN)
@@ -115,9 +114,9 @@
 
 
 @pytest.mark.parametrize("trust", [Trust.EMPTY, Trust.FRESH])
-def test_what_waits_and_what_is_in_hand_is_bounded(trust):
-    """Given more requests at once than a node holds, before it knows a catalogue or while servers work, those beyond are refused at
-    once as not run, with a time to come back; one that ends makes room for another."""
+def test_parked_and_in_flight_requests_are_bounded(trust):
+    """Given more requests than a node may hold, parked without a catalogue or in flight, further ones are refused at
+    once as not run, with Retry-After; a request that ends makes room for another."""
     doc = catalogue()
     doc["services"][0]["connections"] = MAX_REQUESTS
     scene = Scene(trust == Trust.FRESH and doc, trust=trust)
@@ -130,9 +129,9 @@
     assert scene.told(scene.ask(PLAIN)) == []
 
 
-def test_what_came_in_before_the_node_was_sure_goes_the_way_of_the_newer_catalogue():
-    """Given a node that just woke and knows an old catalogue, what it lets in waits; what the new one leads elsewhere or nowhere is
-    refused as not run, so that the client comes again and is led anew, and the rest goes on."""
+def test_waiting_requests_are_rechecked_against_a_newer_catalogue():
+    """Given a node that just restarted with an old catalogue, its requests wait. Those that the new catalogue routes
+    differently or not at all are refused as not run, so that clients retry on the new route; the others are sent."""
     scene = Scene(trust=Trust.UNPROVEN, servers={**SERVERS, "o1": server("other")})
     moved, dropped, kept = scene.ask(PLAIN), scene.ask(ONCE), scene.ask(CHAT)
     assert scene.sends() == [] and scene.told(moved) == []
@@ -147,14 +146,14 @@
     assert scene.goal(scene.ask(PLAIN)) == "o1"
 
 
-# kinds ----------------------------------------------------------------------------
+# retries by route kind ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("path", [ONCE, LOOSE])
 @pytest.mark.parametrize("what", ["reset", "timeout", "cut", "500", "503", "408", "silence", "strange"])
-def test_what_may_not_run_twice_is_never_sent_again_after_it_may_have_run(path, what):
-    """Given a request that may run at most once and was sent, whatever goes wrong without the server's promise ends it: no second
-    send, and no status that would promise the client that it has not run."""
+def test_a_non_repeatable_request_is_never_sent_again_after_it_may_have_run(path, what):
+    """Given a request that may run at most once and was sent, any failure without a not-run statement of the server
+    ends it: there is no second attempt, and no status that would tell the client that it has not run."""
     scene = Scene()
     cid = scene.ask(path)
     scene.sent(cid)
@@ -176,8 +175,9 @@
 
 
 @pytest.mark.parametrize("status", [429, 503, 421])
-def test_what_the_server_says_it_did_not_run_goes_on_elsewhere_at_once(status):
-    """Given a full, busy or wrong server that marks its answer, even what may not run twice goes on to another in the same take."""
+def test_a_request_that_the_server_did_not_run_is_retried_elsewhere_at_once(status):
+    """Given an overloaded, busy or wrong server whose response says not run, even a non-repeatable request is sent to
+    another server in the same step."""
     scene = Scene(credit=4.0)
     cid = scene.ask(ONCE)
     first = scene.goal(cid)
@@ -187,17 +187,17 @@
     assert scene.reply(cid)[2::2] == (200, b"yes") and scene.settled()
 
 
-def test_a_421_needs_no_mark():
-    """Given a server that is another instance than the one meant, its bare 421 means that nothing ran."""
+def test_a_421_means_not_run_without_the_header():
+    """Given a server that is not the intended instance, its 421 means not run even without the not-run header."""
     scene = Scene()
     cid = scene.ask(ONCE)
     scene.answer(cid, 421, b"", seal=False)
     assert len(scene.sends(cid)) == 2
 
 
-def test_not_run_answers_end_within_tries_and_servers():
-    """Given servers that are all full, a request goes to no more servers than its route's tries, ends soon, and is told that it did
-    not run and when to come back, by the server's own word."""
+def test_not_run_responses_are_retried_within_the_tries_of_the_route():
+    """Given servers that are all overloaded, a request goes to at most as many servers as its route's tries, and then
+    ends as not run with the Retry-After value of the servers."""
     scene = Scene(catalogue(routes=[route("once", "once", tries=2)]))
     cid = scene.ask(ONCE)
     for _ in range(20):
@@ -214,8 +214,9 @@
     )
 
 
-def test_resends_without_credit_wait_half_a_second_at_most_and_end():
-    """Given no credit, a request that a server turned away is not sent again, and is refused as not run within its time."""
+def test_a_retry_without_credit_is_refused_after_half_a_second():
+    """Given no retry credit, a request that a server refused is not sent again and ends as not run within 0.6 s; as
+    soon as there is credit, another one is."""
     scene = Scene(credit=0.0)
     cid = scene.ask(ONCE)
     scene.answer(cid, 503, b"", NOT_RUN, seal=False)
@@ -235,9 +236,9 @@
 
 
 @pytest.mark.parametrize("kind", ["refused", "connect-timeout"])
-def test_what_was_never_sent_goes_on_elsewhere_and_costs_no_credit(kind):
-    """Given servers that take no connection, even what may not run twice moves on without credit, and is refused as not run when
-    none is left; the client is told when to come back."""
+def test_a_failed_connection_is_retried_elsewhere_without_credit(kind):
+    """Given servers that accept no connection, even a non-repeatable request is retried elsewhere without credit; if no
+    server is left it is refused as not run, with Retry-After."""
     scene = Scene(credit=0.0)
     cid = scene.ask(ONCE)
     first = scene.goal(cid)
@@ -250,7 +251,7 @@
     asked_at = scene.now
     while not scene.told(lost) and scene.now - asked_at < timedelta(
         seconds=5
-    ):  # it waits for a while: one may listen again
+    ):  # the request waits for a while, since a server may accept connections again
         if scene.table.requests and next(iter(scene.table.requests.values())).attempt_id:
             scene.hear(lost, "fault", kind)
         scene.run(0.05)
@@ -263,9 +264,9 @@
     assert scene.retry_after(lost) > 0 and len(scene.sends(lost)) <= 6 and scene.settled()
 
 
-def test_a_refused_connection_after_a_send_promises_nothing():
-    """Given a repeatable request that may have run at one server, a refused connection or a full server at the next takes nothing
-    back: when it ends without an answer, its status promises nothing."""
+def test_a_refused_connection_after_an_attempt_that_may_have_run_ends_as_maybe_run():
+    """Given a repeatable request that may have run at one server, a refused connection or a not-run response at the
+    next one does not make it not run: it ends with 502 or 504."""
     for second in ("refused", "full"):
         scene = Scene(credit=1.0)
         cid = scene.ask(PLAIN)
@@ -284,8 +285,9 @@
 
 
 @pytest.mark.parametrize("what", ["reset", "cut", "500", "502", "503", "strange", "encoded", "silence"])
-def test_a_repeatable_one_goes_on(what):
-    """Given a failure after the send, a repeatable request is answered by another server, once and whole."""
+def test_a_repeatable_request_is_retried_after_a_failure(what):
+    """Given a failure after the request was sent, a repeatable request gets one complete response from another
+    server."""
     scene = Scene()
     cid = scene.ask(PLAIN)
     first = scene.goal(cid)
@@ -309,8 +311,9 @@
     assert scene.reply(cid)[2::2] == (200, b"whole") and scene.settled()
 
 
-def test_a_repeatable_one_goes_to_no_more_servers_than_its_tries():
-    """Given servers that all break off, a repeatable request reaches as many servers as its route allows, and then ends at once."""
+def test_a_repeatable_request_goes_to_no_more_servers_than_its_tries():
+    """Given servers that all reset the connection, a repeatable request reaches as many servers as its route's tries,
+    and then ends at once."""
     scene = Scene(catalogue(routes=[route("plain", "repeatable", tries=2)]), credit=4.0)
     cid = scene.ask(PLAIN)
     while not scene.told(cid) and scene.now < START + 10 * SECOND:
@@ -324,9 +327,9 @@
 
 @pytest.mark.parametrize("tries", [1, 2, 3])
 @pytest.mark.parametrize("path", [PLAIN, ONCE])
-def test_a_try_is_sent_as_often_as_its_route_allows_and_to_no_more_servers(path, tries):
-    """Given servers that all turn it away, or all break it off, a request arrives as often as its route's tries say and ends at once
-    after that, while servers that it went to could be asked again."""
+def test_a_request_is_sent_exactly_as_often_as_the_tries_of_its_route(path, tries):
+    """Given servers that all refuse the request, or all reset its connection, it arrives as often as its route's tries
+    and then ends at once, although the servers already tried could be asked again."""
     for what in ("full", "reset"):
         scene = Scene(
             catalogue(routes=[route("plain", "repeatable", tries=tries), route("once", "once", tries=tries)]),
@@ -345,9 +348,9 @@
         assert scene.status(cid) == (503 if what == "full" else 502)
 
 
-def test_a_dead_kept_connection_is_no_try_of_its_own_but_once():
-    """Given a route of one try, a request whose kept connection turns out to be dead is sent once more, to the same server, against
-    credit; a second dead one, or one on a fresh connection, ends it."""
+def test_one_dead_kept_connection_does_not_count_as_a_try():
+    """Given a route of one try, a request on a reused connection that turns out to be dead is sent once more, to the
+    same server, for retry credit; a second dead connection, or a reset on a fresh one, ends it."""
     for reused, sends in ((True, 2), (False, 1)):
         scene = Scene(catalogue(routes=[route("plain", "repeatable", tries=1)]))
         cid = scene.ask(PLAIN)
@@ -364,9 +367,9 @@
 
 
 @pytest.mark.parametrize("lack", ["credit", "server", "tries"])
-def test_a_silent_server_is_left_only_for_another(lack):
-    """Given a repeatable request at a silent server, and no credit, no other server or no try to go on with, it stays there until its
-    time is over, and its answer still counts."""
+def test_a_silent_server_is_abandoned_only_for_another_server(lack):
+    """Given a silent server and no credit, no other server or no try left, a repeatable request stays there until its
+    deadline, and a late response still counts."""
     doc = catalogue(routes=[route("plain", "repeatable", tries=1 if lack == "tries" else 3)])
     scene = Scene(doc, {"r1": server("records")} if lack == "server" else None, credit=0.0 if lack == "credit" else 4.0)
     late, never = scene.ask(PLAIN), scene.ask(PLAIN)
@@ -380,8 +383,8 @@
 
 
 def test_a_stream_on_its_last_resume_waits_for_a_silent_server():
-    """Given a stream that was taken up as often as it may be, a server that gives nothing for a while does not end it; what it gives then
-    goes on where the stream stopped."""
+    """Given a stream without resumes left, a server that is silent for a while does not end it; its later events
+    continue the stream."""
     scene = Scene(catalogue(routes=[route("chat", "stream", "llm", resumable=True, tries=9)]), credit=40.0)
     cid = scene.ask(CHAT)
     for number in (1, 2, 3):
@@ -396,9 +399,9 @@
     assert scene.body(cid) == b"".join(map(event, (1, 2, 3, 4))) and scene.told(cid)[-1][0] == "end"
 
 
-def test_a_silent_server_is_not_left_for_one_that_rests():
-    """Given a repeatable request at a silent server, and beside it only one that shed the request and asks for 3 s, it stays where it is:
-    leaving would take it back to the silent one, against credit, and call off what may be running there."""
+def test_a_silent_server_is_not_abandoned_for_one_that_backs_off():
+    """Given a silent server, and a second one that refused the request with Retry-After 3, the request stays.
+    Abandoning the silent server would lead back to it, cost credit and cancel what may be running there."""
     scene = Scene(None, {"r1": server("records"), "r2": server("records")}, credit=4.0)
     cid = scene.ask(PLAIN)
     first = scene.goal(cid)
@@ -409,8 +412,9 @@
     assert [dict(send[4])["x-expect-instance"] for send in scene.sends(cid)] == [first, silent]
 
 
-def test_a_silent_server_is_left_as_soon_as_there_is_credit():
-    """Given a repeatable request at a silent server without credit, it goes on elsewhere when credit comes, and pays once."""
+def test_a_silent_server_is_abandoned_as_soon_as_there_is_credit():
+    """Given a silent server and no retry credit, a repeatable request goes to another server when credit arrives, and
+    costs credit once."""
     scene = Scene(credit=0.0)
     cid = scene.ask(PLAIN)
     scene.sent(cid)
@@ -423,7 +427,7 @@
     assert scene.status(cid) == 200 and scene.settled()
 
 
-# answers --------------------------------------------------------------------------
+# responses --------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -441,9 +445,10 @@
         ((OWN, SEAL), 101),
     ],
 )
-def test_bytes_that_are_not_the_servers_answer_never_reach_the_client(pairs, status):
-    """Given an answer with another request's id or none, without the seal, with an encoding, or one that contradicts itself, its client gets
-    a failure of this node and nothing of it; and another's promise is not taken for its own."""
+def test_a_response_that_is_not_the_servers_own_never_reaches_the_client(pairs, status):
+    """Given a response with another request id or none, without the seal, with a content encoding, or that contradicts
+    itself, the client gets an error of this node and no byte of the response; a not-run header on another request's
+    response is ignored."""
     scene = Scene()
     cid = scene.ask(ONCE)
     scene.sent(cid)
@@ -456,9 +461,9 @@
     assert scene.status(cid) in (502, 504) and scene.fault(cid)["run"] == "maybe", scene.reply(cid)
 
 
-def test_answers_that_are_the_servers_pass_unchanged():
-    """Given whole answers of any status, with binary bodies and header pairs that repeat, the client gets just these, without
-    what concerns one connection only, also where `Connection` names it."""
+def test_responses_are_relayed_unchanged():
+    """Given complete responses of any status, with binary bodies and repeated headers, the client gets exactly these,
+    without hop-by-hop headers and without headers named by `Connection`."""
     scene = Scene()
     for status, body in (
         (200, bytes(range(256)) * 9),
@@ -489,9 +494,9 @@
 @pytest.mark.parametrize(
     "status", [300, 302, 304, 400, 401, 404, 409, 410, 418, 422, 429, 431, 500, 501, 502, 503, 504, 599, 408, 421]
 )
-def test_a_failure_that_bears_a_seal_has_that_servers_status(path, status):
-    """Given servers that fail with any status, each with a seal of its own, marked as not run or not, whatever the client gets with a seal
-    has the status that this server gave; a failure of the node's own has no seal."""
+def test_a_sealed_error_response_keeps_the_status_of_its_server(path, status):
+    """Given servers that fail with any status, each with its own seal, with or without the not-run header, a sealed
+    response to the client has the status of the server with that seal; an error of the node itself has no seal."""
     for mark in ((), (NOT_RUN,)):
         scene = Scene(credit=40.0)
         cid, given = scene.ask(path), {}
@@ -507,9 +512,9 @@
         assert seals or got in (status, 502, 503, 504)
 
 
-def test_requests_pass_unchanged_but_for_what_concerns_one_connection():
-    """Given headers that repeat, hop-by-hop ones and ones named by `Connection`, the server gets method, raw path and body as they
-    came, the pairs that are not the connection's in their order, and the router's own facts once."""
+def test_requests_are_forwarded_unchanged_except_for_hop_by_hop_headers():
+    """Given repeated headers, hop-by-hop headers and headers named by `Connection`, the server gets method, raw path
+    and body unchanged, the end-to-end headers in their order, and each header that the router sets once."""
     scene = Scene()
     pairs = (
         ("X-A", "1"),
@@ -545,14 +550,14 @@
     assert connect <= total == timedelta(seconds=2.5)
 
 
-# times ----------------------------------------------------------------------------
+# timeouts ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("path", [ONCE, PLAIN, CHAT])
 @pytest.mark.parametrize("own,bound", [(1000, 1.0), (9000, 4.0), (None, 4.0)])
-def test_the_shorter_of_deadline_and_route_timeout_bounds_all(path, own, bound):
-    """Given servers that never answer, a request ends at its own deadline or its route's timeout, whichever is sooner, with 504;
-    each try states what is left then, and every fetch is called off."""
+def test_the_shorter_of_deadline_and_route_timeout_ends_the_request(path, own, bound):
+    """Given servers that never respond, a request ends with 504 at its own deadline or at its route's timeout,
+    whichever is sooner; each attempt states the remaining time, and every call is cancelled."""
     scene = Scene()
     cid = scene.ask(path, **({} if own is None else {"deadline": own}))
     states = []
@@ -569,9 +574,9 @@
     } and scene.settled()
 
 
-def test_a_running_stream_is_not_ended_before_its_time():
-    """Given a stream whose events come slowly and whose target is long past, it runs until the route's own timeout and no
-    sooner, and what came by then stays unclosed."""
+def test_a_slow_stream_runs_until_the_route_timeout():
+    """Given a stream with slow events that is long past its target latency, it runs until the route's timeout and is
+    then aborted, so that it does not look complete."""
     scene = Scene(catalogue(routes=[route("chat", "stream", "llm", resumable=True, target_ms=100, timeout_ms=9000)]))
     cid = scene.ask(CHAT)
     scene.stream(cid, 1)
@@ -582,9 +587,9 @@
     assert scene.told(cid)[-1][0] == "drop" and scene.body(cid) == event(1) + event(2) and scene.settled()
 
 
-def test_a_stream_that_goes_on_elsewhere_runs_until_its_time_too():
-    """Given a stream that was taken up at another server, a long pause after its next event ends it no sooner than one that was not,
-    while a server that gives nothing at all is bounded by its first token."""
+def test_a_resumed_stream_runs_until_the_route_timeout():
+    """Given a stream resumed at another server, a long pause after its next event does not end it; a server that sends
+    no event at all is bounded by the first-token timeout."""
     scene = Scene(
         catalogue(routes=[route("chat", "stream", "llm", resumable=True, target_ms=100, timeout_ms=9000, tries=6)])
     )
@@ -602,9 +607,10 @@
     assert scene.body(cid) == event(1) + event(2) + event(3)
 
 
-def test_the_bound_on_the_first_token_is_apart_from_connect_and_total():
-    """Given a server that takes a request and stays silent: a repeatable one goes on after its first-token bound, long before its
-    total; on its last try it is left until its total; an unsendable one is bounded by the connect time alone."""
+def test_first_token_connect_and_total_timeouts_are_separate():
+    """Given a silent server, a repeatable request is retried after the first-token timeout, long before the total
+    timeout; its last attempt, and a non-repeatable request, last until the total timeout. Connecting has its own
+    timeout."""
     scene = Scene(catalogue(routes=[route("plain", "repeatable", tries=2, target_ms=400), route("once", "once")]))
     cid, single = scene.ask(PLAIN), scene.ask(ONCE)
     (send,) = scene.sends(cid)
@@ -621,9 +627,9 @@
     assert scene.status(cid) == 504 and scene.status(single) == 504
 
 
-def test_a_refusal_is_at_once_and_final_and_calls_off_what_was_under_way():
-    """Given a request whose connection is still being made when it is given up, its fetch is called off in the same take, before
-    the answer, and then it is told that it did not run; news of that fetch changes nothing."""
+def test_a_refusal_cancels_the_attempt_first_and_is_final():
+    """Given a request that is ended while its connection is being established, its call is cancelled before the not-run
+    response is sent, in the same step; later events of that call have no effect."""
     scene = Scene()
     cid = scene.ask(ONCE)
     tid = scene.sends(cid)[-1][1]
@@ -638,8 +644,9 @@
     assert scene.status(unknown) == 503 and scene.sends(unknown) == [] and scene.retry_after(unknown) > 0
 
 
-def test_what_may_be_under_way_never_gets_503():
-    """Given requests of each kind whose bytes may be with a server, giving them up at any moment ends in 502 or 504, never 503."""
+def test_a_request_that_may_have_run_never_gets_503():
+    """Given requests of each kind that may have reached a server, a shutdown or their deadline ends them with 502 or
+    504, never with 503."""
     for path in (PLAIN, ONCE, CHAT, LOOSE):
         for how in ("cut-short", "time"):
             scene = Scene()
@@ -650,12 +657,12 @@
             assert scene.status(cid) in (502, 504) and scene.fault(cid)["run"] == "maybe" and scene.settled()
 
 
-# places ---------------------------------------------------------------------------
+# placement ---------------------------------------------------------------------------
 
 
-def test_a_row_waits_while_its_model_is_wanted_and_goes_on_the_moment_it_stands():
-    """Given a model that stands nowhere, the want goes out in the same take and again while it waits; when a place stands, the
-    request goes there in the take that says so."""
+def test_a_request_waits_for_the_placement_of_its_model():
+    """Given a model that no server holds, its demand is reported at once and repeated while the request waits; the
+    request is sent in the step that reports a placement."""
     scene = Scene(held=())
     cid = scene.ask(CHAT, deadline=3000)
     (want,) = [effect for effect in scene.out if effect[0] == "want"]
@@ -667,8 +674,9 @@
     assert not [effect for effect in scene.run(0.5) if effect[0] == "want"]
 
 
-def test_wants_of_many_rows_go_out_as_one_with_their_count():
-    """Given rows for a model, an adapter of it and another model, each name is wanted with its count and the shortest time left."""
+def test_demand_is_reported_per_model_with_the_number_of_requests():
+    """Given waiting requests for an adapter and for another model, one report has the count and the shortest remaining
+    time of each."""
     scene = Scene(held=("l1",))
     for adapter, deadline in (("m/a1", 3000), ("m/a1", 2000), ("n", 4000)):
         scene.ask(CHAT, model=adapter, deadline=deadline)
@@ -680,9 +688,9 @@
     assert {scene.goal(f"q{number}") for number in (1, 2)} == {"l1"} and scene.sends("q3") == []
 
 
-def test_a_row_is_refused_when_its_time_will_not_do():
-    """Given a model that never comes, the request is refused with time left for another try elsewhere, as not run, and told to come
-    back no sooner than a load takes."""
+def test_a_request_is_refused_early_if_its_model_is_not_placed():
+    """Given a model that is never placed, the request is refused as not run while its client has time left to retry
+    elsewhere, with a Retry-After of at least the load time."""
     scene = Scene(held=())
     cid = scene.ask(CHAT, deadline=2000)
     scene.run(2)
@@ -696,8 +704,9 @@
     assert scene.settled()
 
 
-def test_a_421_makes_the_place_forgotten():
-    """Given a server that does not hold what it was thought to, it is not asked again for it until news says so; other models are."""
+def test_a_421_removes_the_placement_of_the_model():
+    """Given a server that does not hold the expected model, it gets no more requests for that model until a placement
+    update names it again; requests for other models still go there."""
     scene = Scene(held=())
     scene.place({"l1": {"m": ("a1",), "n": ()}})
     cid = scene.ask(CHAT, model="m/a1")
@@ -714,8 +723,9 @@
 # servers --------------------------------------------------------------------------
 
 
-def test_servers_that_leave_are_shunned_or_stand_in_a_closed_area_get_nothing():
-    """Given one server of three that may be used, it gets all; what a node was told of leaving holds for a while."""
+def test_servers_that_leave_or_are_in_an_evacuated_zone_get_no_requests():
+    """Given servers that are leaving, announced as leaving or in an evacuated zone, only the others get requests; an
+    announcement expires after a while, and a restored zone gets requests again."""
     leaving = Scene(servers={**SERVERS, "r1": server("records", leaving=True)})
     leaving.take("leaving", ("r2",))
     goals = [leaving.goal(leaving.ask()) for _ in range(20)]
@@ -736,8 +746,9 @@
     assert {closed.goal(f"q{number}") for number in range(21, 51)} == {"r1", "r2"}
 
 
-def test_a_retry_does_not_go_to_a_server_that_left_meanwhile():
-    """Given a repeatable request whose other servers leave while it pauses, it stays with what may be used."""
+def test_a_retry_avoids_servers_that_began_to_leave():
+    """Given a repeatable request whose other servers start to leave during its backoff, it is retried at the remaining
+    server."""
     scene = Scene()
     cid = scene.ask(PLAIN)
     first = scene.goal(cid)
@@ -750,8 +761,9 @@
     assert [scene.goal(cid, place) for place in (0, 1)] == [first, first]
 
 
-def test_a_node_that_is_cut_off_stays_in_its_own_area():
-    """Given a node that has lost the cores, it sends to servers of its area alone; one that just woke sends nothing."""
+def test_a_disconnected_node_sends_only_within_its_zone():
+    """Given a node without contact with the cores, it sends only to servers in its own zone; a node that just restarted
+    sends nothing until it is connected."""
     servers = {"r1": server("records", "west"), "r2": server("records", "east")}
     scene = Scene(servers=servers, trust=Trust.DISCONNECTED)
     assert {scene.goal(scene.ask()) for _ in range(20)} == {"r2"}
@@ -764,17 +776,18 @@
     assert len(scene.sends()) == before + 1
 
 
-def test_no_server_of_another_service_is_ever_asked():
-    """Given an address that now belongs to another service, nothing goes there, and the instance is named in each request."""
+def test_servers_of_another_service_get_no_requests():
+    """Given addresses that now belong to servers of other services, no request is sent to them, and the client gets
+    503."""
     scene = Scene(servers={"o1": server("other"), "l1": server("llm")})
     cid = scene.ask(PLAIN)
     scene.run(5)
     assert scene.sends() == [] and scene.status(cid) == 503
 
 
-def test_a_cold_server_gets_its_share_a_second_of_each_node():
-    """Given a cold server that bears 12 a second and four nodes, this one sends it one and then three a second while it is cold,
-    whatever waits; then it is given all."""
+def test_a_cold_server_gets_a_limited_rate_from_each_edge():
+    """Given a cold server limited to 12 requests per second and four edges, this edge sends it one request and then
+    three per second while it is cold, whatever else waits; afterwards it sends all."""
     doc = catalogue()
     doc["services"][0] |= {"coldPerS": 12.0}
     scene = Scene(doc, {"r1": server("records")})
@@ -796,8 +809,8 @@
     assert len(scene.sends()) >= before + 6
 
 
-def test_what_a_cold_server_bears_is_not_saved_up():
-    """Given a cold server that nobody asked for ten seconds, it gets one request at once and the rest at its rate."""
+def test_the_unused_rate_of_a_cold_server_is_not_saved_up():
+    """Given a cold server that got no request for 10 s, it gets one request at once and the others at its rate."""
     doc = catalogue()
     doc["services"][0] |= {"coldPerS": 2.0}
     scene = Scene(doc, {"r1": server("records")})
@@ -811,8 +824,8 @@
     assert len(scene.sends()) == 3
 
 
-def test_a_server_that_says_it_is_cold_is_bounded_as_well():
-    """Given an answer that tells how long its server stays cold, what follows within that time is bounded."""
+def test_a_server_that_reports_itself_cold_is_rate_limited():
+    """Given a response that states how long its server stays cold, requests within that time are rate limited."""
     doc = catalogue()
     doc["services"][0] |= {"coldPerS": 1.0}
     scene = Scene(doc, {"r1": server("records")})
@@ -822,8 +835,9 @@
     assert len(scene.sends()) == 2
 
 
-def test_the_breaker_shuts_a_failing_server_out_and_one_probe_opens_it():
-    """Given a server that fails twice, others get what comes; after its rest it gets one request alone, and its answer opens it."""
+def test_the_breaker_opens_after_two_failures_and_one_probe_closes_it():
+    """Given a server that fails twice, other servers get the requests; after the backoff it gets a single probe, whose
+    response closes the breaker."""
     scene = Scene(servers={"r1": server("records"), "r2": server("records")})
     server_window = scene.table.server_window("r1")
     in_hand = []
@@ -835,7 +849,7 @@
             scene.sent(cid)
             scene.hear(cid, "fault", "reset")
         else:
-            in_hand.append(cid)  # a server with nothing in hand and a kept connection would get all that comes
+            in_hand.append(cid)  # answered later: an idle r2 with a kept connection would get every request
     assert server_window.is_breaker_open(scene.now)
     for cid in in_hand:
         scene.answer(cid)
@@ -850,8 +864,8 @@
     assert server_window.consecutive_failures == 0 and not server_window.is_breaker_open(scene.now)
 
 
-def test_a_server_whose_own_answers_are_failures_is_shut_out_too():
-    """Given a server that answers every request with its own 500, its breaker shuts like that of one that breaks off."""
+def test_500_responses_open_the_breaker():
+    """Given a server that answers every request with 500, its breaker opens as after connection resets."""
     scene = Scene(servers={"r1": server("records"), "r2": server("records")})
     for _ in range(40):
         cid = scene.ask(ONCE)
@@ -863,8 +877,9 @@
     assert {record["class"] for record in scene.records(True) if record["status"] == 500} == {"upstream"}
 
 
-def test_a_full_server_is_drawn_last_for_the_time_that_it_stated():
-    """Given a server that says it is full for 0.8 s, others get what comes until then; it is no fault and shuts nothing."""
+def test_an_overloaded_server_is_avoided_for_its_retry_after():
+    """Given a server that refuses a request with Retry-After 0.8, other servers are preferred for 0.8 s; the refusal
+    does not count as a failure for the breaker."""
     scene = Scene(servers={"r1": server("records"), "r2": server("records")})
     while True:
         cid = scene.ask(ONCE)
@@ -878,8 +893,9 @@
     assert "r1" in {scene.goal(scene.ask(ONCE)) for _ in range(8)}
 
 
-def test_waiting_rows_go_by_priority_and_then_by_age():
-    """Given rows of three priorities that wait for one place, the most urgent go first, and among equals the oldest."""
+def test_waiting_requests_are_sent_by_priority_and_then_by_age():
+    """Given requests of three priorities that wait for one placement, the most urgent are sent first, and among equal
+    ones the oldest."""
     routes = [
         route(name, "stream", "llm", priority=priority) for name, priority in (("low", 9), ("mid", 1), ("high", 0))
     ]
@@ -890,8 +906,9 @@
     assert [dict(send[4])["x-urgency"] for send in scene.sends()] == ["0", "0", "1", "1", "9", "9"]
 
 
-def test_sessions_stay_where_their_prompt_is_kept():
-    """Given shared parts that a server has read, what begins with the same goes there while it is no more loaded than that is worth."""
+def test_requests_prefer_the_server_that_cached_their_prompt_prefix():
+    """Given prompt parts that a server has read, requests with the same prefix go there as long as the cache outweighs
+    its load."""
     scene = Scene()
     tokens = {"parts": "5c:6000,91:20", "tokens": "6020,10"}
     first = scene.ask(CHAT, **tokens)
@@ -906,13 +923,13 @@
     assert goals == {scene.goal(first)}
 
 
-# budget, clients, leaving ------------------------------------------------------------
+# retry budget, client disconnects, shutdown ------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_resends_over_any_window_stay_within_ratio_and_cap(seed):
-    """Given servers that fail at random, often all of them, what arrives at servers beyond the first of each request is at most a
-    fifth of the requests and what may be saved up, over every stretch of time; over all services, and at each by its own requests."""
+def test_retries_over_any_window_stay_within_ratio_and_cap(seed):
+    """Given servers that fail at random, often all at once, the retries that reach servers within any time window are
+    at most a fifth of the requests plus the credit cap, in total and for each service."""
     scene, random, arrivals = Scene(seed=seed, credit=0.0), Random(seed), []
     scene.retry_budget.cap = 2.0
     firsts, resends = [], []
@@ -956,8 +973,9 @@
 
 
 @pytest.mark.parametrize("others", [0, 1, 9])
-def test_what_all_edges_save_up_together_stays_under_the_slack(others):
-    """Given a slack of 50 resends over the ratio, the edges that live or were there of late have at most eight tenths of it in all."""
+def test_retry_credit_of_all_edges_together_stays_under_the_slack(others):
+    """Given a slack of 50 retries beyond the ratio, all edges that are alive or were until recently hold at most eight
+    tenths of it together."""
     settings = NodeSettings(
         node="e1",
         address="127.0.0.1:1",
@@ -980,8 +998,9 @@
 
 
 @pytest.mark.parametrize("when", ["waiting", "connecting", "sent", "streaming"])
-def test_a_client_that_hangs_up_calls_off_its_try(when):
-    """Given a client that goes away at any stage, its fetch is called off, nothing more is sent or said, and its request is closed."""
+def test_a_client_disconnect_cancels_the_attempt(when):
+    """Given a client that disconnects at any stage, its call is cancelled, nothing more is sent to a server or to the
+    client, and its ledger record is closed."""
     scene = Scene(held=() if when == "waiting" else ("l1",))
     cid = scene.ask(CHAT)
     if when == "sent":
@@ -999,9 +1018,9 @@
     assert scene.take("gone", cid) == [] and scene.take("gone", "never") == []
 
 
-def test_a_leaving_node_goes_on_with_what_is_in_hand_and_asks_for_no_more():
-    """Given a node that leaves, requests in hand and late ones are answered as ever, streams too, each with `Connection: close`;
-    what is still there at the end gets its final answer at once."""
+def test_a_draining_node_serves_its_requests_with_connection_close():
+    """Given a draining node, requests in flight and new ones are served, streams too, each with `Connection: close`;
+    those still in flight at the end get their final response at once."""
     scene = Scene()
     whole, stream, refused = scene.ask(ONCE), scene.ask(CHAT), scene.ask(LOOSE)
     late = scene.ask(CHAT, model="n")
@@ -1027,9 +1046,9 @@
     assert len(scene.told(late)) == 1
 
 
-def test_the_ledger_knows_each_request_and_its_tries():
-    """Given answers in time, late ones and failures, each request is closed once; what takes long is opened before; a record names
-    the client's id, the route, the model, each try with its class, and whether it ran."""
+def test_the_ledger_records_each_request_and_its_attempts():
+    """Given fast, late and failed requests, each gets one closing record, and a long one an opening record before. A
+    record has the client's id, the route, the model, the class of each attempt and whether the request ran."""
     scene = Scene()
     quick = scene.ask(CHAT, tokens="20,8")
     scene.after(0.05).stream(quick, 1)
--- a/tests/forwarding/test_forwarding_faults.py
+++ b/tests/forwarding/test_forwarding_faults.py
@@ -1,4 +1,4 @@
-"""A Transit machine in a storm of servers and clients that do all that they may do (docs/design/forwarding.md)."""
+"""Tests of the forwarding pipeline under random faults of servers and clients (docs/design/forwarding.md)."""
 
 import heapq
 import re
@@ -25,16 +25,16 @@
 
 
 class FaultInjection:
-    """A Transit among servers that do all that servers may do, and clients that hang up; the records of both are kept apart."""
+    """Runs a forwarding pipeline among faulty servers and clients that disconnect, and records what each side saw."""
 
-    COUNT = 6  # events of a stream
+    COUNT = 6  # events per stream
 
     def __init__(self, seed):
         self.random = Random(seed)
         self.scene = Scene(seed=seed, credit=0.0)
         self.scene.retry_budget.cap = 30.0
         self.heap, self.number = [], 0
-        self.fetches = {}  # tid: [is called off, was heard as sent]
+        self.fetches = {}  # by attempt id: [is cancelled, was reported as sent]
         self.arrivals, self.runs, self.gone, self.asked, self.seen = [], {}, set(), {}, 0
         self.trouble = 0.0
 
@@ -108,7 +108,7 @@
         self.watch()
 
     def watch(self):
-        """Acts on what the machine said since the last look."""
+        """Processes the effects of the pipeline since the last call."""
         while self.seen < len(self.scene.out):
             effect = self.scene.out[self.seen]
             self.seen += 1
@@ -126,7 +126,7 @@
     def connect(self, effect):
         tid = effect[1]
         if self.fetches[tid][0]:
-            return  # called off before its connection stood: no byte went out
+            return  # cancelled before its connection was established: no byte was sent
         luck = self.random.random()
         if luck < self.trouble * 0.3:
             return (
@@ -138,7 +138,7 @@
         self.later(self.random.random() * 0.1, self.arrive, effect)
 
     def arrive(self, effect):
-        """The server has the request, whether or not the edge still waits for it."""
+        """Delivers the request to the server, whether or not the edge still waits for the response."""
         tid, headers = effect[1], dict(effect[4])
         cid, name, random = headers["X-Request-Id"], headers["x-expect-instance"], self.random
         self.arrivals.append((cid, name))
@@ -154,7 +154,7 @@
         if random.random() < 0.3 and answer in ("reset", "silent"):
             return (
                 self.tell(tid, "fault", "reset") if answer == "reset" else None
-            )  # it took the request and never ran it
+            )  # the server received the request and never ran it
         self.runs[cid] = self.runs.get(cid, 0) + 1
         at = random.random() * 0.1
         if answer == "reset":
@@ -190,10 +190,11 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_storm(seed):
-    """Given random servers, places, leavings and clients that hang up, seen from outside: nothing that may not runs twice, nothing
-    that ran or will run is refused as not run, no event is missing or doubled or joined, no cut answer looks whole, and when all
-    is over nothing is in hand and the ledger has closed each request once."""
+def test_random_faults_break_no_guarantee(seed):
+    """Given random server faults, placements, leaving servers and client disconnects, as seen from outside: no
+    non-repeatable request runs twice, no request that ran is refused as not run, no event is lost, repeated or joined
+    wrongly, no truncated response looks complete, and at the end nothing is in flight and the ledger has closed each
+    request once."""
     fault_injection = FaultInjection(seed).play(300)
     scene, outcomes = fault_injection.scene, {}
     for cid, path in fault_injection.asked.items():
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -1,12 +1,14 @@
-"""Forwarded streams through the Transit machine alone: whole events, cuts and resumes (docs/design/forwarding.md, docs/design/inference.md)."""
+"""Tests of event streams in the forwarding pipeline: complete events, aborts and resumes (docs/design/forwarding.md,
+docs/design/inference.md)."""
 
 import pytest
 
 from tests.forwarding.forwarding_fixtures import CHAT, EVENTS, LOOSE, NOT_RUN, Scene, catalogue, event, route
 
 
-def test_events_are_passed_as_they_come_and_only_whole():
-    """Given chunks that part events in the middle, whole ones go on in the take in which they end, and nothing else does."""
+def test_events_are_relayed_at_once_and_only_complete():
+    """Given chunks that split events, each event is relayed in the step in which it is complete, and no partial event
+    is."""
     scene = Scene()
     cid = scene.ask(CHAT)
     scene.sent(cid)
@@ -21,9 +23,10 @@
     assert scene.told(cid)[-1][0] == "end" and scene.settled()
 
 
-def test_a_resumable_stream_goes_on_elsewhere_at_its_last_event():
-    """Given a stream that breaks in the middle of an event, it goes on at another server from the last whole one, within one answer:
-    one head, that of the first server, no event missing and none twice; the ledger knows when its first event came."""
+def test_a_resumable_stream_is_resumed_elsewhere_after_its_last_event():
+    """Given a stream that breaks within an event, it is resumed at another server after the last complete event, within
+    one response with the first server's head: no event is missing or repeated. The ledger records the time of the first
+    event."""
     scene = Scene()
     cid = scene.ask(CHAT)
     first = scene.goal(cid)
@@ -46,8 +49,9 @@
     )
 
 
-def test_the_clients_own_last_event_is_kept_until_there_is_a_newer_one():
-    """Given a client that takes a stream up at event 12, the first server is told 12, and the next one what came since."""
+def test_the_clients_last_event_id_is_sent_until_a_newer_event_arrives():
+    """Given a client that resumes at event 12, the first server gets 12 as the last event id, and a later one the id of
+    the newest event."""
     scene = Scene()
     cid = scene.ask(CHAT, last=12)
     assert dict(scene.sends(cid)[-1][4])["last-event-id"] == "12"
@@ -62,8 +66,8 @@
 
 
 @pytest.mark.parametrize("numbers", [(1, 2, 3), (2, 3), (0,)])
-def test_a_resume_that_begins_at_what_was_passed_on_is_never_joined(numbers):
-    """Given a server that does not go on where it was told to, none of its events reach the client."""
+def test_a_resume_that_repeats_events_is_never_relayed(numbers):
+    """Given a server that does not resume after the requested event, none of its events reach the client."""
     scene = Scene()
     cid = scene.ask(CHAT)
     scene.stream(cid, 1, 2)
@@ -77,8 +81,9 @@
     assert scene.body(cid) == event(1) + event(2) + event(3) and scene.told(cid)[-1][0] == "end"
 
 
-def test_a_resume_is_bounded_and_then_the_answer_is_cut():
-    """Given servers that break after an event each, a stream is taken up a few times and then dropped, never closed as whole."""
+def test_the_number_of_resumes_is_limited_and_then_the_stream_is_aborted():
+    """Given servers that break after one event each, a stream is resumed three times and then aborted, never ended as
+    if it were complete."""
     scene = Scene()
     scene.retry_budget.cap = 40.0
     scene.give_credit(40.0)
@@ -91,8 +96,9 @@
     assert scene.told(cid)[-1][0] == "drop" and number == 4 and scene.settled()
 
 
-def test_a_stream_is_taken_up_at_no_more_servers_than_its_route_allows():
-    """Given a route of two tries and three servers, a stream that breaks again and again goes back and forth between two of them."""
+def test_a_stream_is_resumed_at_no_more_servers_than_its_route_allows():
+    """Given a route of two tries and three servers, a stream that breaks again and again alternates between two
+    servers."""
     scene = Scene(catalogue(routes=[route("chat", "stream", "llm", resumable=True, tries=2)]), credit=40.0)
     cid = scene.ask(CHAT)
     for number in range(1, 4):
@@ -103,8 +109,8 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "503"])
-def test_a_stream_that_may_not_be_resumed_is_cut_without_a_closing_mark(how):
-    """Given a stream of a kind that may not run twice, a break after its first event drops the client's connection."""
+def test_a_non_resumable_stream_is_aborted_without_an_end(how):
+    """Given a stream that may not run twice, a break after its first event aborts the response to the client."""
     scene = Scene()
     cid = scene.ask(LOOSE)
     scene.stream(cid, 1)
@@ -118,8 +124,9 @@
     assert scene.records(True)[0]["run"] == "maybe" and scene.settled()
 
 
-def test_a_resume_that_is_refused_goes_on_elsewhere_without_waiting_for_the_body():
-    """Given a stream whose resume gets the head of a 404, that try is called off at once and the stream goes on at the next server."""
+def test_a_resume_that_is_refused_is_retried_without_waiting_for_the_body():
+    """Given a resume answered with the head of a 404, the attempt is cancelled at once, and the stream is resumed at
+    the next server."""
     scene = Scene()
     cid = scene.ask(CHAT)
     scene.stream(cid, 1)
@@ -134,8 +141,9 @@
     assert len(scene.sends(cid)) == 3 and scene.body(cid) == event(1) + event(2) and scene.told(cid)[-1][0] == "end"
 
 
-def test_a_resume_that_is_turned_away_goes_on_or_is_cut_and_stays_maybe_run():
-    """Given a stream whose resume is answered by a full server, and then by a whole body, neither reaches the client."""
+def test_a_stream_that_no_server_resumes_is_aborted_and_may_have_run():
+    """Given a resume that gets a not-run 503 and then a whole body instead of a stream, neither reaches the client, the
+    stream is aborted, and its record says that it may have run."""
     scene = Scene()
     cid = scene.ask(CHAT)
     scene.stream(cid, 1)
