--- a/harness/mutations/answers.py
+++ b/harness/mutations/answers.py
@@ -11,7 +11,7 @@
 ANSWERS_MUTATIONS = (
     Mutation(
         "MIXED",
-        "an answer to another request is taken",
+        "a response to another request is accepted",
         "        if not has_id and (response.request_id or request.is_reused):",
         "        if False:",
         PROXY_PIPELINE,
@@ -83,7 +83,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer without the seal is passed on",
+        "a response without the seal is relayed",
         "if status < 300 and (not response.is_sealed or names",
         "if status < 300 and (names",
         PROXY_PIPELINE,
@@ -91,7 +91,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer with an encoding is passed on",
+        "a response with a content encoding is relayed",
         ' or names.get("content-encoding", "identity") != "identity")',
         ")",
         PROXY_PIPELINE,
@@ -147,7 +147,7 @@
     ),
     Mutation(
         "TWICE",
-        "what may not run twice is sent again",
+        "a non-repeatable request that may have run is sent again",
         "return request.run_history.may_send_again(request.is_repeatable) and has_tries_left",
         "return has_tries_left",
         PROXY_PIPELINE,
@@ -155,7 +155,7 @@
     ),
     Mutation(
         "TWICE",
-        "what went out counts as not run",
+        "a request that was sent counts as not run",
         "        request.run_history.note_first_byte()\n        request.arrivals",
         "        request.arrivals",
         PROXY_PIPELINE,
@@ -171,7 +171,7 @@
     ),
     Mutation(
         "TWICE",
-        "a refused connection takes an earlier send back",
+        "a refused connection resets the run status of an earlier attempt",
         "return self._attempt_status if self._earlier_status is RunStatus.NOT_RUN else self._earlier_status",
         "return self._attempt_status",
         PROXY_PIPELINE,
@@ -179,7 +179,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a full server takes an earlier send back",
+        "a not-run response resets the run status of an earlier attempt",
         "self._earlier_status, self._attempt_status = self.status, RunStatus.NOT_RUN",
         "self._earlier_status, self._attempt_status = RunStatus.NOT_RUN, RunStatus.NOT_RUN",
         PROXY_PIPELINE,
@@ -211,7 +211,7 @@
     ),
     Mutation(
         "REFUSED",
-        "503 is told of what may have run",
+        "a request that may have run gets 503",
         "    if has_not_run:\n        return 503\n",
         "    if True:\n        return 503\n",
         PROXY_PIPELINE,
@@ -219,7 +219,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a server's 503 without its mark is passed on",
+        "a 503 without the not-run header is relayed",
         "if status in NOT_RUN_STATUSES:",
         "if False:",
         PROXY_PIPELINE,
@@ -227,7 +227,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a running try is not called off by a refusal",
+        "a refusal does not cancel the running attempt",
         "[CancelCall(request.attempt_id)] if request.attempt_id is not None and request.is_at_server else []",
         "[]",
         PROXY_PIPELINE,
@@ -235,7 +235,7 @@
     ),
     Mutation(
         "ORDER",
-        "a resume that does not go on is joined",
+        "a resume that does not continue the stream is relayed",
         'if request.reached_client and not _continues(request.last_event_id or "", events):',
         "if False:",
         STREAMS,
@@ -243,7 +243,7 @@
     ),
     Mutation(
         "ORDER",
-        "a resume may repeat the last event",
+        "a resume that repeats the last event is relayed",
         "return int(first) > int(last_event_id)",
         "return int(first) >= int(last_event_id)",
         STREAMS,
@@ -251,7 +251,7 @@
     ),
     Mutation(
         "ORDER",
-        "a cut stream is closed in good order",
+        "an interrupted stream is ended as if complete",
         "[*effects, AbortResponse(request.call_id)]",
         "[*effects, EndResponse(request.call_id)]",
         STREAMS,
@@ -267,7 +267,7 @@
     ),
     Mutation(
         "ORDER",
-        "an end within an event counts as the end",
+        "a stream that ends within an event counts as complete",
         "if request.buffer or not request.reached_client:",
         "if False:",
         STREAMS,
@@ -275,7 +275,7 @@
     ),
     Mutation(
         "ORDER",
-        "a stream that may not be resumed is",
+        "a non-resumable stream is resumed",
         "return bool(request.route.resumable and request.last_event_id",
         "return bool(request.last_event_id",
         STREAMS,
@@ -283,7 +283,7 @@
     ),
     Mutation(
         "ORDER",
-        "half an event is passed on",
+        "a partial event is relayed",
         "end = max(request.buffer.rfind(mark) + len(mark) if mark in request.buffer else 0 for mark in EVENT_TERMINATORS)",
         "end = len(request.buffer)",
         STREAMS,
@@ -291,7 +291,7 @@
     ),
     Mutation(
         "ORDER",
-        "a stream is taken up without end",
+        "the number of resumes is not limited",
         "request.route.resumable and request.last_event_id and request.resumes < MAX_RESUMES",
         "request.route.resumable and request.last_event_id",
         STREAMS,
@@ -299,7 +299,7 @@
     ),
     Mutation(
         "ORDER",
-        "a whole body is joined to a stream",
+        "a whole body is appended to a resumed stream",
         '        if request.reached_client:\n            return self.resend.take(request, FailureKind.CUT.because("the resumed response',
         '        if False:\n            return self.resend.take(request, FailureKind.CUT.because("the resumed response',
         STREAMS,
@@ -307,7 +307,7 @@
     ),
     Mutation(
         "ORDER",
-        "a refused resume is joined to a stream",
+        "the body of a refused resume is appended to the stream",
         "if status >= 300 and request.reached_client:",
         "if False:",
         STREAMS,
--- a/harness/mutations/requests.py
+++ b/harness/mutations/requests.py
@@ -59,7 +59,7 @@
     ),
     Mutation(
         3,
-        "a cut stream is closed in good order",
+        "an interrupted stream is ended as if complete",
         "AbortResponse(request.call_id)]",
         'SendChunk(request.call_id, b"data: [DONE]\\n\\n")]',
         REQUESTS,
--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -15,7 +15,7 @@
 ROUTING_MUTATIONS = (
     Mutation(
         "ROUTE",
-        "a request does not say whom it is meant for",
+        "a request does not name its target server",
         ", (self.INSTANCE, instance), ",
         ", ",
         PROXY_PIPELINE,
@@ -23,7 +23,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a client's own word of whom it is meant for goes on",
+        "a target server header from the client is forwarded",
         "own = {self.DEADLINE, self.INSTANCE, ",
         "own = {self.DEADLINE, ",
         PROXY_PIPELINE,
@@ -31,7 +31,7 @@
     ),
     Mutation(
         "ROUTE",
-        "servers of other services are asked",
+        "servers of other services get requests",
         'if server.get("service") == service and self.is_usable',
         "if self.is_usable",
         PROXY_PIPELINE,
@@ -39,7 +39,7 @@
     ),
     Mutation(
         "ROUTE",
-        "what came in just after waking goes by the old catalogue",
+        "requests admitted after a restart are routed by the old catalogue",
         "if request.needs_recheck and not self._has_same_route(request):",
         "if False:",
         PROXY_PIPELINE,
@@ -47,7 +47,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a node that is not in touch says 404",
+        "a disconnected node sends 404",
         "if trust is not Trust.FRESH:  # just restarted",
         "if False:  # just restarted",
         PROXY_PIPELINE,
@@ -79,7 +79,7 @@
     ),
     Mutation(
         "DRAIN",
-        "leaving servers are asked",
+        "leaving servers get requests",
         'not server["leaving"]\n            and ',
         "",
         PROXY_PIPELINE,
@@ -88,7 +88,7 @@
     ),
     Mutation(
         "DRAIN",
-        "word that servers leave does not count",
+        "a notice that servers leave is ignored",
         "            and self.avoided_until.get(name, now) <= now\n",
         "",
         PROXY_PIPELINE,
@@ -105,7 +105,7 @@
     ),
     Mutation(
         "EVAC",
-        "servers in a closed area are asked",
+        "servers in an evacuated zone get requests",
         '            and self.state.is_open(server["area"])\n',
         "",
         PROXY_PIPELINE,
@@ -114,7 +114,7 @@
     ),
     Mutation(
         "EVAC",
-        "a node that is cut off goes on in other areas",
+        "a disconnected node sends to other zones",
         'is_reachable_zone = trust is not Trust.DISCONNECTED or server["area"] == self.zone',
         "is_reachable_zone = True",
         PROXY_PIPELINE,
@@ -123,7 +123,7 @@
     ),
     Mutation(
         "EVAC",
-        "a node that just woke goes on sending",
+        "a node that just restarted sends before its catalogue is confirmed",
         "if trust in (Trust.EMPTY, Trust.UNPROVEN):\n            return []\n        table.refresh()",
         "if trust is Trust.EMPTY:\n            return []\n        table.refresh()",
         PROXY_PIPELINE,
@@ -140,7 +140,7 @@
     ),
     Mutation(
         "BUDGET",
-        "resends cost nothing",
+        "retries cost no credit",
         "request.needs_credit = request.needs_credit or bool(request.sent_to)",
         "request.needs_credit = False",
         PROXY_PIPELINE,
@@ -164,7 +164,7 @@
     ),
     Mutation(
         "BUDGET",
-        "what all edges saved up is not bounded",
+        "the retry credit of all edges together is not bounded",
         "self.retry_budget.cap = self._savings(self.settings.resend_slack, rank, len(peers), now)",
         "pass",
         PROXY_PIPELINE,
@@ -204,7 +204,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a request goes to any number of servers",
+        "a request is sent to more servers than its tries",
         "if len(request.sent_to) < request.route.tries:\n        return usable",
         "if True:\n        return usable",
         STREAMS,
@@ -212,7 +212,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a request goes round for ever",
+        "a request is retried without limit",
         "has_tries_left = request.arrivals - request.stale_arrivals < request.route.tries",
         "has_tries_left = True",
         PROXY_PIPELINE,
@@ -220,7 +220,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a dead kept connection is no try however often",
+        "any number of dead kept connections does not count as a try",
         "is_stale = failure.kind is FailureKind.RESET and request.is_reused and request.response is None\n        if is_stale and not request.stale_arrivals:",
         "is_stale = failure.kind is FailureKind.RESET and request.is_reused and request.response is None\n        if is_stale:",
         PROXY_PIPELINE,
@@ -228,7 +228,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a dead kept connection uses a try up",
+        "the first dead kept connection counts as a try",
         "            request.stale_arrivals += 1",
         "            pass",
         PROXY_PIPELINE,
@@ -236,7 +236,7 @@
     ),
     Mutation(
         "HELD",
-        "a silent server is left without credit for another",
+        "a silent server is abandoned without retry credit",
         "(costs_credit and not self.table.retry_budget.spend(service_key(request.service)))",
         "False",
         PROXY_PIPELINE,
@@ -244,7 +244,7 @@
     ),
     Mutation(
         "HELD",
-        "a silent server is left for none",
+        "a silent server is abandoned without another server",
         "            or not self.server_selection.has_other_server(request, now)\n",
         "",
         PROXY_PIPELINE,
@@ -252,7 +252,7 @@
     ),
     Mutation(
         "HELD",
-        "a silent server is left when no try is left",
+        "a silent server is abandoned when no try is left",
         "            not self.resend.may_resend(request)\n            or not self.server_selection",
         "            not self.server_selection",
         PROXY_PIPELINE,
@@ -269,7 +269,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "cold servers are not bounded",
+        "requests to cold servers are not limited",
         "return not self._is_cold(name, service, now) or ",
         "return True or ",
         PROXY_PIPELINE,
@@ -277,7 +277,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "each edge takes all that a cold server bears",
+        "each edge uses the whole rate of a cold server",
         "server_window.may_send_cold(rate / self.edges, now)",
         "server_window.may_send_cold(rate, now)",
         PROXY_PIPELINE,
@@ -285,7 +285,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "what goes to a cold server is not counted",
+        "requests to a cold server are not counted",
         "            table.count_cold_request(server_window, request.service, now)",
         "            pass",
         PROXY_PIPELINE,
@@ -293,7 +293,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "what a cold server bears is saved up",
+        "the unused rate of a cold server is saved up",
         "self.cold_tokens = min(1.0, self.cold_tokens + per_second * (now - self.cold_tokens_at).total_seconds())",
         "self.cold_tokens += per_second * (now - self.cold_tokens_at).total_seconds()",
         PROXY_PIPELINE,
@@ -301,7 +301,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "each edge begins with a whole request for a cold server",
+        "each edge starts with a token of one request for a cold server",
         "return self.edges > self._burst(rate)",
         "return False",
         COLD,
@@ -309,7 +309,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "the windows of all edges at a cold server are open at once",
+        "the windows of all edges for a cold server are open at once",
         "cluster_time.total_seconds() - self.rank / rate",
         "cluster_time.total_seconds()",
         COLD,
@@ -317,7 +317,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a silent server is left for one that rests",
+        "a silent server is abandoned for one that backs off",
         "self._has_capacity(request, name, server, now) and not self._is_backing_off(request, name, now)",
         "self._has_capacity(request, name, server, now)",
         PROXY_PIPELINE,
@@ -357,7 +357,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "a server's word that it is cold does not count",
+        "a server's cold header is ignored",
         "if response.cold_ms:",
         "if False:",
         PROXY_PIPELINE,
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -69,7 +69,7 @@
     ),
     Mutation(
         "LOST",
-        "a leaving node's answers do not say that they are the last",
+        "the responses of a draining node lack Connection: close",
         'return (*headers, ("Connection", "close")) if self.is_draining else headers',
         "return headers",
         PROXY_PIPELINE,
@@ -279,7 +279,7 @@
     ),
     Mutation(
         "PARKED",
-        "any number of requests waits for a catalogue",
+        "the number of requests parked without a catalogue is not bounded",
         " or len(parked) >= MAX_REQUESTS:",
         ":",
         PROXY_PIPELINE,
@@ -287,7 +287,7 @@
     ),
     Mutation(
         "PARKED",
-        "a request waits for a catalogue for ever",
+        "a request is parked without a time limit",
         "if now - arrived_at >= min(MAX_PARK_TIME, patience * PARK_FRACTION) or",
         "if",
         PROXY_PIPELINE,
@@ -295,7 +295,7 @@
     ),
     Mutation(
         "PARKED",
-        "what hung up while it waited is let in",
+        "a parked request whose client disconnected is admitted",
         "self.table.parked_requests.pop(event.call_id, None)",
         "pass",
         PROXY_PIPELINE,
@@ -303,7 +303,7 @@
     ),
     Mutation(
         "PARKED",
-        "any number of requests is in hand",
+        "the number of requests in flight is not bounded",
         "if len(table.requests) >= MAX_REQUESTS:",
         "if False:",
         PROXY_PIPELINE,
