--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -252,7 +252,7 @@
         "answered": (PLAIN, more, lambda scene, cid: scene.answer(cid, 200, b"done", ("Connection", "close"))),
         "server error": (ONCE, (), lambda scene, cid: scene.answer(cid, 500, b"why", ("X-More", "1"))),
         "not run": (PLAIN, (), lambda scene, cid: scene.answer(cid, 503, b"", NOT_RUN)),
-        "reset": (ONCE, (), lambda scene, cid: (scene.sent(cid), scene.hear(cid, "fault", "reset"))),
+        "reset": (ONCE, (), lambda scene, cid: (scene.sent(cid), scene.call_event(cid, "fault", "reset"))),
         "unknown path": ("/none/x", (), lambda scene, cid: None),
         "timeout": (ONCE, (), lambda scene, cid: (scene.sent(cid), scene.run(5))),
         "stream": (CHAT, (("X-Token-Counts", "5,9"),), _stream),
@@ -266,22 +266,22 @@
         for _, _, method, url, sent, body, connect, left, reuse, _ in scene.sends(cid):
             transcript.note(f"{title}, to the server", method, url, *_header_lines(sent), "", _text_of(body))
             transcript.note(f"{title}, times", connect, left, reuse is ConnectionReuse.ALWAYS)
-        transcript.note_effects(f"{title}, to the client", map(effect_of, scene.told(cid)))
+        transcript.note_effects(f"{title}, to the client", map(effect_of, scene.client_effects(cid)))
     return transcript.text()
 
 
 def _stream(scene, cid):
     scene.stream(cid, 1, 2)
     scene.events(cid, 3)
-    scene.hear(cid, "end")
+    scene.call_event(cid, "end")
 
 
 def _break_stream(scene, cid):
     scene.stream(cid, 4)
-    scene.hear(cid, "fault", "reset")
+    scene.call_event(cid, "fault", "reset")
     scene.run(0.2)
     scene.stream(cid, 5)
-    scene.hear(cid, "end")
+    scene.call_event(cid, "end")
 
 
 def model_servers() -> str:
--- a/tests/forwarding/forwarding_fixtures.py
+++ b/tests/forwarding/forwarding_fixtures.py
@@ -43,11 +43,11 @@
 class FixedTrust:
     """Stands in for a changefeed follower with a settable trust level."""
 
-    def __init__(self, word):
-        self.word = word
+    def __init__(self, level):
+        self.level = level
 
     def trust(self, now):
-        return self.word
+        return self.level
 
 
 def route(name, kind, service="records", **more):
@@ -217,15 +217,15 @@
         found = self.effects("forward")
         return found if cid is None else [effect for effect in found if ("X-Request-Id", cid) in effect[4]]
 
-    def goal(self, cid, place=-1):
+    def target_server(self, cid, place=-1):
         """Returns the target server of an attempt, by default of the last one."""
         return dict(self.sends(cid)[place][4])["x-expect-instance"]
 
-    def told(self, cid):
+    def client_effects(self, cid):
         return [effect for effect in self.effects("reply", "head", "chunk", "end", "drop") if effect[1] == cid]
 
     def reply(self, cid):
-        (effect,) = self.told(cid)
+        (effect,) = self.client_effects(cid)
         assert effect[0] == "reply", effect
         return effect
 
@@ -238,23 +238,23 @@
     def retry_after(self, cid):
         return float(dict(self.reply(cid)[3])["Retry-After"])
 
-    def hear(self, cid, *what):
+    def call_event(self, cid, *what):
         """Passes an event of the last attempt of a request to the pipeline."""
         return self.take("fetched", self.sends(cid)[-1][1], *what)
 
     def sent(self, cid):
-        return self.hear(cid, "sent")
+        return self.call_event(cid, "sent")
 
     def head(self, cid, status=200, *pairs, seal=True):
-        return self.hear(cid, "head", status, (("X-Request-Id", cid), *([SEAL] if seal else []), *pairs))
+        return self.call_event(cid, "head", status, (("X-Request-Id", cid), *([SEAL] if seal else []), *pairs))
 
     def answer(self, cid, status=200, body=b"done", *pairs, **more):
         self.sent(cid)
         before = len(self.out)
         self.head(cid, status, *pairs, **more)
         if self.table.by_call_id.get(cid) is not None and self.out[before:] == []:
-            self.hear(cid, "chunk", body)
-            self.hear(cid, "end")
+            self.call_event(cid, "chunk", body)
+            self.call_event(cid, "end")
 
     def stream(self, cid, *numbers):
         self.sent(cid)
@@ -262,10 +262,10 @@
         self.events(cid, *numbers)
 
     def events(self, cid, *numbers):
-        return self.hear(cid, "chunk", b"".join(event(number) for number in numbers))
+        return self.call_event(cid, "chunk", b"".join(event(number) for number in numbers))
 
     def body(self, cid):
-        return b"".join(effect[2] for effect in self.told(cid) if effect[0] == "chunk")
+        return b"".join(effect[2] for effect in self.client_effects(cid) if effect[0] == "chunk")
 
     def records(self, is_close):
         return [effect[1] for effect in self.effects("behind") if effect[2] is is_close]
--- a/tests/forwarding/test_forwarding.py
+++ b/tests/forwarding/test_forwarding.py
@@ -56,7 +56,7 @@
         ("a.example", "/q?/x/"): "r1",
     }
     for (host, path), name in wanted.items():
-        assert scene.goal(scene.ask(path, host=host)) == name, (host, path)
+        assert scene.target_server(scene.ask(path, host=host)) == name, (host, path)
     assert scene.status(scene.ask("/x/", host="c.example")) == 404
 
 
@@ -71,7 +71,7 @@
     counts = {"r1": 0, "o1": 0, "l1": 0}
     for _ in range(1000):
         cid = scene.ask("/s/x")
-        counts[scene.goal(cid)] += 1
+        counts[scene.target_server(cid)] += 1
         scene.answer(cid)
     assert counts["l1"] == 0 and 60 < counts["o1"] < 150, counts
 
@@ -82,15 +82,17 @@
     for trust, status in ((Trust.EMPTY, 503), (Trust.UNPROVEN, 503), (Trust.DISCONNECTED, 503), (Trust.FRESH, 404)):
         scene = Scene(trust=trust)
         cid = scene.ask("/none/")
-        assert bool(scene.told(cid)) == (status == 404), trust  # otherwise it is parked for a quarter of its timeout
+        assert bool(scene.client_effects(cid)) == (status == 404), (
+            trust
+        )  # otherwise it is parked for a quarter of its timeout
         scene.run(1.1)
         assert scene.status(cid) == status and scene.fault(cid)["run"] == "no", trust
         assert ("Retry-After" in dict(scene.reply(cid)[3])) == (status == 503)
     empty = Scene(False)
-    empty.trust.word = Trust.EMPTY
+    empty.trust.level = Trust.EMPTY
     cid = empty.ask()
     empty.run(0.9)
-    assert empty.told(cid) == []
+    assert empty.client_effects(cid) == []
     empty.run(0.2)
     assert empty.status(cid) == 503
 
@@ -99,13 +101,13 @@
     """Given a node without a catalogue, requests are parked; once the catalogue arrives they are sent with the
     remaining time, except those whose client disconnected."""
     scene = Scene(False)
-    scene.trust.word = Trust.EMPTY
+    scene.trust.level = Trust.EMPTY
     cid, gone = scene.ask(PLAIN, deadline=3000), scene.ask(PLAIN)
     scene.run(0.5)
     scene.take("gone", gone)
-    assert scene.told(cid) == [] and scene.sends() == []
+    assert scene.client_effects(cid) == [] and scene.sends() == []
     scene.configure(catalogue())
-    scene.trust.word = Trust.FRESH
+    scene.trust.level = Trust.FRESH
     scene.run(0.1)
     (send,) = scene.sends()
     assert 2300 <= int(dict(send[4])["x-deadline-ms"]) <= 2500 and len(scene.sends(cid)) == 1
@@ -126,7 +128,7 @@
     assert scene.status(over) == 503 and scene.fault(over)["run"] == "no" and scene.retry_after(over) > 0
     assert max(len(scene.table.parked_requests), len(scene.table.requests)) == MAX_REQUESTS
     scene.take("gone", cids[0])
-    assert scene.told(scene.ask(PLAIN)) == []
+    assert scene.client_effects(scene.ask(PLAIN)) == []
 
 
 def test_waiting_requests_are_rechecked_against_a_newer_catalogue():
@@ -134,16 +136,16 @@
     differently or not at all are refused as not run, so that clients retry on the new route; the others are sent."""
     scene = Scene(trust=Trust.UNPROVEN, servers={**SERVERS, "o1": server("other")})
     moved, dropped, kept = scene.ask(PLAIN), scene.ask(ONCE), scene.ask(CHAT)
-    assert scene.sends() == [] and scene.told(moved) == []
+    assert scene.sends() == [] and scene.client_effects(moved) == []
     scene.configure(
         catalogue(2, [route("plain", "repeatable", "other"), route("chat", "stream", "llm", resumable=True)])
     )
-    scene.trust.word = Trust.FRESH
+    scene.trust.level = Trust.FRESH
     scene.run(0.1)
-    assert scene.goal(kept).startswith("l") and len(scene.sends()) == 1
+    assert scene.target_server(kept).startswith("l") and len(scene.sends()) == 1
     for cid in (moved, dropped):
         assert scene.status(cid) == 503 and scene.fault(cid)["run"] == "no" and scene.retry_after(cid) < 1
-    assert scene.goal(scene.ask(PLAIN)) == "o1"
+    assert scene.target_server(scene.ask(PLAIN)) == "o1"
 
 
 # retries by route kind ----------------------------------------------------------------------------
@@ -158,11 +160,11 @@
     cid = scene.ask(path)
     scene.sent(cid)
     if what in ("reset", "timeout"):
-        scene.hear(cid, "fault", what)
+        scene.call_event(cid, "fault", what)
     elif what == "cut":
         scene.head(cid)
-        scene.hear(cid, "chunk", b"hal")
-        scene.hear(cid, "fault", "reset")
+        scene.call_event(cid, "chunk", b"hal")
+        scene.call_event(cid, "fault", "reset")
     elif what == "strange":
         scene.head(cid, seal=False)
     elif what != "silence":
@@ -180,9 +182,9 @@
     another server in the same step."""
     scene = Scene(credit=4.0)
     cid = scene.ask(ONCE)
-    first = scene.goal(cid)
+    first = scene.target_server(cid)
     scene.answer(cid, status, b"", NOT_RUN, seal=False)
-    assert len(scene.sends(cid)) == 2 and scene.goal(cid) != first
+    assert len(scene.sends(cid)) == 2 and scene.target_server(cid) != first
     scene.answer(cid, 200, b"yes")
     assert scene.reply(cid)[2::2] == (200, b"yes") and scene.settled()
 
@@ -201,7 +203,7 @@
     scene = Scene(catalogue(routes=[route("once", "once", tries=2)]))
     cid = scene.ask(ONCE)
     for _ in range(20):
-        if scene.told(cid):
+        if scene.client_effects(cid):
             break
         scene.answer(cid, 503, b"", NOT_RUN, ("Retry-After", "0.7"), seal=False)
     assert 2 <= len(scene.sends(cid)) <= 4
@@ -220,7 +222,7 @@
     scene = Scene(credit=0.0)
     cid = scene.ask(ONCE)
     scene.answer(cid, 503, b"", NOT_RUN, seal=False)
-    assert len(scene.sends(cid)) == 1 and not scene.told(cid)
+    assert len(scene.sends(cid)) == 1 and not scene.client_effects(cid)
     scene.run(0.6)
     assert (
         len(scene.sends(cid)) == 1
@@ -241,19 +243,19 @@
     server is left it is refused as not run, with Retry-After."""
     scene = Scene(credit=0.0)
     cid = scene.ask(ONCE)
-    first = scene.goal(cid)
-    scene.hear(cid, "fault", kind)
+    first = scene.target_server(cid)
+    scene.call_event(cid, "fault", kind)
     scene.run(0.1)
-    assert len(scene.sends(cid)) == 2 and scene.goal(cid) != first
+    assert len(scene.sends(cid)) == 2 and scene.target_server(cid) != first
     scene.answer(cid)
     assert scene.status(cid) == 200
     lost = scene.ask(ONCE)
     asked_at = scene.now
-    while not scene.told(lost) and scene.now - asked_at < timedelta(
+    while not scene.client_effects(lost) and scene.now - asked_at < timedelta(
         seconds=5
     ):  # the request waits for a while, since a server may accept connections again
         if scene.table.requests and next(iter(scene.table.requests.values())).attempt_id:
-            scene.hear(lost, "fault", kind)
+            scene.call_event(lost, "fault", kind)
         scene.run(0.05)
     assert scene.now - asked_at < timedelta(seconds=4 * PLACEMENT_WAIT_FRACTION + 0.1)
     assert scene.status(lost) == 503 and scene.fault(lost) | {"reason": ""} == {
@@ -271,11 +273,11 @@
         scene = Scene(credit=1.0)
         cid = scene.ask(PLAIN)
         scene.sent(cid)
-        scene.hear(cid, "fault", "reset")
+        scene.call_event(cid, "fault", "reset")
         scene.run(0.3)
         assert len(scene.sends(cid)) == 2
         if second == "refused":
-            scene.hear(cid, "fault", "refused")
+            scene.call_event(cid, "fault", "refused")
         else:
             scene.answer(cid, 503, b"", NOT_RUN, seal=False)
         scene.give_credit(0.0)
@@ -290,14 +292,14 @@
     server."""
     scene = Scene()
     cid = scene.ask(PLAIN)
-    first = scene.goal(cid)
+    first = scene.target_server(cid)
     scene.sent(cid)
     if what == "reset":
-        scene.hear(cid, "fault", "reset")
+        scene.call_event(cid, "fault", "reset")
     elif what == "cut":
         scene.head(cid)
-        scene.hear(cid, "chunk", b"hal")
-        scene.hear(cid, "fault", "reset")
+        scene.call_event(cid, "chunk", b"hal")
+        scene.call_event(cid, "fault", "reset")
     elif what == "strange":
         scene.head(cid, seal=False)
     elif what == "encoded":
@@ -306,7 +308,7 @@
         scene.answer(cid, int(what), b"oh")
     while len(scene.sends(cid)) < 2 and scene.now < START + 3 * SECOND:
         scene.run(0.05)
-    assert scene.goal(cid) != first and not scene.told(cid)
+    assert scene.target_server(cid) != first and not scene.client_effects(cid)
     scene.answer(cid, 200, b"whole")
     assert scene.reply(cid)[2::2] == (200, b"whole") and scene.settled()
 
@@ -316,10 +318,10 @@
     and then ends at once."""
     scene = Scene(catalogue(routes=[route("plain", "repeatable", tries=2)]), credit=4.0)
     cid = scene.ask(PLAIN)
-    while not scene.told(cid) and scene.now < START + 10 * SECOND:
+    while not scene.client_effects(cid) and scene.now < START + 10 * SECOND:
         if scene.table.requests and scene.sends(cid)[-1][1] == next(iter(scene.table.requests.values())).attempt_id:
             scene.sent(cid)
-            scene.hear(cid, "fault", "reset")
+            scene.call_event(cid, "fault", "reset")
         scene.run(0.05)
     assert len({dict(send[4])["x-expect-instance"] for send in scene.sends(cid)}) == 2 and len(scene.sends(cid)) <= 4
     assert scene.status(cid) == 502
@@ -336,11 +338,11 @@
             credit=40.0,
         )
         cid = scene.ask(path)
-        while not scene.told(cid) and scene.now < START + 3 * SECOND:
+        while not scene.client_effects(cid) and scene.now < START + 3 * SECOND:
             if scene.sends(cid)[-1][1] == next(iter(scene.table.requests.values())).attempt_id:
                 scene.answer(cid, 503, b"", NOT_RUN, seal=False) if what == "full" else (
                     scene.sent(cid),
-                    scene.hear(cid, "fault", "reset"),
+                    scene.call_event(cid, "fault", "reset"),
                 )
             scene.run(0.05)
         wanted = 1 if what == "reset" and path == ONCE else tries
@@ -355,9 +357,9 @@
         scene = Scene(catalogue(routes=[route("plain", "repeatable", tries=1)]))
         cid = scene.ask(PLAIN)
         for _ in range(3):
-            if not scene.told(cid):
-                scene.hear(cid, "sent", reused)
-                scene.hear(cid, "fault", "reset")
+            if not scene.client_effects(cid):
+                scene.call_event(cid, "sent", reused)
+                scene.call_event(cid, "fault", "reset")
                 scene.run(0.3)
         assert (
             len(scene.sends(cid)) == sends
@@ -375,7 +377,7 @@
     late, never = scene.ask(PLAIN), scene.ask(PLAIN)
     scene.sent(late), scene.sent(never)
     scene.run(3.5)
-    assert scene.told(late) == scene.told(never) == [] and len(scene.sends()) == 2
+    assert scene.client_effects(late) == scene.client_effects(never) == [] and len(scene.sends()) == 2
     scene.answer(late, 200, b"after all")
     assert scene.reply(late)[2::2] == (200, b"after all")
     scene.run(0.6)
@@ -389,14 +391,14 @@
     cid = scene.ask(CHAT)
     for number in (1, 2, 3):
         scene.stream(cid, number)
-        scene.hear(cid, "fault", "reset")
+        scene.call_event(cid, "fault", "reset")
         scene.run(0.3)
     scene.sent(cid)
     scene.run(2.0)
-    assert len(scene.sends(cid)) == 4 and scene.told(cid)[-1][0] == "chunk"
+    assert len(scene.sends(cid)) == 4 and scene.client_effects(cid)[-1][0] == "chunk"
     scene.stream(cid, 4)
-    scene.hear(cid, "end")
-    assert scene.body(cid) == b"".join(map(event, (1, 2, 3, 4))) and scene.told(cid)[-1][0] == "end"
+    scene.call_event(cid, "end")
+    assert scene.body(cid) == b"".join(map(event, (1, 2, 3, 4))) and scene.client_effects(cid)[-1][0] == "end"
 
 
 def test_a_silent_server_is_not_abandoned_for_one_that_backs_off():
@@ -404,9 +406,9 @@
     Abandoning the silent server would lead back to it, cost credit and cancel what may be running there."""
     scene = Scene(None, {"r1": server("records"), "r2": server("records")}, credit=4.0)
     cid = scene.ask(PLAIN)
-    first = scene.goal(cid)
+    first = scene.target_server(cid)
     scene.answer(cid, 503, b"", NOT_RUN, ("Retry-After", "3"), seal=False)
-    silent = scene.goal(cid)
+    silent = scene.target_server(cid)
     scene.sent(cid)
     scene.run(2.5)
     assert [dict(send[4])["x-expect-instance"] for send in scene.sends(cid)] == [first, silent]
@@ -452,10 +454,10 @@
     scene = Scene()
     cid = scene.ask(ONCE)
     scene.sent(cid)
-    scene.hear(cid, "head", status, tuple((name, cid if value is None else value) for name, value in pairs))
+    scene.call_event(cid, "head", status, tuple((name, cid if value is None else value) for name, value in pairs))
     if scene.table.requests:
-        scene.hear(cid, "chunk", b"strange")
-        scene.hear(cid, "end")
+        scene.call_event(cid, "chunk", b"strange")
+        scene.call_event(cid, "end")
     scene.run(5)
     assert len(scene.sends(cid)) == 1 and b"strange" not in scene.reply(cid)[4]
     assert scene.status(cid) in (502, 504) and scene.fault(cid)["run"] == "maybe", scene.reply(cid)
@@ -500,7 +502,7 @@
     for mark in ((), (NOT_RUN,)):
         scene = Scene(credit=40.0)
         cid, given = scene.ask(path), {}
-        while not scene.told(cid) and scene.now < START + 5 * SECOND:
+        while not scene.client_effects(cid) and scene.now < START + 5 * SECOND:
             if scene.sends(cid)[-1][1] not in given.values():
                 seal = f"s.{len(given)}"
                 given[seal] = scene.sends(cid)[-1][1]
@@ -541,7 +543,7 @@
     ) in sent
     assert not {"connection", "x-hop", "te", "upgrade", "content-length", "expect"} & set(names)
     for name, value in (
-        ("x-expect-instance", scene.goal(cid)),
+        ("x-expect-instance", scene.target_server(cid)),
         ("x-urgency", "0"),
         ("x-deadline-ms", "2500"),
         ("x-request-id", cid),
@@ -561,7 +563,7 @@
     scene = Scene()
     cid = scene.ask(path, **({} if own is None else {"deadline": own}))
     states = []
-    while not scene.told(cid) and scene.now < START + 20 * SECOND:
+    while not scene.client_effects(cid) and scene.now < START + 20 * SECOND:
         if len(scene.sends(cid)) > len(states):
             states.append((scene.now - START, int(dict(scene.sends(cid)[-1][4])["x-deadline-ms"])))
             scene.sent(cid)
@@ -581,10 +583,10 @@
     cid = scene.ask(CHAT)
     scene.stream(cid, 1)
     scene.run(8.9)
-    assert len(scene.sends(cid)) == 1 and len(scene.told(cid)) == 2
+    assert len(scene.sends(cid)) == 1 and len(scene.client_effects(cid)) == 2
     scene.events(cid, 2)
     scene.run(0.2)
-    assert scene.told(cid)[-1][0] == "drop" and scene.body(cid) == event(1) + event(2) and scene.settled()
+    assert scene.client_effects(cid)[-1][0] == "drop" and scene.body(cid) == event(1) + event(2) and scene.settled()
 
 
 def test_a_resumed_stream_runs_until_the_route_timeout():
@@ -595,14 +597,14 @@
     )
     cid = scene.ask(CHAT)
     scene.stream(cid, 1)
-    scene.hear(cid, "fault", "reset")
+    scene.call_event(cid, "fault", "reset")
     scene.run(0.3)
     scene.sent(cid)
     scene.run(0.5)
     assert len(scene.sends(cid)) == 3
     scene.stream(cid, 2)
     scene.run(6)
-    assert len(scene.sends(cid)) == 3 and scene.told(cid)[-1][0] == "chunk"
+    assert len(scene.sends(cid)) == 3 and scene.client_effects(cid)[-1][0] == "chunk"
     scene.events(cid, 3)
     assert scene.body(cid) == event(1) + event(2) + event(3)
 
@@ -622,7 +624,7 @@
     assert len(scene.sends(cid)) == 2 and ("unfetch", send[1]) in scene.out
     scene.sent(cid)
     scene.run(2.7)
-    assert scene.told(cid) == [] and scene.told(single) == []
+    assert scene.client_effects(cid) == [] and scene.client_effects(single) == []
     scene.run(0.4)
     assert scene.status(cid) == 504 and scene.status(single) == 504
 
@@ -639,7 +641,7 @@
     assert scene.status(cid) == 503 and scene.fault(cid)["run"] == "no" and scene.retry_after(cid) > 0
     assert scene.take("fetched", tid, "sent") == [] and scene.take("fetched", tid, "head", 200, (SEAL,)) == []
     scene.run(6)
-    assert len(scene.sends()) == 1 and len(scene.told(cid)) == 1
+    assert len(scene.sends()) == 1 and len(scene.client_effects(cid)) == 1
     unknown = scene.ask(CHAT, model="never")
     assert scene.status(unknown) == 503 and scene.sends(unknown) == [] and scene.retry_after(unknown) > 0
 
@@ -670,7 +672,7 @@
     wants = [effect for effect in scene.run(1.0) if effect[0] == "want"]
     assert 2 <= len(wants) <= 4 and scene.sends() == []
     out = scene.place({"l2": {"m": ()}})
-    assert [effect[0] for effect in out] == ["forward"] and scene.goal(cid) == "l2"
+    assert [effect[0] for effect in out] == ["forward"] and scene.target_server(cid) == "l2"
     assert not [effect for effect in scene.run(0.5) if effect[0] == "want"]
 
 
@@ -685,7 +687,7 @@
     assert {name: count for name, (count, _) in want[1]["llm"].items()} == {"m/a1": 2, "n": 1}
     assert want[1]["llm"]["m/a1"][1] < 2000
     scene.place({"l1": {"m": ("a1",)}})
-    assert {scene.goal(f"q{number}") for number in (1, 2)} == {"l1"} and scene.sends("q3") == []
+    assert {scene.target_server(f"q{number}") for number in (1, 2)} == {"l1"} and scene.sends("q3") == []
 
 
 def test_a_request_is_refused_early_if_its_model_is_not_placed():
@@ -715,7 +717,7 @@
     assert [effect for effect in scene.out if effect[0] == "want"]
     other = scene.ask(CHAT, model="m")
     scene.answer(other, 421, b"", NOT_RUN, seal=False)
-    assert scene.places.holders("m") == () and scene.goal(scene.ask(CHAT, model="n")) == "l1"
+    assert scene.places.holders("m") == () and scene.target_server(scene.ask(CHAT, model="n")) == "l1"
     scene.place({"l1": {"m": ("a1",)}})
     assert len(scene.sends(cid)) == 2 and len(scene.sends(other)) == 2
 
@@ -728,22 +730,22 @@
     announcement expires after a while, and a restored zone gets requests again."""
     leaving = Scene(servers={**SERVERS, "r1": server("records", leaving=True)})
     leaving.take("leaving", ("r2",))
-    goals = [leaving.goal(leaving.ask()) for _ in range(20)]
+    goals = [leaving.target_server(leaving.ask()) for _ in range(20)]
     assert set(goals) == {"r3"}
     for number in range(1, 21):
         leaving.answer(f"q{number}")
     leaving.run(2.1)
-    goals = [leaving.goal(leaving.ask()) for _ in range(50)]
+    goals = [leaving.target_server(leaving.ask()) for _ in range(50)]
     assert set(goals) == {"r2", "r3"}
     closed = Scene(
         servers={"r1": server("records", "west"), "r2": server("records"), "r3": server("records", "nowhere")}
     )
     assert closed.state.apply(9, ("evacuate", "o", "west"))[0] == "ok"
-    assert {closed.goal(closed.ask()) for _ in range(20)} == {"r2"}
+    assert {closed.target_server(closed.ask()) for _ in range(20)} == {"r2"}
     assert closed.state.apply(10, ("restore", "o2", "west"))[0] == "ok"
     for _ in range(30):
         closed.ask()
-    assert {closed.goal(f"q{number}") for number in range(21, 51)} == {"r1", "r2"}
+    assert {closed.target_server(f"q{number}") for number in range(21, 51)} == {"r1", "r2"}
 
 
 def test_a_retry_avoids_servers_that_began_to_leave():
@@ -751,14 +753,14 @@
     server."""
     scene = Scene()
     cid = scene.ask(PLAIN)
-    first = scene.goal(cid)
+    first = scene.target_server(cid)
     scene.sent(cid)
-    scene.hear(cid, "fault", "reset")
+    scene.call_event(cid, "fault", "reset")
     for name in ("r1", "r2", "r3"):
         if name != first:
             scene.state.servers[name] = server("records", leaving=True)
     scene.run(0.3)
-    assert [scene.goal(cid, place) for place in (0, 1)] == [first, first]
+    assert [scene.target_server(cid, place) for place in (0, 1)] == [first, first]
 
 
 def test_a_disconnected_node_sends_only_within_its_zone():
@@ -766,12 +768,12 @@
     sends nothing until it is connected."""
     servers = {"r1": server("records", "west"), "r2": server("records", "east")}
     scene = Scene(servers=servers, trust=Trust.DISCONNECTED)
-    assert {scene.goal(scene.ask()) for _ in range(20)} == {"r2"}
-    scene.trust.word = Trust.UNPROVEN
+    assert {scene.target_server(scene.ask()) for _ in range(20)} == {"r2"}
+    scene.trust.level = Trust.UNPROVEN
     before, cid = len(scene.sends()), scene.ask()
     scene.run(0.5)
-    assert len(scene.sends()) == before and scene.told(cid) == []
-    scene.trust.word = Trust.FRESH
+    assert len(scene.sends()) == before and scene.client_effects(cid) == []
+    scene.trust.level = Trust.FRESH
     scene.run(0.1)
     assert len(scene.sends()) == before + 1
 
@@ -845,9 +847,9 @@
         if server_window.consecutive_failures == 2:
             break
         cid = scene.ask(ONCE)
-        if scene.goal(cid) == "r1":
+        if scene.target_server(cid) == "r1":
             scene.sent(cid)
-            scene.hear(cid, "fault", "reset")
+            scene.call_event(cid, "fault", "reset")
         else:
             in_hand.append(cid)  # answered later: an idle r2 with a kept connection would get every request
     assert server_window.is_breaker_open(scene.now)
@@ -855,10 +857,10 @@
         scene.answer(cid)
     goals = []
     for _ in range(20):
-        goals.append(scene.goal(scene.ask(ONCE)))
+        goals.append(scene.target_server(scene.ask(ONCE)))
     assert set(goals) == {"r2"}
     scene.run(0.6)
-    probes = [cid for cid in (scene.ask(ONCE) for _ in range(12)) if scene.goal(cid) == "r1"]
+    probes = [cid for cid in (scene.ask(ONCE) for _ in range(12)) if scene.target_server(cid) == "r1"]
     assert len(probes) == 1
     scene.answer(probes[0])
     assert server_window.consecutive_failures == 0 and not server_window.is_breaker_open(scene.now)
@@ -869,7 +871,7 @@
     scene = Scene(servers={"r1": server("records"), "r2": server("records")})
     for _ in range(40):
         cid = scene.ask(ONCE)
-        scene.answer(cid, 500 if scene.goal(cid) == "r1" else 200)
+        scene.answer(cid, 500 if scene.target_server(cid) == "r1" else 200)
     assert scene.table.server_window("r1").is_breaker_open(scene.now) and not scene.table.server_window(
         "r2"
     ).is_breaker_open(scene.now)
@@ -883,14 +885,14 @@
     scene = Scene(servers={"r1": server("records"), "r2": server("records")})
     while True:
         cid = scene.ask(ONCE)
-        if scene.goal(cid) == "r1":
+        if scene.target_server(cid) == "r1":
             break
         scene.answer(cid)
     scene.answer(cid, 503, b"", NOT_RUN, ("Retry-After", "0.8"), seal=False)
-    assert scene.table.server_window("r1").consecutive_failures == 0 and scene.goal(cid) == "r2"
-    assert {scene.goal(scene.ask(ONCE)) for _ in range(8)} == {"r2"}
+    assert scene.table.server_window("r1").consecutive_failures == 0 and scene.target_server(cid) == "r2"
+    assert {scene.target_server(scene.ask(ONCE)) for _ in range(8)} == {"r2"}
     scene.run(0.9)
-    assert "r1" in {scene.goal(scene.ask(ONCE)) for _ in range(8)}
+    assert "r1" in {scene.target_server(scene.ask(ONCE)) for _ in range(8)}
 
 
 def test_waiting_requests_are_sent_by_priority_and_then_by_age():
@@ -913,14 +915,14 @@
     tokens = {"parts": "5c:6000,91:20", "tokens": "6020,10"}
     first = scene.ask(CHAT, **tokens)
     scene.stream(first, 1)
-    scene.hear(first, "end")
+    scene.call_event(first, "end")
     goals = set()
     for number in range(8):
         cid = scene.ask(CHAT, parts=f"5c:6000,a{number}:20", tokens="6020,10")
-        goals.add(scene.goal(cid))
+        goals.add(scene.target_server(cid))
         scene.stream(cid, 1)
-        scene.hear(cid, "end")
-    assert goals == {scene.goal(first)}
+        scene.call_event(cid, "end")
+    assert goals == {scene.target_server(first)}
 
 
 # retry budget, client disconnects, shutdown ------------------------------------------------------------
@@ -953,7 +955,7 @@
             if random.random() < (0.9 if is_bad else 0.1):
                 random.choice(
                     (
-                        lambda: scene.hear(cid, "fault", "reset"),
+                        lambda: scene.call_event(cid, "fault", "reset"),
                         lambda: scene.answer(cid, 503, b"", NOT_RUN, seal=False),
                     )
                 )()
@@ -1007,12 +1009,12 @@
         scene.sent(cid)
     elif when == "streaming":
         scene.stream(cid, 1)
-    said, sends = len(scene.told(cid)), len(scene.sends())
+    said, sends = len(scene.client_effects(cid)), len(scene.sends())
     out = scene.take("gone", cid)
     assert [effect[1] for effect in out if effect[0] == "unfetch"] == [send[1] for send in scene.sends(cid)]
     scene.place({"l1": {"m": ()}})
     scene.run(5)
-    assert len(scene.told(cid)) == said and len(scene.sends()) == sends and scene.settled()
+    assert len(scene.client_effects(cid)) == said and len(scene.sends()) == sends and scene.settled()
     (record,) = scene.records(True)
     assert (record["class"], record["run"]) == ("hung-up", "no" if when in ("waiting", "connecting") else "maybe")
     assert scene.take("gone", cid) == [] and scene.take("gone", "never") == []
@@ -1031,19 +1033,19 @@
     new = scene.ask(PLAIN)
     scene.answer(new)
     nowhere = scene.ask("/none/")
-    assert scene.status(whole) == scene.status(new) == 200 and scene.told(stream)[-1][0] == "chunk"
+    assert scene.status(whole) == scene.status(new) == 200 and scene.client_effects(stream)[-1][0] == "chunk"
     for cid in (whole, stream, new, nowhere):
-        assert ("Connection", "close") in scene.told(cid)[0][3], cid
+        assert ("Connection", "close") in scene.client_effects(cid)[0][3], cid
     scene.take("cut-short")
     assert (
-        scene.told(stream)[-1][0] == "drop"
+        scene.client_effects(stream)[-1][0] == "drop"
         and scene.status(refused) == 502
         and scene.status(late) == 503
         and scene.retry_after(late) > 0
     )
     assert ("Connection", "close") in scene.reply(late)[3] and scene.settled()
     scene.run(5)
-    assert len(scene.told(late)) == 1
+    assert len(scene.client_effects(late)) == 1
 
 
 def test_the_ledger_records_each_request_and_its_attempts():
@@ -1052,10 +1054,10 @@
     scene = Scene()
     quick = scene.ask(CHAT, tokens="20,8")
     scene.after(0.05).stream(quick, 1)
-    scene.hear(quick, "end")
+    scene.call_event(quick, "end")
     late = scene.ask(PLAIN)
     scene.sent(late)
-    scene.hear(late, "fault", "reset")
+    scene.call_event(late, "fault", "reset")
     scene.run(0.45)
     scene.answer(late, 200, b"ok")
     closed = {record["tag"]: record for record in scene.records(True)}
--- a/tests/forwarding/test_forwarding_faults.py
+++ b/tests/forwarding/test_forwarding_faults.py
@@ -34,23 +34,23 @@
         self.scene = Scene(seed=seed, credit=0.0)
         self.scene.retry_budget.cap = 30.0
         self.heap, self.number = [], 0
-        self.fetches = {}  # by attempt id: [is cancelled, was reported as sent]
-        self.arrivals, self.runs, self.gone, self.asked, self.seen = [], {}, set(), {}, 0
-        self.trouble = 0.0
+        self.attempts = {}  # by attempt id: [is cancelled, was reported as sent]
+        self.arrivals, self.runs, self.disconnected, self.submitted, self.processed = [], {}, set(), {}, 0
+        self.fault_rate = 0.0
 
-    def later(self, seconds, work, *given):
+    def schedule(self, seconds, work, *given):
         self.number += 1
         heapq.heappush(self.heap, (self.scene.now + timedelta(seconds=seconds), self.number, work, given))
 
-    def play(self, rounds):
+    def run_rounds(self, rounds):
         for number in range(rounds):
-            self.trouble = self.random.choice((0.0, 0.2, 0.6, 0.9)) if number % 40 == 0 else self.trouble
+            self.fault_rate = self.random.choice((0.0, 0.2, 0.6, 0.9)) if number % 40 == 0 else self.fault_rate
             for _ in range(self.random.randrange(3)):
                 self.ask()
             if self.random.random() < 0.05:
-                self.change()
+                self.change_cluster()
             self.step()
-        self.trouble = 0.0
+        self.fault_rate = 0.0
         for _ in range(200):
             self.step()
         return self
@@ -61,10 +61,10 @@
         while self.heap and self.heap[0][0] <= until:
             scene.now, _, work, given = heapq.heappop(self.heap)
             work(*given)
-            self.watch()
+            self.process_effects()
         scene.now = until
         scene.take("pulse")
-        self.watch()
+        self.process_effects()
 
     def ask(self):
         path = self.random.choice((PLAIN, ONCE, LOOSE, CHAT, CHAT))
@@ -72,17 +72,17 @@
         if path == CHAT:
             own |= {"model": self.random.choice(("m", "m", "m/a1", "n")), "tokens": "30,8", "parts": "5c:20,91:10"}
         cid = self.scene.ask(path, **own)
-        self.asked[cid] = path
+        self.submitted[cid] = path
         if self.random.random() < 0.08:
-            self.later(self.random.random(), self.hang_up, cid)
-        self.watch()
+            self.schedule(self.random.random(), self.disconnect, cid)
+        self.process_effects()
 
-    def hang_up(self, cid):
-        if not any(effect[0] in ("reply", "end", "drop") for effect in self.scene.told(cid)):
-            self.gone.add(cid)
+    def disconnect(self, cid):
+        if not any(effect[0] in ("reply", "end", "drop") for effect in self.scene.client_effects(cid)):
+            self.disconnected.add(cid)
         self.scene.take("gone", cid)
 
-    def change(self):
+    def change_cluster(self):
         scene, random = self.scene, self.random
         name = random.choice(sorted(SERVERS))
         what = random.randrange(4)
@@ -104,89 +104,91 @@
                 {name: SERVERS[name]}
             )
         else:
-            scene.trust.word = random.choice((Trust.FRESH, Trust.FRESH, Trust.DISCONNECTED, Trust.UNPROVEN))
-        self.watch()
+            scene.trust.level = random.choice((Trust.FRESH, Trust.FRESH, Trust.DISCONNECTED, Trust.UNPROVEN))
+        self.process_effects()
 
-    def watch(self):
+    def process_effects(self):
         """Processes the effects of the pipeline since the last call."""
-        while self.seen < len(self.scene.out):
-            effect = self.scene.out[self.seen]
-            self.seen += 1
-            if effect[0] == "unfetch" and effect[1] in self.fetches:
-                self.fetches[effect[1]][0] = True
+        while self.processed < len(self.scene.out):
+            effect = self.scene.out[self.processed]
+            self.processed += 1
+            if effect[0] == "unfetch" and effect[1] in self.attempts:
+                self.attempts[effect[1]][0] = True
             elif effect[0] == "forward":
-                self.fetches[effect[1]] = [False, False]
+                self.attempts[effect[1]] = [False, False]
                 assert not self.scene.state.servers[dict(effect[4])["x-expect-instance"]]["leaving"]
-                self.later(self.random.random() * 0.02, self.connect, effect)
+                self.schedule(self.random.random() * 0.02, self.connect, effect)
 
-    def tell(self, tid, *what):
-        if not self.fetches[tid][0]:
+    def deliver(self, tid, *what):
+        if not self.attempts[tid][0]:
             self.scene.take("fetched", tid, *what)
 
     def connect(self, effect):
         tid = effect[1]
-        if self.fetches[tid][0]:
+        if self.attempts[tid][0]:
             return  # cancelled before its connection was established: no byte was sent
         luck = self.random.random()
-        if luck < self.trouble * 0.3:
+        if luck < self.fault_rate * 0.3:
             return (
-                self.tell(tid, "fault", "refused")
-                if luck < self.trouble * 0.2
-                else self.later(0.4, self.tell, tid, "fault", "connect-timeout")
+                self.deliver(tid, "fault", "refused")
+                if luck < self.fault_rate * 0.2
+                else self.schedule(0.4, self.deliver, tid, "fault", "connect-timeout")
             )
-        self.tell(tid, "sent")
-        self.later(self.random.random() * 0.1, self.arrive, effect)
+        self.deliver(tid, "sent")
+        self.schedule(self.random.random() * 0.1, self.arrive, effect)
 
     def arrive(self, effect):
         """Delivers the request to the server, whether or not the edge still waits for the response."""
         tid, headers = effect[1], dict(effect[4])
         cid, name, random = headers["X-Request-Id"], headers["x-expect-instance"], self.random
         self.arrivals.append((cid, name))
-        is_trouble = random.random() < self.trouble
+        has_fault = random.random() < self.fault_rate
         answer = (
             random.choice(("full", "moved", "reset", "silent", "half", "500", "bare503", "strange", "other", "slow"))
-            if is_trouble
+            if has_fault
             else "well"
         )
         own = (("X-Request-Id", cid), SEAL)
         if answer in ("full", "moved"):
-            return self.tell(tid, "head", 503 if answer == "full" else 421, (("X-Request-Id", cid), NOT_RUN))
+            return self.deliver(tid, "head", 503 if answer == "full" else 421, (("X-Request-Id", cid), NOT_RUN))
         if random.random() < 0.3 and answer in ("reset", "silent"):
             return (
-                self.tell(tid, "fault", "reset") if answer == "reset" else None
+                self.deliver(tid, "fault", "reset") if answer == "reset" else None
             )  # the server received the request and never ran it
         self.runs[cid] = self.runs.get(cid, 0) + 1
         at = random.random() * 0.1
         if answer == "reset":
-            self.later(at, self.tell, tid, "fault", "reset")
+            self.schedule(at, self.deliver, tid, "fault", "reset")
         elif answer in ("500", "bare503"):
-            self.later(at, self.tell, tid, "head", 500 if answer == "500" else 503, own)
-            self.later(at + 0.01, self.tell, tid, "end")
+            self.schedule(at, self.deliver, tid, "head", 500 if answer == "500" else 503, own)
+            self.schedule(at + 0.01, self.deliver, tid, "end")
         elif answer == "strange":
-            self.later(at, self.tell, tid, "head", 200, (("X-Request-Id", cid),))
-            self.later(at + 0.01, self.tell, tid, "chunk", b"strange")
-            self.later(at + 0.02, self.tell, tid, "end")
+            self.schedule(at, self.deliver, tid, "head", 200, (("X-Request-Id", cid),))
+            self.schedule(at + 0.01, self.deliver, tid, "chunk", b"strange")
+            self.schedule(at + 0.02, self.deliver, tid, "end")
         elif answer == "other":
-            self.later(at, self.tell, tid, "head", random.choice((200, 503)), (("X-Request-Id", "zz"), SEAL, NOT_RUN))
+            self.schedule(
+                at, self.deliver, tid, "head", random.choice((200, 503)), (("X-Request-Id", "zz"), SEAL, NOT_RUN)
+            )
         elif answer != "silent":
             self.serve(tid, cid, own, headers, at + (1.5 if answer == "slow" else 0.0), answer == "half")
 
     def serve(self, tid, cid, own, headers, at, is_half):
-        if self.asked[cid] in (CHAT, LOOSE):
+        if self.submitted[cid] in (CHAT, LOOSE):
             first = int(headers.get("last-event-id", 0)) + 1
             raw = b"".join(event(number, 3) for number in range(first, self.COUNT + 1))
             own = (*own, EVENTS)
         else:
             raw = b"whole " + cid.encode()
-        self.later(at, self.tell, tid, "head", 200, own)
+        self.schedule(at, self.deliver, tid, "head", 200, own)
         place = 0
         stop = self.random.randrange(len(raw) + 1) if is_half else len(raw)
         while place < stop:
             size = min(self.random.randrange(1, 40), stop - place)
             at += self.random.random() * 0.05
-            self.later(at, self.tell, tid, "chunk", raw[place : place + size])
+            self.schedule(at, self.deliver, tid, "chunk", raw[place : place + size])
             place += size
-        self.later(at + 0.01, self.tell, tid, *(("fault", "reset") if is_half else ("end",)))
+        self.schedule(at + 0.01, self.deliver, tid, *(("fault", "reset") if is_half else ("end",)))
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -195,15 +197,17 @@
     non-repeatable request runs twice, no request that ran is refused as not run, no event is lost, repeated or joined
     wrongly, no truncated response looks complete, and at the end nothing is in flight and the ledger has closed each
     request once."""
-    fault_injection = FaultInjection(seed).play(300)
+    fault_injection = FaultInjection(seed).run_rounds(300)
     scene, outcomes = fault_injection.scene, {}
-    for cid, path in fault_injection.asked.items():
-        told, runs = scene.told(cid), fault_injection.runs.get(cid, 0)
+    for cid, path in fault_injection.submitted.items():
+        told, runs = scene.client_effects(cid), fault_injection.runs.get(cid, 0)
         assert path in (PLAIN, CHAT) or runs <= 1, (cid, path)
         servers = {name for asked, name in fault_injection.arrivals if asked == cid}
         assert len(servers) <= 3
         ends = [effect[0] for effect in told if effect[0] in ("reply", "end", "drop")]
-        assert len(ends) == (0 if cid in fault_injection.gone else 1) and (not ends or told[-1][0] == ends[0]), (
+        assert len(ends) == (0 if cid in fault_injection.disconnected else 1) and (
+            not ends or told[-1][0] == ends[0]
+        ), (
             cid,
             told,
         )
@@ -234,7 +238,7 @@
         [record["tag"] for record in scene.records(False)],
     )
     assert (
-        sorted(closed) == sorted(fault_injection.asked)
+        sorted(closed) == sorted(fault_injection.submitted)
         and len(set(opened)) == len(opened)
         and set(opened) <= set(closed)
     )
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -13,14 +13,14 @@
     cid = scene.ask(CHAT)
     scene.sent(cid)
     scene.head(cid, 200, EVENTS)
-    assert scene.told(cid) == []
+    assert scene.client_effects(cid) == []
     raw = event(1) + event(2)
-    scene.hear(cid, "chunk", raw[: len(event(1)) + 4])
-    assert [effect[0] for effect in scene.told(cid)] == ["head", "chunk"] and scene.body(cid) == event(1)
-    scene.hear(cid, "chunk", raw[len(event(1)) + 4 :])
+    scene.call_event(cid, "chunk", raw[: len(event(1)) + 4])
+    assert [effect[0] for effect in scene.client_effects(cid)] == ["head", "chunk"] and scene.body(cid) == event(1)
+    scene.call_event(cid, "chunk", raw[len(event(1)) + 4 :])
     assert scene.body(cid) == raw
-    scene.hear(cid, "end")
-    assert scene.told(cid)[-1][0] == "end" and scene.settled()
+    scene.call_event(cid, "end")
+    assert scene.client_effects(cid)[-1][0] == "end" and scene.settled()
 
 
 def test_a_resumable_stream_is_resumed_elsewhere_after_its_last_event():
@@ -29,16 +29,18 @@
     event."""
     scene = Scene()
     cid = scene.ask(CHAT)
-    first = scene.goal(cid)
+    first = scene.target_server(cid)
     scene.after(0.1).stream(cid, 1, 2)
-    scene.hear(cid, "chunk", event(3)[:-3])
-    scene.after(0.5).hear(cid, "fault", "reset")
+    scene.call_event(cid, "chunk", event(3)[:-3])
+    scene.after(0.5).call_event(cid, "fault", "reset")
     scene.run(0.3)
-    assert len(scene.sends(cid)) == 2 and scene.goal(cid) != first
+    assert len(scene.sends(cid)) == 2 and scene.target_server(cid) != first
     assert dict(scene.sends(cid)[-1][4])["last-event-id"] == "2" and scene.sends(cid)[-1][5] == b"{}"
     scene.stream(cid, 3, 4)
-    scene.hear(cid, "end")
-    assert [effect[0] for effect in scene.told(cid)].count("head") == 1 and scene.told(cid)[-1][0] == "end"
+    scene.call_event(cid, "end")
+    assert [effect[0] for effect in scene.client_effects(cid)].count("head") == 1 and scene.client_effects(cid)[-1][
+        0
+    ] == "end"
     assert scene.body(cid) == b"".join(map(event, (1, 2, 3, 4))) and scene.settled()
     (record,) = scene.records(True)
     assert (
@@ -56,11 +58,11 @@
     cid = scene.ask(CHAT, last=12)
     assert dict(scene.sends(cid)[-1][4])["last-event-id"] == "12"
     scene.sent(cid)
-    scene.hear(cid, "fault", "reset")
+    scene.call_event(cid, "fault", "reset")
     scene.run(0.3)
     assert dict(scene.sends(cid)[-1][4])["last-event-id"] == "12"
     scene.stream(cid, 13)
-    scene.hear(cid, "fault", "reset")
+    scene.call_event(cid, "fault", "reset")
     scene.run(0.3)
     assert [pair for pair in scene.sends(cid)[-1][4] if pair[0].lower() == "last-event-id"] == [("last-event-id", "13")]
 
@@ -71,14 +73,14 @@
     scene = Scene()
     cid = scene.ask(CHAT)
     scene.stream(cid, 1, 2)
-    scene.hear(cid, "fault", "reset")
+    scene.call_event(cid, "fault", "reset")
     scene.run(0.3)
     scene.stream(cid, *numbers)
     assert scene.body(cid) == event(1) + event(2)
     scene.run(0.3)
     scene.stream(cid, 3)
-    scene.hear(cid, "end")
-    assert scene.body(cid) == event(1) + event(2) + event(3) and scene.told(cid)[-1][0] == "end"
+    scene.call_event(cid, "end")
+    assert scene.body(cid) == event(1) + event(2) + event(3) and scene.client_effects(cid)[-1][0] == "end"
 
 
 def test_the_number_of_resumes_is_limited_and_then_the_stream_is_aborted():
@@ -88,12 +90,12 @@
     scene.retry_budget.cap = 40.0
     scene.give_credit(40.0)
     cid, number = scene.ask(CHAT), 0
-    while not any(effect[0] in ("drop", "end") for effect in scene.told(cid)) and number < 30:
+    while not any(effect[0] in ("drop", "end") for effect in scene.client_effects(cid)) and number < 30:
         number += 1
         scene.stream(cid, number)
-        scene.hear(cid, "fault", "reset")
+        scene.call_event(cid, "fault", "reset")
         scene.run(0.3)
-    assert scene.told(cid)[-1][0] == "drop" and number == 4 and scene.settled()
+    assert scene.client_effects(cid)[-1][0] == "drop" and number == 4 and scene.settled()
 
 
 def test_a_stream_is_resumed_at_no_more_servers_than_its_route_allows():
@@ -103,7 +105,7 @@
     cid = scene.ask(CHAT)
     for number in range(1, 4):
         scene.stream(cid, number)
-        scene.hear(cid, "fault", "reset")
+        scene.call_event(cid, "fault", "reset")
         scene.run(0.5)
     assert len(scene.sends(cid)) == 4 and len({dict(send[4])["x-expect-instance"] for send in scene.sends(cid)}) == 2
 
@@ -115,12 +117,14 @@
     cid = scene.ask(LOOSE)
     scene.stream(cid, 1)
     if how == "reset":
-        scene.hear(cid, "fault", "reset")
+        scene.call_event(cid, "fault", "reset")
     else:
-        scene.hear(cid, "chunk", event(2)[:-1])
-        scene.hear(cid, "end")
+        scene.call_event(cid, "chunk", event(2)[:-1])
+        scene.call_event(cid, "end")
     scene.run(5)
-    assert [effect[0] for effect in scene.told(cid)] == ["head", "chunk", "drop"] and len(scene.sends(cid)) == 1
+    assert [effect[0] for effect in scene.client_effects(cid)] == ["head", "chunk", "drop"] and len(
+        scene.sends(cid)
+    ) == 1
     assert scene.records(True)[0]["run"] == "maybe" and scene.settled()
 
 
@@ -130,15 +134,19 @@
     scene = Scene()
     cid = scene.ask(CHAT)
     scene.stream(cid, 1)
-    scene.hear(cid, "fault", "reset")
+    scene.call_event(cid, "fault", "reset")
     scene.run(0.3)
     tid = scene.sends(cid)[-1][1]
     scene.sent(cid)
     assert ("unfetch", tid) in scene.head(cid, 404)
     scene.run(0.3)
     scene.stream(cid, 2)
-    scene.hear(cid, "end")
-    assert len(scene.sends(cid)) == 3 and scene.body(cid) == event(1) + event(2) and scene.told(cid)[-1][0] == "end"
+    scene.call_event(cid, "end")
+    assert (
+        len(scene.sends(cid)) == 3
+        and scene.body(cid) == event(1) + event(2)
+        and scene.client_effects(cid)[-1][0] == "end"
+    )
 
 
 def test_a_stream_that_no_server_resumes_is_aborted_and_may_have_run():
@@ -147,11 +155,13 @@
     scene = Scene()
     cid = scene.ask(CHAT)
     scene.stream(cid, 1)
-    scene.hear(cid, "fault", "reset")
+    scene.call_event(cid, "fault", "reset")
     scene.run(0.3)
     scene.answer(cid, 503, b"", NOT_RUN, seal=False)
     scene.run(0.3)
     scene.answer(cid, 200, b"whole")
     scene.run(6)
-    assert [effect[0] for effect in scene.told(cid)] == ["head", "chunk", "drop"] and scene.body(cid) == event(1)
+    assert [effect[0] for effect in scene.client_effects(cid)] == ["head", "chunk", "drop"] and scene.body(
+        cid
+    ) == event(1)
     assert scene.records(True)[0]["run"] == "maybe" and scene.settled()
--- a/tests/platform_adapters/test_revoked_keys.py
+++ b/tests/platform_adapters/test_revoked_keys.py
@@ -98,8 +98,8 @@
     server_hears(scene, whole, "end")
     server_hears(scene, cut, "fault", "reset")
     scene.run(0.3)
-    assert [effect[0] for effect in scene.told(whole)][-1] == "end"
-    assert [effect[0] for effect in scene.told(cut)][-1] == "drop" and len(scene.forwarded(cut)) == 1
+    assert [effect[0] for effect in scene.client_effects(whole)][-1] == "end"
+    assert [effect[0] for effect in scene.client_effects(cut)][-1] == "drop" and len(scene.forwarded(cut)) == 1
 
 
 def test_a_key_that_is_another_tenants_by_now_runs_for_neither():
@@ -149,12 +149,12 @@
     scene = TenantScene(trust=trust)
     late, soon = scene.call("never-held"), scene.call("a-new-key")
     scene.run(0.3)
-    assert not scene.told(late) and not scene.told(soon)
-    scene.trust.word = Trust.FRESH
+    assert not scene.client_effects(late) and not scene.client_effects(soon)
+    scene.trust.level = Trust.FRESH
     scene.set_tenants(EAST, {**WEST, "api-keys": ["a-new-key"]})
     scene.run(0.1)
     assert scene.was_run(soon) and scene.status(late) == 401
-    scene.trust.word = trust
+    scene.trust.level = trust
     never = scene.call("never-held")
     scene.run(1.6)
     assert scene.status(never) == 503 and not scene.was_run(never)
--- a/tests/quotas/test_admission.py
+++ b/tests/quotas/test_admission.py
@@ -66,7 +66,7 @@
     cid = scene.ask(CHAT, tokens="30,50")
     _granted(scene, cid)
     scene.stream(cid, 1, 2, 3)
-    scene.hear(cid, "end")
+    scene.call_event(cid, "end")
     assert _settled(scene) == [("shops", 0, 47)]
     lost = scene.ask(ONCE, tokens="30,50")
     _granted(scene, lost)
@@ -80,7 +80,7 @@
     cut = scene.ask(ONCE, tokens="30,50")
     _granted(scene, cut)
     scene.sent(cut)
-    scene.hear(cut, "fault", "reset")
+    scene.call_event(cut, "fault", "reset")
     assert len(_settled(scene)) == 3 and scene.settled()
 
 
@@ -123,6 +123,6 @@
     for cid in late:
         _granted(unsure, cid, True)
     others = [unsure.ask("/plain/x") for _ in range(8)]
-    unsure.trust.word = Trust.FRESH
+    unsure.trust.level = Trust.FRESH
     unsure.run(0.1)
     assert all(unsure.sends(cid) for cid in others) and not any(unsure.sends(cid) for cid in late)
--- a/tests/retry_budget/test_retry_budget.py
+++ b/tests/retry_budget/test_retry_budget.py
@@ -205,7 +205,7 @@
     cid = scene.ask(PLAIN)
     scene.answer(cid, 503, b"", NOT_RUN, ("Retry-After", "0.3"), seal=False)
     scene.run(0.25)
-    assert len(scene.sends(cid)) == 1 and not scene.told(cid)
+    assert len(scene.sends(cid)) == 1 and not scene.client_effects(cid)
     scene.run(0.15)
     assert len(scene.sends(cid)) == 2
     scene.answer(cid)
