--- a/sumachook/forwarding/forwarded_request.py
+++ b/sumachook/forwarding/forwarded_request.py
@@ -70,7 +70,7 @@
         self.tenant_priority = 0
         self.is_recorded = False  # whether the ledger has its opening record
         # waiting for a server
-        self.awaits_placement = False  # no server holds its model yet
+        self.awaits_placement = False  # whether no usable server holds its model yet
         self.wanted_at: timedelta | None = None  # when its demand was last reported to the placer
         # servers it was sent to
         self.sent_to: tuple[str, ...] = ()
--- a/sumachook/forwarding/resend.py
+++ b/sumachook/forwarding/resend.py
@@ -12,7 +12,7 @@
 from sumachook.requests.in_flight_request import RequestState
 
 MAX_RESUMES = 3
-# Upper bound on the exponential backoff of `requests/request_table.py`.
+# Upper bound on the retry delay that `requests/request_table.py` computes.
 MAX_RESEND_DELAY = timedelta(seconds=0.2)
 
 
--- a/sumachook/forwarding/server_selection.py
+++ b/sumachook/forwarding/server_selection.py
@@ -102,7 +102,7 @@
         """
         table = self.table
         if request.needs_recheck and not self._has_same_route(request):
-            return FailureKind.NOT_READY.because("the route changed while this node was disconnected")
+            return FailureKind.NOT_READY.because("the route changed after admission")
         if request.metadata.credentials and request.tenant is not None and table.has_stale_credentials(now):
             return FailureKind.NOT_READY.because("not connected to a core")
         if request.checked_generation == table.generation:
@@ -115,7 +115,7 @@
         return None if tenant == request.tenant else FailureKind.NOT_READY.because("the API key changed its tenant")
 
     def _has_same_route(self, request: ForwardedRequest) -> bool:
-        """Returns whether the current catalogue has the same route for a request admitted under an unconfirmed one."""
+        """Returns whether the current catalogue still has the route under which the request was admitted."""
         request.needs_recheck = False
         return bool(self.table.routes.find(request.metadata.host, request.path) == request.route)
 
