--- a/sumachook/quotas/__init__.py
+++ b/sumachook/quotas/__init__.py
@@ -1,5 +1,6 @@
-"""Quotas: a tenant's share of the capacity, enforced alike on every edge.
+"""Per-tenant quotas, enforced consistently across all edges.
 
-Each edge admits a tenant's requests against short leases (`rate_limiter`), which the core that has the accounting duty
-issues (`lease_issuer`) within the tenant's floor and ceiling (`terms`). Every core keeps what edges report (`usage`).
+Each edge admits a tenant's requests against short-lived leases (`rate_limiter`). The core that holds the accounting
+duty issues these leases (`lease_issuer`) within the tenant's floor and ceiling (`terms`). Every core stores the usage
+that edges report (`usage`).
 """
--- a/sumachook/quotas/amounts.py
+++ b/sumachook/quotas/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of requests and of tokens, which are counted together."""
+"""Pairs of request and token amounts; quotas always limit both together."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Amounts(NamedTuple):
-    """Requests and tokens, or as many of each a second."""
+    """A number of requests and a number of tokens, or a rate of each per second."""
 
     requests: float
     tokens: float
@@ -17,10 +17,10 @@
 
 
 def shown(amount: float) -> float | None:
-    """An amount for operators: None where there is no bound."""
+    """Returns the amount as operators see it: None if it is unbounded."""
     return None if amount == UNBOUND else amount
 
 
 def shown_rounded(amount: float) -> float | None:
-    """An amount for operators, to two digits: None where there is no bound."""
+    """Returns the amount rounded to two decimal places as operators see it: None if it is unbounded."""
     return None if amount == UNBOUND else round(amount, 2)
--- a/sumachook/quotas/bucket.py
+++ b/sumachook/quotas/bucket.py
@@ -1,24 +1,25 @@
-"""A token bucket for requests and one for tokens, spent together."""
+"""A pair of token buckets, one for requests and one for tokens, that are debited together."""
 
 from datetime import timedelta
 
 from sumachook.quotas.amounts import UNBOUND, Amounts
 
 SECOND = timedelta(seconds=1)
-ROUNDING = 1e-6  # what sums of parts may be off by
+ROUNDING = 1e-6  # tolerance for floating-point error in sums of partial amounts
 
 
 class Bucket:
-    """Two levels that rise with time.
+    """A token bucket with one fill level for requests and one for tokens.
 
-    A request that has more tokens than the bucket ever holds needs a full one and leaves a debt.
+    A request with more tokens than the bucket's capacity is accepted only when the bucket is full, and leaves the token
+    level negative.
 
     Parameters
     ----------
     rates
-        Requests and tokens a second by which the levels rise.
+        Refill rates in requests and tokens per second.
     capacity
-        How many of each it holds at most.
+        Maximum fill level of each.
 
     >>> now = timedelta(seconds=9)
     >>> bucket = Bucket(Amounts(2.0, 100.0), Amounts(2.0, 100.0), now)
@@ -37,20 +38,20 @@
         self.levels = Amounts(*(UNBOUND if rate == UNBOUND else 0.0 for rate in rates))
 
     def set_bounds(self, rates: Amounts, capacity: Amounts) -> None:
-        """Other bounds from now on; what is above them is gone, what newly has a bound starts with none of it."""
+        """Replaces rates and capacity; levels above the new capacity are cut, a newly bounded level starts at 0."""
         self.levels = Amounts(*map(_bounded, self.levels, rates, capacity))
         self.rates = rates
         self.capacity = capacity
 
     def refill(self, now: timedelta) -> None:
-        """Raises the levels by the time since the last call."""
+        """Adds the amounts accrued at the refill rates since the previous call."""
         seconds = (now - self.refilled_at) / SECOND
         self.refilled_at = max(now, self.refilled_at)
         if seconds > 0:
             self.add(*(rate * seconds if rate != UNBOUND else 0.0 for rate in self.rates))
 
     def add(self, requests: float, tokens: float) -> None:
-        """Raises the levels, up to the capacity."""
+        """Adds the amounts to the levels, up to the capacity."""
         levels, capacity = self.levels, self.capacity
         self.levels = Amounts(
             min(capacity.requests, levels.requests + requests)
@@ -60,23 +61,23 @@
         )
 
     def covers(self, requests: float, tokens: float) -> bool:
-        """Whether it may be spent."""
+        """Returns whether the levels suffice for a request of these amounts."""
         has_tokens = self.levels.tokens + ROUNDING >= min(tokens, self.capacity.tokens)
         return self.levels.requests + ROUNDING >= requests and has_tokens
 
     def spend(self, requests: float, tokens: float) -> bool:
-        """Takes it out if all of it is there."""
+        """Withdraws both amounts if the levels cover them; returns whether it did."""
         if not self.covers(requests, tokens):
             return False
         self.withdraw(requests, tokens)
         return True
 
     def withdraw(self, requests: float, tokens: float) -> None:
-        """Takes it out also where it is not there: the debt is filled first."""
+        """Subtracts the amounts unconditionally; a negative level must be refilled before the bucket covers more."""
         self.levels = Amounts(self.levels.requests - requests, self.levels.tokens - tokens)
 
     def seconds_until(self, requests: float, tokens: float) -> float:
-        """Seconds until it covers them."""
+        """Returns the seconds until refilling covers the amounts, 0 if it already does or there is no rate."""
         missing = (requests - self.levels.requests, min(tokens, self.capacity.tokens) - self.levels.tokens)
         waits = [
             amount / rate for amount, rate in zip(missing, self.rates, strict=True) if amount > 0 and 0 < rate < UNBOUND
--- a/sumachook/quotas/effects.py
+++ b/sumachook/quotas/effects.py
@@ -1,4 +1,4 @@
-"""What the rate limiter tells the request pipelines of its edge."""
+"""Admission decisions that the rate limiter returns to the request pipelines of its edge."""
 
 from typing import Any
 
@@ -8,19 +8,19 @@
 
 
 class AdmissionDecision(msgspec.Struct, frozen=True):
-    """Base of the answers to an `AdmissionRequested`."""
+    """Base class of the responses to an `AdmissionRequested` event."""
 
     key: AdmissionKey
 
 
 class AdmissionGranted(AdmissionDecision, frozen=True):
-    """The request may go on; where it is over its tenant's ceiling it gives way to all others."""
+    """Admits the request; with `is_yielding` it is over its tenant's ceiling and runs after all other requests."""
 
     is_yielding: bool
 
 
 class AdmissionDenied(AdmissionDecision, frozen=True):
-    """The request is refused; `record_fields` go into its record."""
+    """Denies the request; `record_fields` are added to its log record."""
 
     reason: str
     retry_after_s: float
--- a/sumachook/quotas/events.py
+++ b/sumachook/quotas/events.py
@@ -1,6 +1,6 @@
-"""What the rate limiter and the lease issuer take, besides the events of every host.
+"""Events handled by the rate limiter and the lease issuer, in addition to the host events.
 
-The first two come from the request pipelines of an edge, which give them as effects.
+The request pipelines of an edge emit `AdmissionRequested` and `UsageSettled` as effects.
 """
 
 from datetime import timedelta
@@ -12,21 +12,21 @@
 
 
 class Pipeline(Enum):
-    """The pipelines of an edge."""
+    """The request pipelines of an edge: model inference and plain HTTP forwarding."""
 
     INFERENCE = "inference"
     PROXY = "proxy"
 
 
 class AdmissionKey(NamedTuple):
-    """Identifies a request at its edge."""
+    """Identifies a request within its edge by pipeline and request."""
 
     pipeline: Pipeline
     request: Any
 
 
 class AdmissionRequested(Event, frozen=True):
-    """A tenant's request came in; it waits for an `AdmissionDecision`, which comes within a part of its patience."""
+    """A tenant's request has arrived and awaits an `AdmissionDecision`, due within a fraction of its `patience`."""
 
     key: AdmissionKey
     tenant: str
@@ -35,7 +35,7 @@
 
 
 class UsageSettled(Event, frozen=True):
-    """A request has ended: how many requests (0 or 1) and tokens it was charged beyond its use."""
+    """Reports the requests (0 or 1) and tokens that a finished request was charged beyond its actual usage."""
 
     key: AdmissionKey
     tenant: str
@@ -44,10 +44,11 @@
 
 
 class LimiterTick(Event, frozen=True):
-    """Time has passed at an edge.
+    """Periodic timer event of the rate limiter at an edge.
 
-    `issuer` is the address of the lease issuer, None while there is none; `cores` and `peers` are addresses of cores
-    and of other edges; `edge_count` is among how many edges the floor is divided without an issuer, 0 while not known.
+    `issuer` is the address of the lease issuer, None if there is none. `cores` and `peers` are the addresses of the
+    cores and of the other edges. `edge_count` is the number of edges among which the floor is divided while there is no
+    issuer, 0 if unknown.
     """
 
     issuer: str | None
@@ -57,15 +58,16 @@
 
 
 class IssuerTick(Event, frozen=True):
-    """Time has passed at a core; `fence` is that of its accounting duty, 0 while it has none."""
+    """Periodic timer event at a core; `fence` is the fencing token of its accounting duty, 0 if it does not hold it."""
 
     fence: int
 
 
 class LeaseRequestReceived(Event, frozen=True):
-    """An edge asks for leases.
+    """An edge has requested leases from this core.
 
-    The fence is read at the moment of the event, so that what lay in the buffer of a frozen issuer gets nothing.
+    `fence` is read when the event is processed, not when the message arrived: requests buffered while a former issuer
+    was frozen are granted nothing.
     """
 
     sender: str
--- a/sumachook/quotas/lease_issuer.py
+++ b/sumachook/quotas/lease_issuer.py
@@ -1,4 +1,4 @@
-"""The lease issuer: lends requests and tokens of tenants' quotas to the edges that ask."""
+"""The lease issuer: grants edges leases on requests and tokens from tenants' quotas."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -13,20 +13,20 @@
 from sumachook.quotas.tenant_budget import Lending, Refusals, TenantBudget
 from sumachook.quotas.terms import QuotaTerms
 
-# operators are warned of a tenant that is refused for long
-REFUSALS_OVER_AFTER = timedelta(seconds=2)  # without a refusal
+# warning about a tenant whose requests are denied for a long time
+REFUSALS_OVER_AFTER = timedelta(seconds=2)  # the tenant counts as below its ceiling after this time without a denial
 WARN_AFTER = timedelta(seconds=30)
 WARN_INTERVAL = timedelta(minutes=1)
 
-# bounds of what a refused caller is told to wait
+# bounds of the retry delay given to a denied request
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 30.0
 
-MAX_AHEAD_PART = 0.5  # of what is there, that is lent ahead of demand at once
+MAX_AHEAD_PART = 0.5  # maximum fraction of the available amount that a single prefetch may take
 
 
 class QuotaLeaseIssuer:
-    """Lends to edges while its core has the accounting duty, each time under the fence of that duty."""
+    """Issues leases to edges while its core holds the accounting duty, under the fencing token of that duty."""
 
     __slots__ = ("state", "fence", "generation", "budgets", "pool")
 
@@ -38,19 +38,19 @@
         self.fence = fence
         self.generation = -1
         self.budgets: dict[str, TenantBudget] = {}
-        self.pool = Bucket(NO_BOUNDS, NO_BOUNDS, now)  # the stated capacity of all servers
+        self.pool = Bucket(NO_BOUNDS, NO_BOUNDS, now)  # the configured capacity of all servers
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Handles an event; `now` is monotonic time."""
+        """Handles an event and returns its effects; `now` is monotonic time."""
         match event:
             case IssuerTick(fence):
                 return self._warn(now) if self._has_duty(fence, now) else []
             case LeaseRequestReceived(fence=fence):
                 return self._on_lease_request(event, now) if self._has_duty(fence, now) else []
-        raise TypeError(f"no event of a lease issuer: {event!r}")
+        raise TypeError(f"unexpected event for the lease issuer: {event!r}")
 
     def _has_duty(self, fence: int, now: timedelta) -> bool:
-        """Begins anew with each fence; without one nothing is lent."""
+        """Returns whether this core holds the accounting duty; resets all budgets when the fencing token changes."""
         if fence != self.fence:
             self._start(fence, now)
         if not fence:
@@ -73,7 +73,7 @@
         capacity = _stated_capacity(catalogue)
         self.pool.set_bounds(capacity, capacity)
 
-    # lending -----------------------------------------------------------------------
+    # granting leases ---------------------------------------------------------------
 
     def _on_lease_request(self, event: LeaseRequestReceived, now: timedelta) -> list[Effect]:
         self.pool.refill(now)
@@ -103,7 +103,7 @@
         return LeaseGrant(decisions, ahead.requests, ahead.tokens, retry_after_s, *budget.used())
 
     def _lend_ahead(self, budget: TenantBudget, share: Bucket, demand: LeaseDemand, now: timedelta) -> Amounts:
-        """Lends what the edge will need in the next moments, as far as enough of it is left for others."""
+        """Grants part of the edge's expected demand in advance while leaving enough of the budget for other edges."""
         wanted = (demand.requests, demand.tokens)
         levels = zip(share.levels, budget.unreserved, budget.ceiling.levels, wanted, strict=True)
         parts = [
@@ -118,7 +118,7 @@
         return NOTHING
 
     def _lend(self, budget: TenantBudget, share: Bucket, requests: int, tokens: float, now: timedelta) -> bool:
-        """Floors first: what is within one is lent whatever others have had; the rest only out of what is left."""
+        """Grants the amounts if allowed: within the floor whatever other tenants use, beyond it from spare capacity."""
         is_in_floor = budget.floor.covers(requests, tokens)
         if not budget.ceiling.covers(requests, tokens) or not (is_in_floor or self.pool.covers(requests, tokens)):
             return False
@@ -136,7 +136,7 @@
         return True
 
     def _retry_after_s(self, budget: TenantBudget, pending_tokens: Sequence[int]) -> float:
-        """When there may be room: what is missing, and after it all that were refused within the last second."""
+        """Returns the seconds to refill the missing amounts and to serve all requests denied in the last second."""
         ahead = sum(refusals.request_count for refusals in budget.refusals)
         seconds = budget.ceiling.seconds_until(1, max(pending_tokens, default=0.0))
         if budget.terms.ceiling.requests != UNBOUND:
@@ -146,7 +146,7 @@
     # operators ---------------------------------------------------------------------
 
     def describe(self, now: timedelta) -> dict[str, dict[str, Any]]:
-        """Of each tenant: what is there, lent within the last second, and refused for how many seconds."""
+        """Returns by tenant the bucket levels, the grants of the last second and the seconds spent at the ceiling."""
         return {
             name: {
                 "levels": [shown_rounded(level) for level in budget.ceiling.levels],
@@ -169,7 +169,7 @@
                 budget.warned_at = now
                 seconds = round((now - budget.refused_since) / SECOND)
                 fields = {"tenant": name, "seconds": seconds, "lent": budget.used()}
-                effects.append(Log("warning", "allowance", "A tenant has been at its ceiling for long.", fields))
+                effects.append(Log("warning", "allowance", "A tenant has been at its ceiling for over 30 s.", fields))
         return effects
 
 
@@ -180,6 +180,6 @@
 
 
 def _tokens_per_request(demand: LeaseDemand) -> float:
-    """An estimate for refused requests, from those that are asked for."""
+    """Estimates the tokens of a denied request as the mean over the requests in the same demand."""
     tokens: float = sum(demand.pending_tokens) + demand.tokens
     return tokens / max(1, len(demand.pending_tokens) + demand.requests)
--- a/sumachook/quotas/messages.py
+++ b/sumachook/quotas/messages.py
@@ -1,4 +1,4 @@
-"""The messages about quotas between edges and cores, and among edges."""
+"""Quota messages between edges and cores, and among edges."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple, Self
@@ -8,10 +8,11 @@
 
 
 class LeaseDemand(NamedTuple):
-    """What an edge asks for one tenant.
+    """An edge's demand for one tenant.
 
-    `pending_tokens` has the tokens of each request that waits, `requests` and `tokens` what is wanted ahead of demand,
-    `refused` how many requests were refused since the last message; `returned_...` is given back.
+    `pending_tokens` lists the tokens of each pending request. `requests` and `tokens` are prefetched ahead of demand,
+    and `demand_per_s` is the edge's request rate. `refused` counts the requests denied since the previous message.
+    `returned_requests` and `returned_tokens` are unused amounts that go back to the issuer.
     """
 
     pending_tokens: Sequence[int]
@@ -24,10 +25,10 @@
 
 
 class LeaseGrant(NamedTuple):
-    """What an edge gets for one tenant.
+    """The issuer's grant to an edge for one tenant.
 
-    `decisions` answers each request that waits, `requests` and `tokens` are lent ahead of demand, `used_...` is what
-    was lent to all edges within the last second.
+    `decisions` holds the decision on each pending request. `requests` and `tokens` are leased ahead of demand.
+    `used_requests` and `used_tokens` are the totals granted to all edges in the last second.
     """
 
     decisions: Sequence[bool]
@@ -39,20 +40,20 @@
 
 
 class LeaseRequest(NodeMessage, frozen=True, tag="allow_ask"):
-    """An edge asks the lease issuer for leases, by tenant."""
+    """An edge's request to the lease issuer, with its demand for each tenant."""
 
     number: int
     demands: dict[str, LeaseDemand]
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from the decoded values of its fields."""
+        """Builds the message from its decoded field values, in the order of the fields."""
         number, demands = values
         return cls(number, {tenant: LeaseDemand(*demand) for tenant, demand in demands.items()})
 
 
 class LeaseResponse(NodeMessage, frozen=True, tag="allow_give"):
-    """Answer to the `LeaseRequest` of this number; of two issuers the one with the higher fence is in office."""
+    """Response to the `LeaseRequest` with this number; a higher `fence` supersedes responses under lower ones."""
 
     fence: int
     number: int
@@ -60,38 +61,38 @@
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from the decoded values of its fields."""
+        """Builds the message from its decoded field values, in the order of the fields."""
         fence, number, grants = values
         return cls(fence, number, {tenant: LeaseGrant(*grant) for tenant, grant in grants.items()})
 
 
 class BorrowRequest(NodeMessage, frozen=True, tag="allow_beg"):
-    """While there is no issuer, an edge asks the others for parts of the floor that they don't need, by tenant."""
+    """An edge's request to other edges, while there is no issuer, for the unused part of their floors, by tenant."""
 
     number: int
     wanted: dict[str, Amounts]
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from the decoded values of its fields."""
+        """Builds the message from its decoded field values, in the order of the fields."""
         number, wanted = values
         return cls(number, {tenant: Amounts(*amounts) for tenant, amounts in wanted.items()})
 
 
 class BorrowResponse(NodeMessage, frozen=True, tag="allow_lend"):
-    """Answer to the `BorrowRequest` of this number: what the sender has withdrawn from its own part."""
+    """Response to the `BorrowRequest` with this number: amounts that the sender took from its part of the floor."""
 
     number: int
     lent: dict[str, Amounts]
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from the decoded values of its fields."""
+        """Builds the message from its decoded field values, in the order of the fields."""
         number, lent = values
         return cls(number, {tenant: Amounts(*amounts) for tenant, amounts in lent.items()})
 
 
 class UsageReport(NodeMessage, frozen=True, tag="allow_report"):
-    """What operators are shown of an edge: a document by tenant."""
+    """An edge's quota usage as shown to operators: one document per tenant."""
 
     report: dict[str, dict[str, Any]]
--- a/sumachook/quotas/pending_admission.py
+++ b/sumachook/quotas/pending_admission.py
@@ -1,11 +1,11 @@
-"""A request that waits for its admission."""
+"""A request that is pending admission at an edge."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
 
 class PendingAdmission(NamedTuple):
-    """A request with its estimate of tokens; at `decide_by` the edge decides without an answer of anybody."""
+    """A pending request's estimated tokens; at `decide_by` the edge decides locally without waiting for a response."""
 
     tokens: int
     decide_by: timedelta
--- a/sumachook/quotas/rate_limiter.py
+++ b/sumachook/quotas/rate_limiter.py
@@ -1,4 +1,4 @@
-"""The rate limiter: admits tenants' requests at an edge against what is lent to it."""
+"""The rate limiter: admits tenants' requests at an edge against leases from the issuer."""
 
 from collections.abc import Callable, Sequence
 from datetime import timedelta
@@ -27,48 +27,49 @@
 MILLISECOND = timedelta(milliseconds=1)
 
 # leases
-LEASE = MILLISECOND * 400  # from when it was asked for
-REQUEST_INTERVAL = MILLISECOND * 100  # before an unanswered request is followed by another
-ISSUER_TIMEOUT = MILLISECOND * 200  # of silence, after which this edge decides alone
-PROBE_INTERVAL = MILLISECOND * 200  # while it is alone
-EXHAUSTED_FOR = MILLISECOND * 100  # after a refusal, others are refused without asking
-MAX_PENDING = 512  # requests of a tenant that wait for an answer
+LEASE = MILLISECOND * 400  # lease duration, counted from when the request was sent
+REQUEST_INTERVAL = MILLISECOND * 100  # wait before a request is sent after one that is still unanswered
+ISSUER_TIMEOUT = MILLISECOND * 200  # without a response; then this edge decides locally
+PROBE_INTERVAL = MILLISECOND * 200  # between requests to the issuer in local mode
+EXHAUSTED_FOR = MILLISECOND * 100  # after a denial, further requests are denied without asking the issuer
+MAX_PENDING = 512  # pending requests per tenant
 MAX_PENDING_PER_MESSAGE = 64
-MIN_PROBE_DEMAND_PER_S = 0.1  # of tenants with less demand nothing is asked ahead of their requests
+MIN_PROBE_DEMAND_PER_S = 0.1  # tenants with less demand are left out of probes
 
-# what is asked for ahead of demand
-AHEAD_S = 0.15  # seconds of demand
+# leases prefetched ahead of demand
+AHEAD_S = 0.15  # seconds of demand to prefetch
 AHEAD_INTERVAL = MILLISECOND * 50
 
-# how long a request waits: a part of its patience, but no longer than
+# maximum wait of a pending request: a fraction of its patience, capped at the two limits below
 PATIENCE_PART = 0.35
 MAX_ISSUER_WAIT = MILLISECOND * 400
 MAX_BORROW_WAIT = MILLISECOND * 100
 
 # borrowing from other edges
 BORROW_INTERVAL = MILLISECOND * 50
-BORROW_LIFETIME = MILLISECOND * 1000  # an answer that comes later is not used
-MAX_LENDERS = 8  # other edges that are asked, so that the cost does not grow with their number
+BORROW_LIFETIME = MILLISECOND * 1000  # later responses are ignored
+MAX_LENDERS = 8  # edges asked per borrow request, so that the cost does not grow with the number of edges
 
 REPORT_INTERVAL = MILLISECOND * 1000
 MIN_RETRY_AFTER_S = 0.1
 
-# a restart epoch is a time in milliseconds: no later run of this node uses the same numbers, all of them within 63 bits
+# Request numbers start at the restart epoch, a time in milliseconds, shifted by these bits: no later run of this node
+# reuses a number, and all numbers fit in 63 bits.
 RESTART_EPOCH_BITS = 16
 
 
 class OpenRequest(NamedTuple):
-    """A `LeaseRequest` without an answer, and by tenant the requests that it names with their tokens."""
+    """An unanswered `LeaseRequest` and, by tenant, the pending requests in it with their tokens."""
 
     sent_at: timedelta
     pending: dict[str, list[tuple[AdmissionKey, int]]]
 
 
 class RateLimiter:
-    """Decides on requests of tenants at once where leases are there, else asks the issuer.
+    """Admits tenants' requests immediately from unexpired leases, and otherwise requests leases from the issuer.
 
-    Without an issuer (`is_alone`) each edge has a part of every tenant's floor, and edges lend each other what they
-    don't need.
+    Without an issuer (`is_alone`) each edge uses an equal part of every tenant's floor, and edges lend each other the
+    part that they do not need.
     """
 
     __slots__ = (
@@ -96,7 +97,7 @@
         self.quotas: dict[str, TenantQuota] = {}
         self.number = restart_epoch << RESTART_EPOCH_BITS
         self.open_requests: dict[int, OpenRequest] = {}
-        self.borrow_requests: dict[int, timedelta] = {}  # when each was sent
+        self.borrow_requests: dict[int, timedelta] = {}  # send time by request number
         self.is_alone = False
         self.fence = 0
         self.issuer: str | None = None
@@ -109,7 +110,7 @@
         self.lender_offset = restart_epoch
 
     def take(self, event: Event, now: timedelta) -> Sequence[Output]:
-        """Handles an event; `now` is monotonic time."""
+        """Handles an event and returns its effects and admission decisions; `now` is monotonic time."""
         match event:
             case AdmissionRequested():
                 return self._refresh_terms(now) + self._handle_admission_requested(event, now)
@@ -124,10 +125,10 @@
                 return self._on_borrow_request(event.address, event.message, now)
             case MessageReceived(message=BorrowResponse()):
                 return self._on_borrow_response(event.message, now)
-        raise TypeError(f"no event of a rate limiter: {event!r}")
+        raise TypeError(f"unexpected event for the rate limiter: {event!r}")
 
     def _refresh_terms(self, now: timedelta) -> list[Output]:
-        """Requests of a tenant that is configured no more are admitted."""
+        """Applies a changed configuration; pending requests of a tenant that no longer has a quota are admitted."""
         if self.generation == self.state.generation:
             return []
         self.generation = self.state.generation
@@ -171,7 +172,7 @@
         return self._borrow(quota, now)
 
     def _handle_usage_settled(self, event: UsageSettled) -> None:
-        """What a request was charged beyond its use goes back."""
+        """Refunds the amount that a request was charged beyond its actual usage."""
         quota = self.quotas.get(event.tenant)
         if quota is None or quota.pending.pop(event.key, None) is not None:
             return
@@ -199,11 +200,11 @@
             "allowance": quota.terms.shown_ceiling(),
             "used": {"requestsPerS": used_requests, "tokensPerS": used_tokens},
         }
-        reason = f"tenant {quota.terms.name} is over its allowance"
+        reason = f"tenant {quota.terms.name} has exceeded its quota"
         return [AdmissionDenied(key, reason, max(MIN_RETRY_AFTER_S, quota.retry_after_s), record_fields)]
 
     def _serve_pending(self, quota: TenantQuota, spend: Callable[[int], bool]) -> list[Output]:
-        """Admits requests that wait, in their order, until one can't be paid for."""
+        """Admits pending requests in arrival order until `spend` fails for one."""
         outputs: list[Output] = []
         for key, pending in list(quota.pending.items()):
             if not spend(pending.tokens):
@@ -215,7 +216,7 @@
     # the issuer --------------------------------------------------------------------
 
     def _request_leases(self, now: timedelta, is_tick: bool = False, is_probe: bool = False) -> list[Output]:
-        """All that is wanted, in one message; one is under way at a time. What can wait goes with ticks."""
+        """Sends the demand of all tenants in one message unless one is in flight; adds non-urgent updates on ticks."""
         if self.issuer is None or any(now - each.sent_at < REQUEST_INTERVAL for each in self.open_requests.values()):
             return []
         demands: dict[str, LeaseDemand] = {}
@@ -244,7 +245,7 @@
         return [Send(self.issuer, LeaseRequest(self.number, demands))]
 
     def _missing_ahead(self, quota: TenantQuota, now: timedelta) -> Amounts:
-        """For a busy tenant, what the next moments need is asked for before they come."""
+        """Returns the amounts to prefetch for `AHEAD_S` seconds of demand, 0 while leases still cover half of it."""
         wanted = int(quota.demand_per_s * AHEAD_S)
         available = quota.available[0]
         is_too_soon = now < max(quota.exhausted_until, quota.next_ahead_at)
@@ -259,7 +260,7 @@
         self.fence = message.fence
         self.is_alone = False
         answered = self.open_requests.pop(message.number)
-        # older requests are answered by this
+        # this response supersedes requests sent earlier
         self.open_requests = {number: each for number, each in self.open_requests.items() if number > message.number}
         is_expired = now - answered.sent_at >= LEASE
         outputs: list[Output] = []
@@ -282,7 +283,7 @@
             quota.exhausted_until = now + EXHAUSTED_FOR
         outputs: list[Output] = []
         for (key, tokens), is_granted in zip(named, grant.decisions, strict=False):
-            if quota.pending.pop(key, None) is None:  # it was decided on meanwhile
+            if quota.pending.pop(key, None) is None:  # already decided while the request was in flight
                 quota.give_back(int(is_granted), tokens if is_granted else 0)
             elif is_granted:
                 outputs += self._grant(quota, key, tokens)
@@ -290,10 +291,10 @@
                 outputs += self._deny(quota, key)
         return outputs
 
-    # other edges, while there is no issuer -----------------------------------------
+    # borrowing from other edges, while there is no issuer ---------------------------
 
     def _borrow(self, quota: TenantQuota, now: timedelta) -> list[Output]:
-        """Asks for others' parts of the floor that they don't need just now."""
+        """Requests unused parts of the tenant's floor from other edges, at most once per `BORROW_INTERVAL`."""
         if now < quota.next_borrow_at or not self.peers:
             return []
         quota.next_borrow_at = now + BORROW_INTERVAL
@@ -306,7 +307,7 @@
         return [Send(peer, message) for peer in self._lenders()]
 
     def _lenders(self) -> tuple[str, ...]:
-        """The edges that are asked: the same few each time, as each is one more connection to keep."""
+        """Returns the edges to borrow from, the same subset each time, since each one costs a connection."""
         if len(self.peers) <= MAX_LENDERS:
             return self.peers
         first = self.lender_offset % len(self.peers)
@@ -322,12 +323,12 @@
             quota.local.refill(now)
             spare = self._spare(quota, wanted)
             if any(spare):
-                quota.local.withdraw(*spare)  # before it is sent: a lost message destroys, and none is ever made
+                quota.local.withdraw(*spare)  # before sending: a lost message may lose quota but never duplicates it
                 lent[name] = spare
         return [*outputs, Send(address, BorrowResponse(message.number, lent))] if lent else outputs
 
     def _spare(self, quota: TenantQuota, wanted: Amounts) -> Amounts:
-        """What this edge's part has beyond its own next moments."""
+        """Returns how much of `wanted` this edge can lend while keeping `AHEAD_S` seconds of its own demand."""
         ahead = quota.demand_per_s * AHEAD_S if self.is_alone else 0.0
         kept = Amounts(ahead, ahead * quota.tokens_per_request)
         figures = zip(wanted, quota.local.levels, kept, quota.local.capacity, strict=True)
@@ -351,10 +352,10 @@
         return outputs
 
     def _serve_local(self, quota: TenantQuota, now: timedelta) -> list[Output]:
-        """Admits requests that wait out of this edge's own part and what it borrowed."""
+        """Admits pending requests from this edge's part of the floor, including borrowed amounts."""
         return self._serve_pending(quota, lambda tokens: quota.spend_local(tokens, now))
 
-    # time --------------------------------------------------------------------------
+    # ticks -------------------------------------------------------------------------
 
     def _handle_tick(self, tick: LimiterTick, now: timedelta) -> list[Output]:
         is_new_count = tick.edge_count != self.edge_count
@@ -394,7 +395,7 @@
         }
 
     def _decide_overdue(self, quota: TenantQuota, now: timedelta) -> list[Output]:
-        """Nobody answered in time: this edge's own part decides."""
+        """Decides pending requests whose deadline has passed from this edge's part of the floor."""
         outputs: list[Output] = []
         for key, pending in list(quota.pending.items()):
             if now < pending.decide_by:
@@ -419,7 +420,7 @@
         return [Send(core, UsageReport(self.describe())) for core in self.cores]
 
     def describe(self) -> dict[str, dict[str, Any]]:
-        """What operators are shown of this edge, by tenant."""
+        """Returns the quota usage of this edge by tenant, as shown to operators."""
         return {
             name: {
                 "lent": quota.available,
@@ -437,6 +438,6 @@
 
 
 def _has_news(quota: TenantQuota, is_probe: bool) -> bool:
-    """Whether the issuer should hear of a tenant although nothing is wanted for it."""
+    """Returns whether the issuer needs an update on a tenant for which the edge requests no lease."""
     has_returned = quota.returned.requests >= 1 or quota.returned.tokens >= 1
     return bool(quota.refused) or has_returned or (is_probe and quota.demand_per_s > MIN_PROBE_DEMAND_PER_S)
--- a/sumachook/quotas/tenant_budget.py
+++ b/sumachook/quotas/tenant_budget.py
@@ -1,4 +1,4 @@
-"""What the lease issuer keeps of one tenant."""
+"""The lease issuer's state for one tenant."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -7,25 +7,25 @@
 from sumachook.quotas.bucket import Bucket
 from sumachook.quotas.terms import QuotaTerms
 
-RECENT = timedelta(seconds=1)  # over which use, demand and refusals are summed
-SHARE_BURST_S = 0.25  # seconds of an edge's share that it may save up
-MIN_SHARE = 1e-3  # of the ceiling, for an edge with hardly any demand
-DEMAND_MEMORY_S = 10.0  # for which requests beyond the floor count against a tenant
+RECENT = timedelta(seconds=1)  # window over which grants, demand and denials are summed
+SHARE_BURST_S = 0.25  # seconds of its share that an edge may accumulate
+MIN_SHARE = 1e-3  # fraction of the ceiling for an edge with almost no demand
+DEMAND_MEMORY_S = 10.0  # seconds for which requests beyond the floor count against a tenant
 
-# what the ceiling's bucket holds beyond the lesser of these is lent to any edge
-RESERVED_S = 0.1  # seconds of the ceiling
-RESERVED_PART = 0.25  # of what may be saved up
+# The smaller of these is reserved in the ceiling's bucket for the edges' own shares; any edge may use the rest.
+RESERVED_S = 0.1  # seconds at the ceiling rate
+RESERVED_PART = 0.25  # fraction of the burst
 
 
 class EdgeDemand(NamedTuple):
-    """Requests a second that an edge asked for, and when."""
+    """An edge's demand in requests per second and the time at which it was reported."""
 
     per_s: float
     noted_at: timedelta
 
 
 class Lending(NamedTuple):
-    """What was lent at a time."""
+    """Requests and tokens granted at one time."""
 
     at: timedelta
     requests: float
@@ -33,16 +33,16 @@
 
 
 class Refusals(NamedTuple):
-    """How many requests were refused, and when that was learned."""
+    """The number of requests that an edge denied and the time at which it reported them."""
 
     at: timedelta
     request_count: int
 
 
 class TenantBudget:
-    """Ceiling and floor as buckets, each edge's share of the ceiling, and since when the tenant is refused.
+    """Token buckets for the ceiling and floor, each edge's share of the ceiling, and recent grants and denials.
 
-    A new issuer begins with the floor's burst: what its predecessor lent is counted by nobody any more.
+    A new issuer starts with only the floor's burst, because grants of its predecessor are no longer accounted for.
     """
 
     __slots__ = (
@@ -63,7 +63,7 @@
         self.terms = terms
         self.ceiling = Bucket(terms.ceiling, terms.burst, now)
         self.floor = Bucket(terms.floor, terms.floor_burst, now)
-        self.requested = Bucket(terms.floor, terms.floor_burst, now)  # charged with every request, admitted or not
+        self.requested = Bucket(terms.floor, terms.floor_burst, now)  # debited by every request, admitted or denied
         self.ceiling.add(*terms.floor_burst)
         self.floor.add(*terms.floor_burst)
         self.requested.add(*terms.floor_burst)
@@ -76,14 +76,14 @@
         self.warned_at: timedelta | None = None
 
     def set_terms(self, terms: QuotaTerms) -> None:
-        """Other terms from now on."""
+        """Applies new quota terms to the ceiling and floor buckets; fill levels above the new bounds are cut."""
         self.terms = terms
         self.ceiling.set_bounds(terms.ceiling, terms.burst)
         self.floor.set_bounds(terms.floor, terms.floor_burst)
         self.requested.set_bounds(terms.floor, terms.floor_burst)
 
     def refill(self, now: timedelta) -> None:
-        """Raises the levels by the time since the last call, and forgets what is not recent."""
+        """Refills the buckets for the time since the previous call and drops grants and denials older than `RECENT`."""
         self.ceiling.refill(now)
         self.floor.refill(now)
         self.requested.refill(now)
@@ -91,7 +91,7 @@
         self.refusals = [refusals for refusals in self.refusals if now - refusals.at < RECENT]
 
     def share_of(self, edge: str, demand_per_s: float, now: timedelta) -> Bucket:
-        """An edge's part of the ceiling, in proportion to its demand."""
+        """Returns the bucket for an edge's share of the ceiling, in proportion to its recent demand."""
         self.demand[edge] = EdgeDemand(demand_per_s, now)
         self.demand = {name: demand for name, demand in self.demand.items() if now - demand.noted_at < RECENT}
         self.shares = {name: share for name, share in self.shares.items() if name in self.demand}
@@ -108,24 +108,24 @@
         return share
 
     def note_requested(self, requests: float, tokens: float) -> None:
-        """Every request, admitted or not, counts against the floor for `DEMAND_MEMORY_S`."""
+        """Counts requests, admitted or denied, against the floor; the debt is capped at `DEMAND_MEMORY_S` of it."""
         self.requested.withdraw(requests, tokens)
         lowest = (-DEMAND_MEMORY_S * figure for figure in self.terms.floor)
         self.requested.levels = Amounts(*map(max, self.requested.levels, lowest))
 
     def give_back(self, requests: float, tokens: float) -> None:
-        """Takes back what was lent and not used."""
+        """Credits amounts that were granted to an edge and returned unused."""
         for bucket in (self.ceiling, self.floor, self.requested):
             bucket.add(requests, tokens)
 
     @property
     def is_within_floor(self) -> bool:
-        """Whether all that was asked for is within the floor: then no edge's share is looked at."""
+        """Whether the total demand is within the floor; if so, the edges' shares are not enforced."""
         return self.requested.levels.requests >= 1 and self.requested.levels.tokens >= 0
 
     @property
     def unreserved(self) -> Amounts:
-        """What is lent to any edge; near the ceiling each has its own share, so that requests fare alike on all."""
+        """Amounts available to any edge; the reserve is granted by share, so that all edges deny the same fraction."""
         figures = zip(self.ceiling.levels, self.terms.ceiling, self.terms.burst, strict=True)
         return Amounts(
             *(
@@ -135,5 +135,5 @@
         )
 
     def used(self) -> tuple[float, float]:
-        """Requests and tokens lent within the last second."""
+        """Returns the requests and tokens granted in the last second."""
         return sum(lending.requests for lending in self.lent), sum(lending.tokens for lending in self.lent)
--- a/sumachook/quotas/tenant_quota.py
+++ b/sumachook/quotas/tenant_quota.py
@@ -1,4 +1,4 @@
-"""What an edge keeps of one tenant."""
+"""An edge's quota state for one tenant."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 from sumachook.quotas.pending_admission import PendingAdmission
 from sumachook.quotas.terms import QuotaTerms
 
-DEMAND_SMOOTHING = 0.8  # weight of the demand so far, at each tick
+DEMAND_SMOOTHING = 0.8  # weight of the previous average in the exponential moving average of each tick
 
 
 @dataclass(slots=True)
 class Lease:
-    """Requests and tokens that are lent to this edge until a time."""
+    """Requests and tokens that this edge may use until `expires_at`."""
 
     requests: float
     tokens: float
@@ -23,7 +23,7 @@
 
 
 class TenantQuota:
-    """Leases, this edge's part of the floor for when there is no issuer, requests that wait, and the recent demand."""
+    """Leases, pending requests, recent demand, and the edge's part of the floor for times without an issuer."""
 
     __slots__ = (
         "terms",
@@ -54,31 +54,31 @@
         self.leases: deque[Lease] = deque()
         self.local = Bucket(NOTHING, NOTHING, now)
         self.pending: dict[AdmissionKey, PendingAdmission] = {}
-        # demand
-        self.request_count = 0  # since the last tick
+        # recent demand
+        self.request_count = 0  # requests since the last tick
         self.token_count = 0
         self.demand_per_s = 0.0
         self.tokens_per_request = 0.0
-        # what the issuer said last
+        # from the latest response of the issuer
         self.exhausted_until = now
         self.retry_after_s = 0.0
         self.used: tuple[float, ...] = (0, 0)
-        # what it is told next
+        # to be sent to the issuer with the next request
         self.returned = NOTHING
         self.refused = 0
         self.next_borrow_at = now
         self.next_ahead_at = now
-        # since the start
+        # totals since the edge started
         self.admitted_total = 0
         self.refused_total = 0
         self.yielded_total = 0
         self.charged_total = 0
-        # for reports
-        self.reported_count = 0  # requests since the last report
+        # request rate for usage reports
+        self.reported_count = 0  # requests since the previous report
         self.requests_per_s = 0.0
 
     def set_terms(self, terms: QuotaTerms, edge_count: int) -> None:
-        """Other terms from now on; without an issuer the floor is divided among `edge_count` edges, 0 if not known."""
+        """Applies new terms; the local bucket gets 1 / `edge_count` of the floor, none if the count is 0 (unknown)."""
         self.terms = terms
         part = 1 / edge_count if edge_count else 0.0
         rates = Amounts(*(figure if figure == UNBOUND else figure * part for figure in terms.floor))
@@ -89,13 +89,13 @@
     # demand ------------------------------------------------------------------------
 
     def note_request(self, tokens: int) -> None:
-        """A request has come in."""
+        """Counts an incoming request and its estimated tokens towards the demand."""
         self.request_count += 1
         self.reported_count += 1
         self.token_count += tokens
 
     def update_demand(self, seconds: float) -> None:
-        """Smooths the demand at the end of a tick of so many seconds."""
+        """Updates the moving average of the demand at the end of a tick that lasted `seconds`."""
         if self.request_count:
             self.tokens_per_request = self.token_count / self.request_count
         if seconds > 0:
@@ -108,11 +108,11 @@
 
     @property
     def available(self) -> tuple[float, float]:
-        """Requests and tokens of all leases."""
+        """Total requests and tokens left in all leases."""
         return sum(lease.requests for lease in self.leases), sum(lease.tokens for lease in self.leases)
 
     def spend(self, tokens: int) -> bool:
-        """One request out of the leases, the oldest first."""
+        """Debits one request from the leases, oldest first; returns False, with no change, if they do not cover it."""
         available_requests, available_tokens = self.available
         if available_requests + ROUNDING < 1 or available_tokens + ROUNDING < tokens:
             return False
@@ -129,12 +129,12 @@
         return True
 
     def spend_local(self, tokens: int, now: timedelta) -> bool:
-        """One request out of this edge's own part of the floor."""
+        """Debits one request from this edge's part of the floor; returns False if it does not cover it."""
         self.local.refill(now)
         return self.local.spend(1, tokens)
 
     def add_borrowed(self, amounts: Amounts) -> None:
-        """What another edge gave of its own part: on top of this one's, all of the floor at most."""
+        """Adds amounts borrowed from another edge to the local bucket, up to the whole floor burst of the tenant."""
         figures = zip(self.local.levels, self.terms.floor_burst, amounts, strict=True)
         self.local.levels = Amounts(
             *(
@@ -144,14 +144,18 @@
         )
 
     def give_back(self, requests: float, tokens: float) -> None:
-        """Notes what goes back to the issuer with the next message."""
+        """Records unused amounts to return to the issuer with the next request, up to the burst."""
         self.returned = Amounts(
             min(self.terms.burst.requests, self.returned.requests + requests),
             min(self.terms.burst.tokens, self.returned.tokens + tokens),
         )
 
     def expire_leases(self, now: timedelta, stale_after: timedelta) -> None:
-        """Gives back what was not spent in time, unless this node was away for so long that it may be counted anew."""
+        """Returns unused amounts of expired leases to the issuer.
+
+        Leases that expired `stale_after` ago or earlier are dropped: the edge was suspended, and the issuer may no
+        longer account for them.
+        """
         while self.leases and self.leases[0].expires_at <= now:
             lease = self.leases.popleft()
             if now - lease.expires_at < stale_after:
--- a/sumachook/quotas/terms.py
+++ b/sumachook/quotas/terms.py
@@ -1,22 +1,23 @@
-"""A tenant's figures, worked out once a configuration."""
+"""A tenant's quota limits, computed once per configuration."""
 
 from typing import Any, NamedTuple, Self
 
 from sumachook.configuration.tenant import Tenant
 from sumachook.quotas.amounts import UNBOUND, Amounts, shown
 
-MIN_BURST = 1.0  # a bucket that never holds one request would admit none
-# Requests of a stated burst that may be let in, or lent by a new issuer, without a count of what was let in before.
+MIN_BURST = 1.0  # a bucket with a capacity below one request would never admit any
+# Maximum requests of a configured burst that an edge without an issuer may admit, or a new issuer may grant, while
+# nothing is known of earlier admissions.
 MAX_UNCOUNTED_BURST = 5.0
-YIELD = "yield"  # the setting under which requests over the ceiling run where servers are free
+YIELD = "yield"  # value of `overCeiling` with which requests over the ceiling run at the lowest priority
 
 
 class QuotaTerms(NamedTuple):
-    """What a tenant may use, in requests and tokens.
+    """A tenant's limits in requests and tokens.
 
-    `floor` and `ceiling` are a second, `floor_burst` and `burst` are what may be saved up of them; up to its floor a
-    tenant is served whatever others use. `yields` tells that requests over the ceiling are not refused but give way
-    to all others.
+    `floor` and `ceiling` are rates per second; `floor_burst` and `burst` are the capacities of their token buckets. Up
+    to its floor a tenant is served regardless of the usage of other tenants. With `yields`, requests over the ceiling
+    are not denied but run after all other requests.
     """
 
     name: str
@@ -28,7 +29,7 @@
 
     @classmethod
     def of(cls, tenant: Tenant) -> Self:
-        """The terms of a tenant of the configuration.
+        """Computes the terms of a configured tenant.
 
         >>> terms = QuotaTerms.of(Tenant("t", requests_per_s=4.0, ceiling=1.5, burst_s=0.1))
         >>> terms.ceiling.requests, terms.ceiling.tokens, terms.floor.requests, terms.burst.requests
@@ -43,16 +44,16 @@
 
     @classmethod
     def by_tenant(cls, catalogue: Any) -> dict[str, Self]:
-        """The terms of all tenants with a bound, of a configuration that may be None."""
+        """Returns the terms of all tenants with a request or token limit; the catalogue may be None."""
         tenants = catalogue.tenants if catalogue is not None else ()
         return {tenant.name: cls.of(tenant) for tenant in tenants if _has_bound(tenant)}
 
     def shown_floor(self) -> dict[str, float | None]:
-        """The floor for operators."""
+        """Returns the floor rates as shown to operators."""
         return _shown(self.floor)
 
     def shown_ceiling(self) -> dict[str, float | None]:
-        """The ceiling for operators and refused callers."""
+        """Returns the ceiling rates as shown to operators and in records of denied requests."""
         return _shown(self.ceiling)
 
 
@@ -61,7 +62,7 @@
 
 
 def _burst(rates: Amounts, tenant: Tenant, requests: float | None) -> Amounts:
-    """What may be saved up: `burstS` seconds of these rates, or so many requests where they are stated."""
+    """Returns the bucket capacity: `burstS` seconds of the rates, with `requests` instead if it is configured."""
     saved = Amounts(*(max(MIN_BURST, figure * tenant.burst_s) for figure in rates))
     if requests is None or rates.requests == UNBOUND:
         return saved
@@ -69,7 +70,7 @@
 
 
 def _uncounted_burst(tenant: Tenant) -> float | None:
-    """The floor's part of a stated burst: nobody knows by then how much of the burst has been used."""
+    """Returns the floor's fraction of a configured burst, capped since the burst already used is unknown by then."""
     return None if tenant.burst is None else min(MAX_UNCOUNTED_BURST, tenant.burst * tenant.floor)
 
 
--- a/sumachook/quotas/usage.py
+++ b/sumachook/quotas/usage.py
@@ -1,4 +1,4 @@
-"""What operators are shown of quotas."""
+"""Quota usage of all edges, as shown to operators."""
 
 from datetime import timedelta
 from typing import Any, NamedTuple
@@ -11,14 +11,14 @@
 
 
 class EdgeReport(NamedTuple):
-    """An edge's last report."""
+    """The latest usage report of an edge, by tenant."""
 
     by_tenant: dict[str, dict[str, Any]]
     received_at: timedelta
 
 
 class QuotaUsage:
-    """Keeps the last `UsageReport` of each edge; every core does.
+    """Stores the latest `UsageReport` of each edge; runs on every core.
 
     >>> from types import SimpleNamespace as Item
     >>> from sumachook.configuration.tenant import Tenant
@@ -41,13 +41,13 @@
         self.reports: dict[str, EdgeReport] = {}  # by edge
 
     def take(self, event: MessageReceived, now: timedelta) -> list[Effect]:
-        """Takes a `UsageReport`."""
+        """Stores a received `UsageReport` and drops the expired ones."""
         self.reports = {edge: report for edge, report in self.reports.items() if _is_recent(report, now)}
         self.reports[event.sender] = EdgeReport(event.message.report, now)
         return []
 
     def describe(self, now: timedelta) -> dict[str, dict[str, Any]]:
-        """Of each tenant: its bounds, and what edges admitted and refused."""
+        """Returns by tenant the floor, the ceiling, and the counts of admitted, denied and yielding requests."""
         recent = {edge: report for edge, report in sorted(self.reports.items()) if _is_recent(report, now)}
         return {
             name: _describe_tenant(
