--- a/sumachook/configuration/__init__.py
+++ b/sumachook/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Catalogue, params and the ordered state."""
+"""The operator's configuration (catalogue) and the settings of one node: structure, validation and changes."""
--- a/sumachook/configuration/bounds.py
+++ b/sumachook/configuration/bounds.py
@@ -1,4 +1,4 @@
-"""What numbers and names an operator may write for services and their routes."""
+"""Value ranges of the numbers and names in the configuration of services and their routes."""
 
 from typing import Annotated
 
--- a/sumachook/configuration/capacity.py
+++ b/sumachook/configuration/capacity.py
@@ -1,4 +1,4 @@
-"""What the servers of a deployment can do together."""
+"""The combined capacity of all servers of a deployment."""
 
 from typing import Any
 
@@ -8,10 +8,10 @@
 
 
 class Capacity(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """What all servers can take together.
+    """The total request rate that all servers can handle.
 
-    `requestsPerS`, `tokensPerS`: requests and tokens a second, null where the operator states none. Tenants' floors
-    must fit into it; what tenants are let in beyond their floors is shared out of the rest.
+    `requestsPerS`, `tokensPerS`: requests and tokens per second, null for no limit. The sum of the tenants' floors must
+    not exceed them; tenants share the rest for requests beyond their floors.
     """
 
     requests_per_s: PerSecond | None = None
--- a/sumachook/configuration/carried_fields.py
+++ b/sumachook/configuration/carried_fields.py
@@ -1,14 +1,14 @@
-"""Which fields of a configuration are stored and given back without being read."""
+"""Lists the fields of a configuration that are stored and returned but not interpreted."""
 
 from collections.abc import Iterator
 from typing import Any
 
-MAX_CARRIED_SHOWN = 40  # names in one line of a log or one answer
-EXTRA = "extra"  # where documents keep them, on any level
+MAX_CARRIED_SHOWN = 40  # field names in one log line or response
+EXTRA = "extra"  # the object that holds uninterpreted fields, at any level of a document
 
 
 def carried_fields(document: Any) -> tuple[str, ...]:
-    """The paths of what stands in `extra` on any level, each once and without positions in lists.
+    """Returns the sorted, distinct paths of all fields in `extra` objects at any level, without list indices.
 
     >>> route = {"name": "r", "extra": {"colour": 1}}
     >>> carried_fields({"version": 3, "httpRoutes": [route, route], "extra": {"owners": [{"name": "o"}]}})
--- a/sumachook/configuration/catalogue.py
+++ b/sumachook/configuration/catalogue.py
@@ -1,4 +1,4 @@
-"""What operators write: models, adapters, callers, lines, routes and policies."""
+"""The catalogue: the operator's configuration of models, adapters, callers, queues (lines), routes and policies."""
 
 from collections.abc import Iterator, Sequence
 from datetime import timedelta
@@ -26,7 +26,11 @@
 
 
 class Model(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """One model: its size and how fast it is wont to answer."""
+    """A model, its size and its typical response times.
+
+    `memory`: gigabytes; `decodeRate`: tokens per second; `firstToken`, `wake`: seconds allowed for the first token and
+    for loading the model.
+    """
 
     name: Name
     memory: Gigabytes
@@ -37,7 +41,7 @@
 
 
 class Adapter(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """A small addition to a model; takes one adapter place on a server."""
+    """An adapter for a model, which occupies one adapter slot and `memory` gigabytes on a server."""
 
     name: Name
     model: Name
@@ -45,7 +49,7 @@
 
 
 class Line(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """A class of caller waiting for a server."""
+    """A queue of requests waiting for a server; `bound` is its maximum length, `weight` its scheduling weight."""
 
     name: Name
     weight: Annotated[int, Meta(gt=0, le=1000)] = 1
@@ -54,7 +58,7 @@
 
 
 class Caller(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """Who calls, with what patience, and whether its prompts may be repeated."""
+    """A caller, its API key and queue, its timeouts in seconds, and whether its prompts are safe to retry."""
 
     name: Name
     key: Annotated[str, Meta(min_length=8, max_length=128)]
@@ -66,19 +70,19 @@
 
     @property
     def wait(self) -> timedelta:
-        """How long its callers wait for an answer."""
+        """The time for which this caller waits for a response."""
         return timedelta(seconds=self.patience)
 
 
 class Route(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """Another name that callers may ask for."""
+    """An alias under which callers may request a model or adapter."""
 
     name: Name
     target: Name
 
 
 class Policies(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """Small programs that narrow what the rules allow."""
+    """Policy expressions, by decision, that further restrict what the built-in rules allow; empty for none."""
 
     place: str = ""
     hold: str = ""
@@ -87,10 +91,10 @@
 
 
 class Catalogue(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """The whole configuration; `read_catalogue` is the way to one.
+    """The complete configuration, as validated by `read_catalogue`.
 
-    `version` is the operator's own number of it, `services`, `httpRoutes` and `limits` are for requests that pass
-    unchanged, `tenants` and `capacity` for quotas, `extra` is what else the operator wrote.
+    `version` is the operator's own version number. `services`, `httpRoutes` and `limits` apply to requests that are
+    forwarded unchanged, `tenants` and `capacity` to quotas. `extra` holds fields that are stored but not interpreted.
     """
 
     name: Name
@@ -127,7 +131,7 @@
 
 
 def read_catalogue(document: Any) -> tuple[Catalogue | None, tuple[ConfigurationIssue, ...]]:
-    """(catalogue, ()) or (None, issues) of an operator's whole document: shape first, then what refers to what."""
+    """Validates a complete document: structure, then references; returns (catalogue, ()) or (None, issues)."""
     issues = tuple(length_issues(document)) if isinstance(document, dict) else ()
     if issues:
         return None, issues
@@ -139,14 +143,18 @@
 
 
 def length_issues(document: Document) -> Iterator[ConfigurationIssue]:
-    """Each list that has more entries than are allowed."""
+    """Yields an issue for each list with more entries than allowed."""
     for part, bound in BOUNDS.items():
         if isinstance(document.get(part), (list, tuple)) and len(document[part]) > bound:
             yield ConfigurationIssue(part, f"{len(document[part])} entries, at most {bound}")
 
 
 def merge(base: Document, part: Document) -> Document:
-    """A partial configuration: lists merge by key in order, null removes, the rest replaces.
+    """Applies a partial configuration to `base`.
+
+    Items of lists merge by name and keep their order, an item with `"remove": true` is removed, objects merge by field,
+    and any other value replaces the current one.
+
 
     >>> merge({"name": "c", "areas": ["a"], "models": [{"name": "m", "memory": 1}]},
     ...       {"models": [{"name": "m", "memory": 2}, {"name": "n", "memory": 3}]})["models"]
@@ -169,7 +177,7 @@
     items: dict[Any, Any] = {item.get("name"): item for item in standing if isinstance(item, dict)}
     for index, item in enumerate(wanted):
         name = item.get("name") if isinstance(item, dict) else None
-        key = name if isinstance(name, str) else (index,)  # no name: it stays as it is, for the check to refuse
+        key = name if isinstance(name, str) else (index,)  # an unnamed item is kept, for validation to reject
         if _is_removal(item):
             items.pop(key, None)
         elif key in items and isinstance(item, dict):
--- a/sumachook/configuration/check.py
+++ b/sumachook/configuration/check.py
@@ -1,4 +1,4 @@
-"""Operators' documents against msgspec structs: every issue by its path, not just the first."""
+"""Validates documents against msgspec structs and reports every issue with its path, not only the first."""
 
 import types
 import typing
@@ -13,13 +13,13 @@
 
 
 def check(document: Any, shape: type[Shape], path: str = "") -> tuple[Shape | None, Issues]:
-    """Reads a document as a struct.
+    """Converts a document to a struct.
 
     Parameters
     ----------
-    document : what JSON or TOML gave
-    shape : the struct
-    path : where the document stands, to begin the paths of issues with
+    document : the decoded JSON or TOML value
+    shape : the struct class
+    path : the location of the document, used as a prefix of the paths of issues
 
     Returns
     -------
@@ -60,7 +60,7 @@
 
 def _read_struct(document: Any, shape: type[msgspec.Struct], path: str, issues: list[ConfigurationIssue]) -> Any:
     try:
-        return msgspec.convert(document, shape)  # at the pace of C; only what it refuses is walked for every issue
+        return msgspec.convert(document, shape)  # fast path in C; only a rejected document is traversed for issues
     except msgspec.ValidationError:
         pass
     if not isinstance(document, dict):
--- a/sumachook/configuration/checked_document.py
+++ b/sumachook/configuration/checked_document.py
@@ -1,9 +1,9 @@
-"""A configuration document that was found valid, and the check of its successor at a cost by what differs.
+"""Incremental validation: a validated configuration document, and the check of its successor by their difference.
 
-`check_document` reads a document whole. `revise_document` compares a wanted document with the one in force, reads
-only the items that differ and applies only the rules that a difference can break. It proves validity, never
-invalidity: whenever any step does not show that the wanted document is valid, the document is read whole, so that
-verdicts and their reasons are those of the whole check.
+`check_document` validates a complete document. `revise_document` compares a new document with the one in force,
+converts only the items that differ and applies only the rules that a difference can violate. The incremental check
+proves validity, never invalidity: if any step cannot show that the new document is valid, the document is validated
+completely, so that results and reasons are always those of the complete check.
 """
 
 import typing
@@ -34,7 +34,7 @@
 
 
 class NamedItems(NamedTuple):
-    """One list of a document beside what was read from it, item by item."""
+    """A list of a document and, index by index, the structs converted from its items."""
 
     documents: list[Any]
     values: tuple[Any, ...]
@@ -42,7 +42,7 @@
 
 
 class ItemChange(NamedTuple):
-    """An item of the wanted list that stands there otherwise than before."""
+    """An item of the new list that was added or changed, and its index there."""
 
     position: int
     document: Document
@@ -50,7 +50,7 @@
 
 
 class PartRevision(NamedTuple):
-    """A wanted list, as far as it differs from the list in force."""
+    """A new list with the items that were changed and the names that were removed since the list in force."""
 
     items: NamedItems
     changes: tuple[ItemChange, ...]
@@ -58,7 +58,7 @@
 
 
 class CheckedDocument(NamedTuple):
-    """A valid document, its catalogue, and what the next change is compared with."""
+    """A valid document, its catalogue, and the indexes with which the next document is compared."""
 
     document: Document
     catalogue: Catalogue
@@ -70,11 +70,11 @@
 
 
 class _UnprovenError(Exception):
-    """The difference alone does not show that the wanted document is valid."""
+    """The difference alone does not prove that the new document is valid."""
 
 
 def _item_types() -> dict[str, type]:
-    """The struct of the items of each list that has named items."""
+    """Returns the struct class of the items of each list with named items, by field."""
     found = {}
     for field in msgspec.structs.fields(Catalogue):
         arguments = typing.get_args(field.type)
@@ -92,7 +92,7 @@
 
 
 def check_document(document: Any) -> Checked:
-    """Reads a document whole."""
+    """Validates a complete document; returns (checked document, ()) or (None, issues)."""
     catalogue, issues = read_catalogue(document)
     if catalogue is None:
         return None, issues
@@ -106,19 +106,19 @@
 
 
 def _match_of(route: HttpRoute) -> tuple[str, str]:
-    """What a route matches; no two routes match the same."""
+    """Returns the host, in lower case, and the prefix that a route matches; they are unique among routes."""
     return route.host.lower(), route.prefix
 
 
 def replace_in(base: CheckedDocument, part: Document, removals: Document) -> Document:
-    """The wanted document of a partial change; what it leaves alone stays the same object."""
+    """Applies a partial change to the document in force; unchanged values remain the same objects."""
     return replace_named(
         base.document, part, removals, {field: items.index_by_name for field, items in base.items.items()}
     )
 
 
 def revise_document(base: CheckedDocument | None, wanted: Any) -> Checked:
-    """The same as `check_document(wanted)`, at a cost by what differs from `base` where that is valid."""
+    """Returns `check_document(wanted)`, at a cost proportional to its difference from `base` if it is valid."""
     if base is not None and isinstance(wanted, dict):
         try:
             return _revise(base, wanted), ()
@@ -147,7 +147,7 @@
                 continue
             values[FIELDS[field].name] = revisions[field].items.values
         elif field in ITEM_TYPES:
-            raise _UnprovenError  # a whole list is gone; rare enough to be read whole
+            raise _UnprovenError  # a removed list is rare enough for a complete check
         else:
             values[FIELDS[field].name] = _read_field(wanted, field)
     changed -= {field for field in ITEM_TYPES if field not in revisions}
@@ -159,7 +159,7 @@
 
 
 def _value_in_force(base: CheckedDocument, field: str, value: Any) -> Any:
-    """The value in force where the wanted one is the same; lists of items are compared item by item later."""
+    """Returns the value in force if the new one is equal, else the new one; lists are compared by item later."""
     current = base.document.get(field, _ABSENT)
     return current if field not in ITEM_TYPES and current is not _ABSENT and _is_same_text(current, value) else value
 
@@ -207,7 +207,7 @@
 
 
 def _differing_indices(wanted: Any, current: list[Any]) -> list[int]:
-    """Where another object stands than before; the search runs over bytes, since lists are long and differences few."""
+    """Returns the indices of objects that differ; scans bytes, as lists are long and differences are few."""
     sameness, indices, index = bytes(map(is_, wanted, current)), [], -1
     while (index := sameness.find(False, index + 1)) >= 0:
         indices.append(index)
@@ -220,12 +220,12 @@
 
 
 def _is_same_text(one: Any, other: Any) -> bool:
-    """Equal as JSON texts: 1, 1.0 and true are equal values but not to a check; lists and tuples are the same."""
+    """Compares JSON encodings: 1, 1.0 and true are equal in Python but not to validation; lists equal tuples."""
     return msgspec.json.encode(one) == msgspec.json.encode(other)
 
 
 def _revise_names(current: NamedItems, values: list[Any], differing: list[int]) -> dict[str, int]:
-    """Place by name; two items of one name are not provably valid."""
+    """Returns the index of each name; raises _UnprovenError for a duplicate name."""
     if len(values) < len(current.values):
         names = {value.name: index for index, value in enumerate(values)}
     else:
@@ -271,7 +271,7 @@
 
 
 def _concerns_tenants(base: CheckedDocument, routes: PartRevision | None) -> bool:
-    """Whether a change of forwarding routes alone can break a tenant's reference: tenants refer to them by name."""
+    """Returns whether a change of only forwarding routes can break a reference: tenants refer to routes by name."""
     return (
         any(tenant.http_routes for tenant in base.catalogue.tenants)
         and routes is not None
@@ -280,7 +280,7 @@
 
 
 def _revise_routes(base: CheckedDocument, revisions: dict[str, PartRevision]) -> dict[tuple[str, str], HttpRoute]:
-    """Routes by host and prefix; two that match the same are not provably valid."""
+    """Returns the routes by host and prefix; raises _UnprovenError if two routes match the same."""
     revision = revisions.get(HTTP_ROUTE_PART)
     if revision is None:
         return base.route_by_match
--- a/sumachook/configuration/difference.py
+++ b/sumachook/configuration/difference.py
@@ -1,8 +1,8 @@
-"""A whole configuration as its difference from the one in force, so that log and feed carry what changed.
+"""Encodes a configuration as its difference from the one in force, so that log and changefeed carry only changes.
 
-A difference is plain JSON: `fields` holds what is new or changed at the top level, `absent` names what is gone, and
-`lists` gives each list of named items that changed as runs: `[start, count]` stands for that many items of the list
-in force, an object for itself.
+A difference is plain JSON: `fields` holds the added or changed top-level fields, `absent` lists the removed ones, and
+`lists` encodes each changed list of named items as runs: `[start, count]` refers to `count` items of the list in force
+from index `start`, and an object is an item itself.
 """
 
 from hashlib import sha256
@@ -13,21 +13,21 @@
 from sumachook.configuration.checked_document import CheckedDocument
 
 FIELDS, ABSENT, LISTS = "fields", "absent", "lists"
-MAX_RELATIVE_SIZE = 0.5  # a difference is used where it is at most this part of the whole
+MAX_RELATIVE_SIZE = 0.5  # maximum size of a difference as a fraction of the complete document
 _NOTHING = object()
 
 
 class DifferenceError(ValueError):
-    """A difference that does not fit the document in force."""
+    """The difference cannot be applied to the document in force."""
 
 
 def document_digest(document: dict[str, Any]) -> str:
-    """The same for the same document on every node, whatever the order of the members of its objects."""
+    """Returns the SHA-256 of the document, equal on all nodes and independent of the order of object members."""
     return sha256(msgspec.json.encode(document, order="deterministic")).hexdigest()
 
 
 def difference_between(base: CheckedDocument, wanted: CheckedDocument) -> dict[str, Any]:
-    """What `apply_difference(base, ...)` needs to make the wanted document; `wanted` is to be a revision of `base`."""
+    """Returns the difference that `apply_difference` turns into `wanted`, which must be a revision of `base`."""
     lists, fields = {}, {}
     for field, value in wanted.document.items():
         if base.document.get(field, _NOTHING) is value:
@@ -41,9 +41,9 @@
 
 
 def apply_difference(base: CheckedDocument | None, difference: dict[str, Any]) -> dict[str, Any]:
-    """The document that the difference was made of; what did not change stays the same object.
+    """Restores the document from which the difference was computed; unchanged values remain the same objects.
 
-    Raises DifferenceError where the difference does not fit `base`.
+    Raises DifferenceError if the difference does not match `base`.
     """
     if base is None:
         raise DifferenceError("no document is in force")
@@ -58,13 +58,13 @@
 
 
 def is_worthwhile(difference: dict[str, Any], document: dict[str, Any]) -> bool:
-    """Whether the difference is short enough to stand for the whole."""
+    """Returns whether the difference is small enough to be sent instead of the complete document."""
     return len(msgspec.json.encode(difference)) <= MAX_RELATIVE_SIZE * len(msgspec.json.encode(document))
 
 
 def _runs(current: list[Any], index_by_name: dict[str, int], wanted: list[Any]) -> list[Any]:
     runs: list[Any] = []
-    end = -1  # of the run that is being made longer
+    end = -1  # end of the run that is being extended
     for item in wanted:
         index = index_by_name.get(item["name"], -1)
         if index < 0 or current[index] is not item:
@@ -87,6 +87,6 @@
             continue
         start, count = run
         if start < 0 or count < 1 or start + count > len(current):
-            raise DifferenceError(f"no items {start} to {start + count}")
+            raise DifferenceError(f"a run exceeds the list in force: items {start} to {start + count}")
         joined += current[start : start + count]
     return joined
--- a/sumachook/configuration/document_items.py
+++ b/sumachook/configuration/document_items.py
@@ -1,4 +1,4 @@
-"""Reads operators' documents as far as they can be read, so that references are checked beside shapes."""
+"""Reads the valid parts of an unvalidated document, so that references are checked even if its structure is wrong."""
 
 from typing import Any
 
@@ -11,14 +11,14 @@
     "services",
     "httpRoutes",
     "tenants",
-)  # lists of named items
+)  # the lists whose items have a name
 
 Document = dict[str, Any]
 Items = list[tuple[int, Document]]
 
 
 def objects_in(items: Any) -> Items:
-    """(index, object) of the objects in a list; nothing of what is no list.
+    """Returns (index, object) for each object in a list; empty if `items` is not a list.
 
     >>> objects_in([{"name": "a"}, 3]), objects_in("a")
     ([(0, {'name': 'a'})], [])
@@ -29,15 +29,15 @@
 
 
 def items_of(document: Document, part: str) -> Items:
-    """(index, item) of the objects in one list of a document."""
+    """Returns (index, item) for each object in one list of a document."""
     return objects_in(document.get(part, ()))
 
 
 def names_of(document: Document, part: str) -> set[str]:
-    """The names of a list's items, as far as they are texts."""
+    """Returns the names of the items of a list, without those that are not strings."""
     return {item["name"] for _, item in items_of(document, part) if isinstance(item.get("name"), str)}
 
 
 def is_number(value: Any) -> bool:
-    """Whether it is a JSON number."""
+    """Returns whether the value is a JSON number; true and false are not."""
     return isinstance(value, (int, float)) and not isinstance(value, bool)
--- a/sumachook/configuration/engine.py
+++ b/sumachook/configuration/engine.py
@@ -1,4 +1,4 @@
-"""What the model servers of one service are like."""
+"""The properties of the model servers of one service."""
 
 from typing import Annotated, Any
 
@@ -10,12 +10,12 @@
 
 
 class Engine(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """What one model server of a service can do.
+    """Capacity of each model server of a service.
 
-    `slots`: requests that run at once on a server; `cacheTokens`: prompt tokens it can keep; `memoryMb`: megabytes
-    for weights and adapters of one server; `adapterPlaces`: adapters it can hold; `loadsPerS`: loads a second that
-    the store of weights allows over all servers, 0 for no bound; `stride`: tokens to an event of a stream; `extra`:
-    what else the operator wrote.
+    `slots`: maximum concurrent requests per server; `cacheTokens`: prompt tokens in its prefix cache; `memoryMb`:
+    megabytes for weights and adapters per server; `adapterPlaces`: maximum loaded adapters; `loadsPerS`: loads per
+    second that the weight store allows over all servers, 0 for no limit; `stride`: tokens per event of a stream;
+    `extra`: fields that are stored but not interpreted.
     """
 
     slots: Annotated[int, Meta(ge=1, le=1_000_000)]
--- a/sumachook/configuration/engine_model.py
+++ b/sumachook/configuration/engine_model.py
@@ -1,4 +1,4 @@
-"""One model that the servers of a service can hold."""
+"""A model that the servers of a service can load."""
 
 from typing import Any
 
@@ -8,10 +8,11 @@
 
 
 class EngineModel(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """A model and what loading it takes.
+    """A model with its size, load time and adapters.
 
-    `sizeMb`: its weights in megabytes; `loadMs`: milliseconds of one load alone; `adapters`: how many, named a1 to aN;
-    `adapterMb`: megabytes of each; `extra`: what else the operator wrote.
+    `sizeMb`: megabytes of its weights; `loadMs`: milliseconds of a load while no other is running; `adapters`: number
+    of adapters, named a1 to aN; `adapterMb`: megabytes of each adapter; `extra`: fields that are stored but not
+    interpreted.
     """
 
     name: ItemName
--- a/sumachook/configuration/http_route.py
+++ b/sumachook/configuration/http_route.py
@@ -1,4 +1,4 @@
-"""A route: which requests go to which services, and on what terms."""
+"""A forwarding route: maps matching requests to services and sets their timeouts and retries."""
 
 from typing import Annotated, Any, Literal
 
@@ -12,14 +12,15 @@
 
 
 class HttpRoute(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """What requests a route matches, and on what terms they are forwarded.
-
-    `host` and `prefix`: what it matches, the prefix begins and ends with a slash; `kind`: whether a request may run
-    more than once, must not, or is answered by a stream of events; `timeoutMs`: milliseconds for the whole;
-    `targetMs`: milliseconds that are aimed at; `priority`: 0 (first) to 9; `tries`: how often a request may be sent
-    in all; `sticky`: sessions stay with a server; `resumable`: a stream goes on elsewhere at its last event;
-    `pauseMs`: milliseconds between two events that are aimed at, 0 for none; `split`: the services by weight;
-    `public`: no tenant's key is needed; `extra`: what else the operator wrote.
+    """The requests that a route matches and how they are forwarded.
+
+    `host` and `prefix`: the host and path prefix to match, the prefix begins and ends with a slash; `kind`: whether a
+    request may run repeatedly, at most once, or is answered by a stream of events; `timeoutMs`: milliseconds for the
+    complete request; `targetMs`: target response time in milliseconds; `priority`: 0 (first) to 9; `tries`: maximum
+    number of attempts; `sticky`: requests of a session go to the same server; `resumable`: an interrupted stream
+    resumes on another server after its last event; `pauseMs`: target for the milliseconds between two events, 0 for
+    none; `split`: the services by weight; `public`: no tenant's key is required; `extra`: fields that are stored but
+    not interpreted.
     """
 
     name: ItemName
--- a/sumachook/configuration/issue.py
+++ b/sumachook/configuration/issue.py
@@ -1,10 +1,10 @@
-"""What is wrong with a place of an operator's document."""
+"""A validation issue in a configuration document."""
 
 from typing import NamedTuple
 
 
 class ConfigurationIssue(NamedTuple):
-    """The place ("callers[0].key", "$" for the whole document) and what is wrong there."""
+    """A path in the document ("callers[0].key", "$" for the root) and the reason why its value is invalid."""
 
     path: str
     reason: str
--- a/sumachook/configuration/limits.py
+++ b/sumachook/configuration/limits.py
@@ -1,4 +1,4 @@
-"""What a client may send, and how long it may take or stay idle."""
+"""Size and time limits of client requests and connections."""
 
 from typing import Annotated, Any
 
@@ -10,10 +10,11 @@
 
 
 class Limits(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """Limits of one client's requests and connections.
+    """Limits of each client connection and its requests.
 
-    `headerBytes`, `bodyBytes`: bytes of a request's head and body; `headerMs`: milliseconds in which the head must
-    have come; `idleMs`: milliseconds for which a connection may be silent; `extra`: what else the operator wrote.
+    `headerBytes`, `bodyBytes`: maximum bytes of a request's head and body; `headerMs`: timeout in milliseconds for
+    receiving the head; `idleMs`: idle timeout of a connection in milliseconds; `extra`: fields that are stored but not
+    interpreted.
     """
 
     header_bytes: Bytes = 16384
--- a/sumachook/configuration/node_settings.py
+++ b/sumachook/configuration/node_settings.py
@@ -1,4 +1,4 @@
-"""What one process must know to start: the params file or flags."""
+"""The settings with which a node process starts, read from its settings file or command-line flags."""
 
 import ipaddress
 from collections.abc import Iterator
@@ -13,16 +13,17 @@
 
 MAX_PORT = 65535
 MAX_SEEDS = 3
-FOUNDERS = 3  # the fewest voters of which one may fail
+FOUNDERS = 3  # the smallest number of voters that tolerates one failure
 
-COLD_OVERSHOOT, COLD_SLACK = 1.5, 5.0  # what a cold server bears beyond its rate, where the settings don't say it
+COLD_OVERSHOOT, COLD_SLACK = 1.5, 5.0  # defaults for the load of a cold server beyond its rate
 
 
 class NodeSettings(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """Addresses, area, up to three seeds; `read_node_settings` checks them.
+    """Name, addresses, zone, seeds and limits of a node, as validated by `read_node_settings`.
 
-    In seconds: `seatAway`, how long a voter may be away; `orderWithin`, how long an operator's change is proposed
-    again before it is answered; `confirmWithin`, how long its answer waits for the edges, within that time.
+    Times in seconds: `seatAway`, for which a voter may be unreachable before it is replaced; `orderWithin`, for which
+    an operator's change is proposed again before the request is answered; `confirmWithin`, for which the response
+    waits, within that time, for the edges to confirm the change.
     """
 
     node: Name
@@ -37,17 +38,18 @@
     operator_key: Annotated[str, Meta(min_length=8)] | None = None
     voter_away: Annotated[float, Meta(ge=1, le=86400)] = msgspec.field(default=60.0, name="seatAway")
     retention: Annotated[int, Meta(ge=100, le=10000000)] = 50000
-    front: str | None = None  # of an edge: where requests to be forwarded come in
-    list_readers: Annotated[str, Meta(pattern="^(all|leader)$")] = "all"  # which cores read the platform's list
-    fenced: bool = False  # whether servers refuse lower fences, so that a vacancy may be filled sooner
-    turn_gap: Annotated[float, Meta(ge=0, le=60)] = 0.0  # least seconds between orders of two holders where they don't
+    front: str | None = None  # on an edge: listening address for requests to be forwarded
+    list_readers: Annotated[str, Meta(pattern="^(all|leader)$")] = "all"  # cores that read the platform's server list
+    fenced: bool = False  # whether servers reject lower fencing tokens, so that a vacant duty can be filled sooner
+    # if not `fenced`: minimum seconds between the orders of two successive duty holders
+    turn_gap: Annotated[float, Meta(ge=0, le=60)] = 0.0
     resend_ratio: Annotated[float, Meta(ge=0, le=1)] = 0.2
-    resend_slack: Annotated[float, Meta(ge=0, le=100000)] | None = None  # resends over the ratio, all edges together
-    cold_overshoot: Annotated[float, Meta(ge=1, le=100)] = COLD_OVERSHOOT  # times a cold server's rate
-    cold_slack: Annotated[float, Meta(ge=0, le=100000)] = COLD_SLACK  # requests a second beyond that
-    # seconds for which an edge believes tenants' keys without word of a core; null for any time
+    resend_slack: Annotated[float, Meta(ge=0, le=100000)] | None = None  # resends beyond the ratio, over all edges
+    cold_overshoot: Annotated[float, Meta(ge=1, le=100)] = COLD_OVERSHOOT  # factor on the request rate of a cold server
+    cold_slack: Annotated[float, Meta(ge=0, le=100000)] = COLD_SLACK  # requests per second beyond that
+    # seconds for which an edge accepts tenants' keys without contact to a core; null for no limit
     key_lifetime: Annotated[float, Meta(gt=0, le=86400)] | None = None
-    grace: Annotated[float, Meta(ge=1, le=600)] = 8.0  # seconds from the signal to leave to the one that kills
+    grace: Annotated[float, Meta(ge=1, le=600)] = 8.0  # seconds from SIGTERM to SIGKILL
     wanted_voters: Annotated[int, Meta(ge=3, le=9)] = msgspec.field(default=3, name="wantedSeats")
     confirm_within: Annotated[float, Meta(ge=0, le=60)] = 2.0
     order_within: Annotated[float, Meta(gt=0, le=600)] = 6.0
@@ -55,21 +57,21 @@
 
 
 def address_error(text: str) -> str | None:
-    """What is wrong with an address, or None.
+    """Returns the reason why an "IP:port" address is invalid, or None.
 
     >>> address_error("127.0.0.1:7000"), address_error("[::1]:7000"), address_error("host:7000")
-    (None, None, "'host' is no IP number")
+    (None, None, "'host' is not an IP address")
     """
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        return f"{host!r} is no IP number"
-    return None if port.isdigit() and 0 < int(port) <= MAX_PORT else f"{port!r} is no port"
+        return f"{host!r} is not an IP address"
+    return None if port.isdigit() and 0 < int(port) <= MAX_PORT else f"{port!r} is not a port from 1 to 65535"
 
 
 def read_node_settings(document: Any, role: str) -> tuple[NodeSettings | None, tuple[ConfigurationIssue, ...]]:
-    """(settings, ()) or (None, issues) of a process of this role, "core" or "edge"."""
+    """Validates the settings of a "core" or "edge" process; returns (settings, ()) or (None, issues)."""
     settings, issues = check(document, NodeSettings)
     if settings is None:
         return None, issues
@@ -89,17 +91,17 @@
         if reason := address_error(address):
             yield ConfigurationIssue(path, reason)
     if settings.address == settings.http_address:
-        yield ConfigurationIssue("door", "the same as address")
+        yield ConfigurationIssue("door", "must differ from address")
 
 
 def _seed_issues(settings: NodeSettings) -> Iterator[ConfigurationIssue]:
     if not 1 <= len(settings.seeds) <= MAX_SEEDS:
-        yield ConfigurationIssue("seeds", f"{len(settings.seeds)} given, one to three are needed")
+        yield ConfigurationIssue("seeds", f"{len(settings.seeds)} given, one to three are required")
 
 
 def _core_issues(settings: NodeSettings) -> Iterator[ConfigurationIssue]:
     if settings.data is None:
-        yield ConfigurationIssue("data", "a core needs a data folder")
+        yield ConfigurationIssue("data", "a core requires a data folder")
     founders = set(settings.founding)
     if founders and (len(founders) != FOUNDERS or settings.address not in founders):
-        yield ConfigurationIssue("founding", "three different addresses, one of them this core's")
+        yield ConfigurationIssue("founding", "three different addresses are required, including this core's own")
--- a/sumachook/configuration/part.py
+++ b/sumachook/configuration/part.py
@@ -1,4 +1,4 @@
-"""A part of a configuration whose items are whole: each adds, replaces or removes by name."""
+"""Partial configuration changes, which add, replace or remove complete items by name."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -9,23 +9,23 @@
 
 
 def removal_issues(removals: Any) -> tuple[ConfigurationIssue, ...]:
-    """What keeps `removals` from being lists of names by part.
+    """Returns the issues of `removals`, which must map fields to lists of names.
 
     >>> removal_issues({"services": ["a"]})
     ()
     >>> for issue in removal_issues({"services": "a", "areas": ["b"], "extra": {"c": 1}}): print(*issue, sep=": ")
-    removals.services: a list of names is needed
-    removals.areas: nothing here has a name
-    removals.extra.c: a list of names is needed
+    removals.services: a list of names is required
+    removals.areas: items of this field have no name
+    removals.extra.c: a list of names is required
     """
     if not isinstance(removals, dict):
-        return (ConfigurationIssue("removals", "an object is needed"),)
+        return (ConfigurationIssue("removals", "an object is required"),)
     issues = []
     for field, names in removals.items():
         if field == EXTRA and isinstance(names, dict):
             issues += [_names_needed(f"removals.{EXTRA}.{name}") for name in names if not _are_names(names[name])]
         elif field not in NAMED_PARTS:
-            issues.append(ConfigurationIssue(f"removals.{field}", "nothing here has a name"))
+            issues.append(ConfigurationIssue(f"removals.{field}", "items of this field have no name"))
         elif not _are_names(names):
             issues.append(_names_needed(f"removals.{field}"))
     return tuple(issues)
@@ -36,16 +36,17 @@
 
 
 def _names_needed(path: str) -> ConfigurationIssue:
-    return ConfigurationIssue(path, "a list of names is needed")
+    return ConfigurationIssue(path, "a list of names is required")
 
 
 def replace_named(
     base: Document, part: Document, removals: Document, index_by_name: dict[str, dict[str, int]] | None = None
 ) -> Document:
-    """Removals go first; what is replaced keeps its place; any other field is replaced whole.
+    """Applies a partial change: first removals, then items replaced in place or appended, then other fields.
 
-    A list that the part does not touch stays the same object. `index_by_name` may give, by field, where each name of
-    `base` stands. In `extra` it is alike: lists of named items there are changed by name, though nobody reads them.
+    A list that the change does not mention remains the same object. `index_by_name` optionally gives, by field, the
+    index of each name in `base`. Lists of named items in `extra` are changed by name as well, although their contents
+    are not interpreted.
 
     >>> replace_named({"version": 1, "services": [{"name": "a", "coldMs": 9}, {"name": "b"}]},
     ...               {"version": 3, "services": [{"name": "a"}, {"name": "c"}]}, {"services": ["b", "gone"]})
@@ -54,7 +55,7 @@
     changed = {**base, **part}
     for field in NAMED_PARTS:
         items, removed = part.get(field, ()), set(removals.get(field, ()))
-        is_list = isinstance(items, (list, tuple))  # what is no list is for the check to refuse
+        is_list = isinstance(items, (list, tuple))  # any other value is rejected later by validation
         if is_list and not items and field not in base:
             changed.pop(field, None)  # an empty list adds nothing
         elif is_list and (field in part or removed):
@@ -68,12 +69,12 @@
 
 
 def _change_carried(base: Document, part: Any, removals: Document) -> Any:
-    """What is carried unread after a change: only what the change names differs.
+    """Applies a change to `extra`; only the fields that the change names differ.
 
-    All of it stands in one field, which is therefore never replaced as a whole: the change names a part of it.
+    All uninterpreted fields are in this one object, so it is merged by field and never replaced as a whole.
     """
     if not isinstance(part, dict):
-        return part  # for the check to refuse
+        return part  # rejected later by validation
     changed = {**base, **part}
     for field in {**part, **removals}:
         current, items, removed = base.get(field, ()), part.get(field, ()), set(removals.get(field, ()))
@@ -99,7 +100,7 @@
         indices = None
     if indices is None:
         indices = {item["name"]: index for index, item in enumerate(kept)}
-    replaced: set[str] = set()  # a second item of one name stays, for the check to refuse
+    replaced: set[str] = set()  # a second item with the same name is appended, so that validation rejects it
     for item in items:
         name = item.get("name") if isinstance(item, dict) else None
         index = indices.get(name) if isinstance(name, str) and name not in replaced else None
--- a/sumachook/configuration/references.py
+++ b/sumachook/configuration/references.py
@@ -1,6 +1,6 @@
-"""Rules between the items of a configuration document: unique names, references that lead somewhere, sums that fit.
+"""Validation rules across the items of a configuration document: unique names, existing references, limits on sums.
 
-Each rule names the top-level fields that it reads, so that a change is checked only by the rules that it can break.
+Each rule declares the top-level fields that it reads, so that a change is checked only by the rules it can violate.
 """
 
 from collections.abc import Callable, Container, Iterator
@@ -13,30 +13,30 @@
 from sumachook.policies.errors import InvalidPolicyError
 from sumachook.policies.policy import ROLES, compile_policy
 
-MAX_ENGINE_MODELS = 2000  # each of them is considered whenever a server is selected
+MAX_ENGINE_MODELS = 2000  # each server selection iterates over all of them
 
 
 class Rule(NamedTuple):
-    """`find(document)` yields each issue; its answer depends on the fields `reads` alone."""
+    """A validation rule: `find(document)` yields its issues and depends only on the fields in `reads`."""
 
     reads: frozenset[str]
     find: Callable[[Document], Iterator[ConfigurationIssue]]
 
 
 def reference_issues(document: Document) -> Iterator[ConfigurationIssue]:
-    """Every issue between the items of a document, as far as it can be read."""
+    """Yields the issues of all rules; parts of the document with a wrong structure are skipped."""
     for rule in RULES:
         yield from rule.find(document)
 
 
 def route_key(route: Document) -> tuple[str, str] | None:
-    """What a forwarding route matches, or None where that can't be read."""
+    """Returns the host, in lower case, and the prefix that a route matches, or None if either is not a string."""
     host, prefix = route.get("host"), route.get("prefix")
     return (host.lower(), prefix) if isinstance(host, str) and isinstance(prefix, str) else None
 
 
 def service_issues(index: int, service: Document) -> Iterator[ConfigurationIssue]:
-    """Models of one engine bear different names, and are not too many to be weighed one by one."""
+    """Yields issues of an engine's models: duplicate names, or more models than `MAX_ENGINE_MODELS`."""
     engine = service.get("engine")
     models = items_of(engine, "models") if isinstance(engine, dict) else []
     if len(models) > MAX_ENGINE_MODELS:
@@ -47,7 +47,7 @@
 
 
 def split_issues(index: int, route: Document, services: Container[str]) -> Iterator[ConfigurationIssue]:
-    """A forwarding route leads to services that there are, with some weight."""
+    """Yields issues of a route's split: unknown services, or weights that sum to 0."""
     if not isinstance(route.get("split"), (list, tuple)):
         return
     is_weighted = False
@@ -78,7 +78,7 @@
     zones = document.get("areas")
     if isinstance(zones, (list, tuple)):
         if not zones:
-            yield ConfigurationIssue("areas", "at least one is needed")
+            yield ConfigurationIssue("areas", "at least one area is required")
         for index, zone in enumerate(zones):
             if zone in zones[:index]:
                 yield ConfigurationIssue(f"areas[{index}]", f"duplicate name {zone!r}")
@@ -88,9 +88,9 @@
     models = names_of(document, "models")
     for index, adapter in items_of(document, "adapters"):
         if isinstance(adapter.get("model"), str) and adapter["model"] not in models:
-            yield ConfigurationIssue(f"adapters[{index}].model", f"no model {adapter['model']!r}")
+            yield ConfigurationIssue(f"adapters[{index}].model", f"no model named {adapter['model']!r}")
         if isinstance(adapter.get("name"), str) and adapter["name"] in models:
-            yield ConfigurationIssue(f"adapters[{index}].name", f"{adapter['name']!r} is a model's name")
+            yield ConfigurationIssue(f"adapters[{index}].name", f"{adapter['name']!r} is already the name of a model")
 
 
 def _caller_issues(document: Document) -> Iterator[ConfigurationIssue]:
@@ -98,11 +98,11 @@
     keys: dict[str, int] = {}
     for index, caller in items_of(document, "callers"):
         if isinstance(caller.get("line"), str) and caller["line"] not in lines:
-            yield ConfigurationIssue(f"callers[{index}].line", f"no line {caller['line']!r}")
+            yield ConfigurationIssue(f"callers[{index}].line", f"no line named {caller['line']!r}")
         key = caller.get("key")
         if isinstance(key, str):
             if key in keys:
-                yield ConfigurationIssue(f"callers[{index}].key", f"the key of callers[{keys[key]}]")
+                yield ConfigurationIssue(f"callers[{index}].key", f"same key as callers[{keys[key]}]")
             keys.setdefault(key, index)
 
 
@@ -113,7 +113,7 @@
         if isinstance(target, str) and target not in targets:
             yield ConfigurationIssue(f"routes[{index}].target", f"no model or adapter {target!r}")
         if isinstance(name, str) and name in targets:
-            yield ConfigurationIssue(f"routes[{index}].name", f"{name!r} is taken by a model or adapter")
+            yield ConfigurationIssue(f"routes[{index}].name", f"{name!r} is already the name of a model or adapter")
 
 
 def _service_list_issues(document: Document) -> Iterator[ConfigurationIssue]:
@@ -122,7 +122,7 @@
 
 
 def _http_route_issues(document: Document) -> Iterator[ConfigurationIssue]:
-    """Each route leads to services that there are, with some weight, and no two match the same."""
+    """Yields issues of forwarding routes: invalid splits, or two routes with the same host and prefix."""
     services = names_of(document, "services")
     matches: dict[tuple[str, str], int] = {}
     for index, route in items_of(document, "httpRoutes"):
@@ -139,7 +139,8 @@
     for index, model in items_of(document, "models"):
         if is_number(model.get("memory")) and is_number(burst) and model["memory"] > burst:
             yield ConfigurationIssue(
-                f"models[{index}].memory", f"{model['memory']} is more than store.burst, {burst}, lets begin at once"
+                f"models[{index}].memory",
+                f"{model['memory']} GB exceeds store.burst, {burst} GB that may start at once",
             )
 
 
--- a/sumachook/configuration/service.py
+++ b/sumachook/configuration/service.py
@@ -1,4 +1,4 @@
-"""A service: servers that are alike, to which routes lead."""
+"""A service: a group of interchangeable servers to which routes forward requests."""
 
 from typing import Annotated, Any
 
@@ -10,11 +10,11 @@
 
 
 class Service(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """What the servers of a service have in common.
+    """Common properties of the servers of a service.
 
-    `healthPath`: path of a server's health check; `connections`: how many one server allows; `coldMs`: milliseconds
-    for which a server is slow from its start; `coldPerS`: requests a second that a cold one bears; `engine`: given
-    for model servers; `extra`: what else the operator wrote.
+    `healthPath`: path of the health check; `connections`: maximum connections per server; `coldMs`: milliseconds from
+    its start for which a server is cold, that is slow; `coldPerS`: requests per second that a cold server can handle;
+    `engine`: set for model servers only; `extra`: fields that are stored but not interpreted.
     """
 
     name: ItemName
--- a/sumachook/configuration/split.py
+++ b/sumachook/configuration/split.py
@@ -1,4 +1,4 @@
-"""One service's part in a route."""
+"""The weight of one service in a route."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Split(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """`weight`: its part of the requests, against the sum of the route's weights."""
+    """A service of a route; it receives `weight` divided by the sum of the route's weights of the requests."""
 
     service: ItemName
     weight: Rate
--- a/sumachook/configuration/tenancy.py
+++ b/sumachook/configuration/tenancy.py
@@ -1,4 +1,4 @@
-"""What tenants refer to, and whether their floors fit into the capacity."""
+"""Validation rules for tenants: ownership of callers, routes and keys, and floors within the capacity."""
 
 from collections.abc import Iterator
 
@@ -10,15 +10,15 @@
 OWNED_PARTS = (
     ("callers", "caller"),
     ("httpRoutes", "route"),
-)  # the lists that tenants own items of, and what one is called
+)  # lists whose items tenants own, and the noun for an item in error messages
 
 
 def tenancy_issues(document: Document) -> Iterator[ConfigurationIssue]:
-    """Each issue between tenants and the rest of an operator's document, as far as it can be read.
+    """Yields the issues of tenants in a document; parts with a wrong structure are skipped.
 
     >>> tenants = [{"name": "t", "callers": ["a", "b"], "requestsPerS": 4}]
     >>> list(tenancy_issues({"callers": [{"name": "a"}], "tenants": tenants}))
-    [ConfigurationIssue(path='tenants[0].callers[1]', reason="no caller 'b'")]
+    [ConfigurationIssue(path='tenants[0].callers[1]', reason="no caller named 'b'")]
     """
     tenants = items_of(document, "tenants")
     for part, noun in OWNED_PARTS:
@@ -29,7 +29,7 @@
 
 
 def _ownership_issues(tenants: Items, part: str, noun: str, names: set[str]) -> Iterator[ConfigurationIssue]:
-    """What a tenant owns exists, and is owned by no other."""
+    """Yields issues of owned items: items that do not exist or belong to an earlier tenant."""
     owners: dict[str, int] = {}
     for index, tenant in tenants:
         listed = tenant.get(part, ())
@@ -38,34 +38,36 @@
                 continue
             path = f"tenants[{index}].{part}[{position}]"
             if name not in names:
-                yield ConfigurationIssue(path, f"no {noun} {name!r}")
+                yield ConfigurationIssue(path, f"no {noun} named {name!r}")
             elif name in owners:
-                yield ConfigurationIssue(path, f"{noun} {name!r} is of tenants[{owners[name]}]")
+                yield ConfigurationIssue(path, f"{noun} {name!r} already belongs to tenants[{owners[name]}]")
             owners.setdefault(name, index)
 
 
 def _key_issues(tenants: Items) -> Iterator[ConfigurationIssue]:
-    """No key is of two tenants; a reason never shows one."""
+    """Yields an issue for each API key that an earlier tenant has; the reason never contains the key."""
     holders: dict[str, int] = {}
     for index, tenant in tenants:
         listed = tenant.get("keys", ())
         for position, key in enumerate(listed if isinstance(listed, (list, tuple)) else ()):
             if isinstance(key, str) and holders.setdefault(key, index) != index:
-                yield ConfigurationIssue(f"tenants[{index}].keys[{position}]", f"a key of tenants[{holders[key]}]")
+                yield ConfigurationIssue(
+                    f"tenants[{index}].keys[{position}]", f"key already belongs to tenants[{holders[key]}]"
+                )
 
 
 def _rate_issues(tenants: Items) -> Iterator[ConfigurationIssue]:
-    """A tenant has a rate, unless it is known by keys alone, and its floor is not above its ceiling."""
+    """Yields issues of rates: a tenant without `keys` and without any rate, or a floor above the ceiling."""
     for index, tenant in tenants:
         if "keys" not in tenant and all(tenant.get(figure) is None for figure in FIGURES):
-            yield ConfigurationIssue(f"tenants[{index}]", "requestsPerS or tokensPerS is needed")
+            yield ConfigurationIssue(f"tenants[{index}]", "requestsPerS or tokensPerS is required")
         floor, ceiling = tenant.get("floor", FLOOR), tenant.get("ceiling", CEILING)
         if is_number(floor) and is_number(ceiling) and floor > ceiling:
             yield ConfigurationIssue(f"tenants[{index}].floor", f"{floor} is above the ceiling, {ceiling}")
 
 
 def _capacity_issues(document: Document, tenants: Items) -> Iterator[ConfigurationIssue]:
-    """All floors together fit into what the operator states as the capacity."""
+    """Yields an issue for each rate whose floors, summed over all tenants, exceed the configured capacity."""
     capacity = document.get("capacity")
     if not isinstance(capacity, dict):
         return
@@ -76,5 +78,5 @@
             if is_number(tenant.get(figure)) and is_number(tenant.get("floor", FLOOR))
         ]
         if is_number(capacity.get(figure)) and sum(floors) > capacity[figure]:
-            reason = f"the tenants' floors sum to {sum(floors):g}, it is {capacity[figure]:g}"
+            reason = f"the tenants' floors sum to {sum(floors):g}, the capacity is {capacity[figure]:g}"
             yield ConfigurationIssue(f"capacity.{figure}", reason)
--- a/sumachook/configuration/tenant.py
+++ b/sumachook/configuration/tenant.py
@@ -1,4 +1,4 @@
-"""A tenant: an office, what is its own, and its part of the capacity."""
+"""A tenant, the callers, routes and keys that it owns, and its quota."""
 
 from typing import Annotated, Any, Literal
 
@@ -7,24 +7,25 @@
 
 from sumachook.configuration.bounds import ItemName
 
-FLOOR, CEILING = 0.5, 1.0  # where the operator states none
+FLOOR, CEILING = 0.5, 1.0  # defaults, as fractions of the quota
 PerSecond = Annotated[float, Meta(gt=0, le=1e9)]
 Part = Annotated[float, Meta(gt=0, le=1000)]
-# it stands in a header of its own on the way to servers
+# The name is sent to servers in a request header, so control characters are not allowed.
 TenantName = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[^\x00-\x1f\x7f]*\Z")]
 ApiKey = Annotated[str, Meta(min_length=1, max_length=1024)]
 Burst = Annotated[float, Meta(ge=0, le=1e9)]
 
 
 class Tenant(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
-    """A tenant and its quota; one without `keys` needs one of the two rates.
-
-    `callers`, `httpRoutes`: names of those that are its own; `keys`: the API keys by which requests on forwarding
-    routes are known to be its own, where it owns nothing else; `priority`: 0 (first) to 9, ahead of that of routes;
-    `burst`: requests that may be saved up, null for `burstS`; `requestsPerS`, `tokensPerS`: its quota in requests and
-    in tokens (prompt and most out, set right by what came out) a second, null for no bound; `burstS`: seconds of its
-    ceiling that may be saved up; `floor`, `ceiling`: parts of the quota, what is always let in and what is let in at
-    most; `overCeiling`: what is over is refused, or runs and gives way to everybody else's.
+    """A tenant and its quota; a tenant without `keys` requires at least one of the two rates.
+
+    `callers`, `httpRoutes`: names of the callers and routes that it owns; `keys`: API keys that identify its requests
+    on forwarding routes if it owns neither; `priority`: 0 (first) to 9, precedes the priority of routes; `burst`:
+    requests that its bucket holds, null for `burstS`; `requestsPerS`, `tokensPerS`: its quota in requests and tokens
+    per second, null for no limit; tokens are charged as prompt plus maximum output, and corrected by the actual
+    output; `burstS`: seconds of its ceiling that its bucket holds; `floor`, `ceiling`: fractions of the quota, the
+    guaranteed and the maximum rate; `overCeiling`: whether requests over the ceiling are refused, or yield and run
+    after all other requests.
     """
 
     name: TenantName
@@ -43,5 +44,5 @@
 
     @property
     def is_known_by_keys(self) -> bool:
-        """Whether its requests are told by their keys; so it is with a tenant that owns nothing and has no key left."""
+        """Whether its requests are identified by API keys; also true if it has no keys, callers or routes left."""
         return bool(self.keys) or not (self.callers or self.http_routes)
