--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -113,7 +113,7 @@
     Mutation(
         5,
         "a changed route is not checked for its services",
-        "            _prove(split_issues(change.position, change.document, names))",
+        "            _require_no_issues(split_issues(change.position, change.document, names))",
         "            pass",
         CHECKED,
         "any_sequence",
--- a/harness/mutations/quotas.py
+++ b/harness/mutations/quotas.py
@@ -83,8 +83,8 @@
     Mutation(
         13,
         "all that is there is lent ahead",
-        "            min(max(own, MAX_AHEAD_PART * unreserved), MAX_AHEAD_PART * level) / amount",
-        "            max(own, MAX_AHEAD_PART * unreserved) / amount",
+        "            min(max(own, MAX_PREFETCH_PART * unreserved), MAX_PREFETCH_PART * level) / amount",
+        "            max(own, MAX_PREFETCH_PART * unreserved) / amount",
         SHARES,
         "leaves_half_for_those",
     ),
@@ -99,7 +99,7 @@
     Mutation(
         13,
         "while nobody lends nothing is let in",
-        "            if self.is_alone and quota.spend_local(tokens, now):",
+        "            if self.is_local_mode and quota.spend_local(tokens, now):",
         "            if False:",
         SHARES,
         "while_nobody_lends",
@@ -147,8 +147,8 @@
     Mutation(
         13,
         "charges are not set right",
-        "        quota.give_back(event.requests, event.tokens)\n        if self.is_alone:",
-        "        if self.is_alone:",
+        "        quota.add_returned(event.requests, event.tokens)\n        if self.is_local_mode:",
+        "        if self.is_local_mode:",
         SHARES,
         "set_right_by_what_came_out",
     ),
@@ -244,7 +244,7 @@
     Mutation(
         13,
         "floors may be more than the capacity",
-        "sum(floors) > capacity[figure]",
+        "sum(floors) > capacity[rate_field]",
         "False",
         "tests/configuration",
         "each_issue_between_tenants",
--- a/harness/mutations/tenants.py
+++ b/harness/mutations/tenants.py
@@ -91,7 +91,7 @@
     Mutation(
         "CONFIG",
         "what is carried is replaced as a whole",
-        "changed[EXTRA] = _change_carried(base.get(EXTRA, {}), part.get(EXTRA, {}), removals.get(EXTRA, {}))",
+        "changed[EXTRA] = _merge_extra(base.get(EXTRA, {}), part.get(EXTRA, {}), removals.get(EXTRA, {}))",
         "changed[EXTRA] = part.get(EXTRA, {})",
         PARTS,
         "carried_is_changed_by_name",
--- a/sumachook/configuration/catalogue.py
+++ b/sumachook/configuration/catalogue.py
@@ -116,7 +116,7 @@
     extra: dict[str, Any] = {}
 
 
-BOUNDS = {
+MAX_LIST_LENGTHS = {
     "areas": 16,
     "models": 400,
     "lines": 32,
@@ -127,7 +127,7 @@
     "httpRoutes": 20000,
     "tenants": 10000,
 }
-KEYED = tuple(BOUNDS)
+LIST_FIELDS = tuple(MAX_LIST_LENGTHS)
 
 
 def read_catalogue(document: Any) -> tuple[Catalogue | None, tuple[ConfigurationIssue, ...]]:
@@ -144,7 +144,7 @@
 
 def length_issues(document: Document) -> Iterator[ConfigurationIssue]:
     """Yields an issue for each list with more entries than allowed."""
-    for part, bound in BOUNDS.items():
+    for part, bound in MAX_LIST_LENGTHS.items():
         if isinstance(document.get(part), (list, tuple)) and len(document[part]) > bound:
             yield ConfigurationIssue(part, f"{len(document[part])} entries, at most {bound}")
 
@@ -164,7 +164,7 @@
     """
     merged = dict(base)
     for field, value in part.items():
-        if field in KEYED and field != "areas" and isinstance(value, (list, tuple)):
+        if field in LIST_FIELDS and field != "areas" and isinstance(value, (list, tuple)):
             merged[field] = _merge_list(base.get(field, ()), value)
         elif isinstance(value, dict) and isinstance(base.get(field), dict):
             merged[field] = {**base[field], **value}
@@ -173,9 +173,9 @@
     return merged
 
 
-def _merge_list(standing: Sequence[Any], wanted: Sequence[Any]) -> list[Any]:
-    items: dict[Any, Any] = {item.get("name"): item for item in standing if isinstance(item, dict)}
-    for index, item in enumerate(wanted):
+def _merge_list(current: Sequence[Any], changes: Sequence[Any]) -> list[Any]:
+    items: dict[Any, Any] = {item.get("name"): item for item in current if isinstance(item, dict)}
+    for index, item in enumerate(changes):
         name = item.get("name") if isinstance(item, dict) else None
         key = name if isinstance(name, str) else (index,)  # an unnamed item is kept, for validation to reject
         if _is_removal(item):
--- a/sumachook/configuration/check.py
+++ b/sumachook/configuration/check.py
@@ -8,12 +8,12 @@
 
 from sumachook.configuration.issue import ConfigurationIssue
 
-Shape = TypeVar("Shape", bound=msgspec.Struct)
+StructType = TypeVar("StructType", bound=msgspec.Struct)
 Issues = tuple[ConfigurationIssue, ...]
 
 
-def check(document: Any, shape: type[Shape], path: str = "") -> tuple[Shape | None, Issues]:
-    """Converts a document to a struct.
+def check(document: Any, shape: type[StructType], path: str = "") -> tuple[StructType | None, Issues]:
+    """Converts a document to a struct and collects every validation issue.
 
     Parameters
     ----------
--- a/sumachook/configuration/checked_document.py
+++ b/sumachook/configuration/checked_document.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from sumachook.configuration.catalogue import BOUNDS, Catalogue, read_catalogue
+from sumachook.configuration.catalogue import MAX_LIST_LENGTHS, Catalogue, read_catalogue
 from sumachook.configuration.document_items import Document
 from sumachook.configuration.http_route import HttpRoute
 from sumachook.configuration.issue import ConfigurationIssue
@@ -28,8 +28,8 @@
     split_issues,
 )
 
-HTTP_ROUTE_PART, SERVICE_PART = "httpRoutes", "services"
-RULES_BY_ITEM = (DUPLICATE_HTTP_ROUTES, HTTP_ROUTES, SERVICE_LIST)
+HTTP_ROUTE_FIELD, SERVICE_FIELD = "httpRoutes", "services"
+PER_ITEM_RULES = (DUPLICATE_HTTP_ROUTES, HTTP_ROUTES, SERVICE_LIST)
 _ABSENT = object()
 
 
@@ -66,7 +66,7 @@
     route_by_match: dict[tuple[str, str], HttpRoute]
 
 
-Checked = tuple[CheckedDocument | None, tuple[ConfigurationIssue, ...]]
+CheckResult = tuple[CheckedDocument | None, tuple[ConfigurationIssue, ...]]
 
 
 class _UnprovenError(Exception):
@@ -91,7 +91,7 @@
 FIELDS = {field.encode_name: field for field in msgspec.structs.fields(Catalogue)}
 
 
-def check_document(document: Any) -> Checked:
+def check_document(document: Any) -> CheckResult:
     """Validates a complete document; returns (checked document, ()) or (None, issues)."""
     catalogue, issues = read_catalogue(document)
     if catalogue is None:
@@ -100,12 +100,12 @@
     for part in ITEM_TYPES:
         documents, values = list(document.get(part, ())), getattr(catalogue, FIELDS[part].name)
         items[part] = NamedItems(documents, values, {value.name: index for index, value in enumerate(values)})
-    routes = {_match_of(route): route for route in getattr(catalogue, FIELDS[HTTP_ROUTE_PART].name)}
+    routes = {_match_key(route): route for route in getattr(catalogue, FIELDS[HTTP_ROUTE_FIELD].name)}
     document = {**document, **{part: current.documents for part, current in items.items() if part in document}}
     return CheckedDocument(document, catalogue, items, routes), ()
 
 
-def _match_of(route: HttpRoute) -> tuple[str, str]:
+def _match_key(route: HttpRoute) -> tuple[str, str]:
     """Returns the host, in lower case, and the prefix that a route matches; they are unique among routes."""
     return route.host.lower(), route.prefix
 
@@ -117,7 +117,7 @@
     )
 
 
-def revise_document(base: CheckedDocument | None, wanted: Any) -> Checked:
+def revise_document(base: CheckedDocument | None, wanted: Any) -> CheckResult:
     """Returns `check_document(wanted)`, at a cost proportional to its difference from `base` if it is valid."""
     if base is not None and isinstance(wanted, dict):
         try:
@@ -140,7 +140,9 @@
         if field not in FIELDS:
             raise _UnprovenError
         if field in ITEM_TYPES and field in wanted:
-            revisions[field] = _revise_part(base.items[field], wanted[field], ITEM_TYPES[field], BOUNDS[field])
+            revisions[field] = _revise_part(
+                base.items[field], wanted[field], ITEM_TYPES[field], MAX_LIST_LENGTHS[field]
+            )
             if revisions[field].items is base.items[field]:
                 del revisions[field]
                 wanted[field] = base.items[field].documents
@@ -161,7 +163,7 @@
 def _value_in_force(base: CheckedDocument, field: str, value: Any) -> Any:
     """Returns the value in force if the new one is equal, else the new one; lists are compared by item later."""
     current = base.document.get(field, _ABSENT)
-    return current if field not in ITEM_TYPES and current is not _ABSENT and _is_same_text(current, value) else value
+    return current if field not in ITEM_TYPES and current is not _ABSENT and _is_same_json(current, value) else value
 
 
 def _read_field(wanted: Document, field: str) -> Any:
@@ -171,7 +173,7 @@
             raise _UnprovenError
         return declared.default if declared.default_factory is msgspec.NODEFAULT else declared.default_factory()
     value = wanted[field]
-    if field in BOUNDS and isinstance(value, (list, tuple)) and len(value) > BOUNDS[field]:
+    if field in MAX_LIST_LENGTHS and isinstance(value, (list, tuple)) and len(value) > MAX_LIST_LENGTHS[field]:
         raise _UnprovenError
     return _convert(value, declared.type)
 
@@ -194,7 +196,7 @@
     changes = []
     for index in differing:
         before = _index_in_force(current, wanted[index])
-        if before is not None and _is_same_text(wanted[index], current.documents[before]):
+        if before is not None and _is_same_json(wanted[index], current.documents[before]):
             documents[index], values[index] = current.documents[before], current.values[before]
         else:
             values[index] = _convert(wanted[index], declared)
@@ -219,7 +221,7 @@
     return current.index_by_name.get(name) if isinstance(name, str) else None
 
 
-def _is_same_text(one: Any, other: Any) -> bool:
+def _is_same_json(one: Any, other: Any) -> bool:
     """Compares JSON encodings: 1, 1.0 and true are equal in Python but not to validation; lists equal tuples."""
     return msgspec.json.encode(one) == msgspec.json.encode(other)
 
@@ -248,24 +250,24 @@
 def _check_rules(
     base: CheckedDocument, wanted: Document, changed: set[str], revisions: dict[str, PartRevision]
 ) -> None:
-    routes, services = revisions.get(HTTP_ROUTE_PART), revisions.get(SERVICE_PART)
+    routes, services = revisions.get(HTTP_ROUTE_FIELD), revisions.get(SERVICE_FIELD)
     for rule in RULES:
-        if rule in RULES_BY_ITEM or not rule.reads & changed:
+        if rule in PER_ITEM_RULES or not rule.reads & changed:
             continue
-        if rule is TENANCY and changed & rule.reads == {HTTP_ROUTE_PART} and not _concerns_tenants(base, routes):
+        if rule is TENANCY and changed & rule.reads == {HTTP_ROUTE_FIELD} and not _concerns_tenants(base, routes):
             continue
-        _prove(rule.find(wanted))
+        _require_no_issues(rule.find(wanted))
     for change in services.changes if services else ():
-        _prove(service_issues(change.position, change.document))
+        _require_no_issues(service_issues(change.position, change.document))
     if services and services.removed:
-        _prove(HTTP_ROUTES.find(wanted))
+        _require_no_issues(HTTP_ROUTES.find(wanted))
     elif routes:
-        names = (services.items if services else base.items[SERVICE_PART]).index_by_name.keys()
+        names = (services.items if services else base.items[SERVICE_FIELD]).index_by_name.keys()
         for change in routes.changes:
-            _prove(split_issues(change.position, change.document, names))
+            _require_no_issues(split_issues(change.position, change.document, names))
 
 
-def _prove(issues: Iterable[ConfigurationIssue]) -> None:
+def _require_no_issues(issues: Iterable[ConfigurationIssue]) -> None:
     if next(iter(issues), None) is not None:
         raise _UnprovenError
 
@@ -275,25 +277,25 @@
     return (
         any(tenant.http_routes for tenant in base.catalogue.tenants)
         and routes is not None
-        and routes.items.index_by_name != base.items[HTTP_ROUTE_PART].index_by_name
+        and routes.items.index_by_name != base.items[HTTP_ROUTE_FIELD].index_by_name
     )
 
 
 def _revise_routes(base: CheckedDocument, revisions: dict[str, PartRevision]) -> dict[tuple[str, str], HttpRoute]:
     """Returns the routes by host and prefix; raises _UnprovenError if two routes match the same."""
-    revision = revisions.get(HTTP_ROUTE_PART)
+    revision = revisions.get(HTTP_ROUTE_FIELD)
     if revision is None:
         return base.route_by_match
-    current, routes = base.items[HTTP_ROUTE_PART], dict(base.route_by_match)
+    current, routes = base.items[HTTP_ROUTE_FIELD], dict(base.route_by_match)
     replaced = [
         current.index_by_name[change.value.name]
         for change in revision.changes
         if change.value.name in current.index_by_name
     ]
     for index in (*replaced, *(current.index_by_name[name] for name in revision.removed)):
-        del routes[_match_of(current.values[index])]
+        del routes[_match_key(current.values[index])]
     for change in revision.changes:
-        routes[_match_of(change.value)] = change.value
+        routes[_match_key(change.value)] = change.value
     if len(routes) != len(revision.items.documents):
         raise _UnprovenError
     return routes
--- a/sumachook/configuration/difference.py
+++ b/sumachook/configuration/difference.py
@@ -14,7 +14,7 @@
 
 FIELDS, ABSENT, LISTS = "fields", "absent", "lists"
 MAX_RELATIVE_SIZE = 0.5  # maximum size of a difference as a fraction of the complete document
-_NOTHING = object()
+_MISSING = object()
 
 
 class DifferenceError(ValueError):
@@ -30,10 +30,10 @@
     """Returns the difference that `apply_difference` turns into `wanted`, which must be a revision of `base`."""
     lists, fields = {}, {}
     for field, value in wanted.document.items():
-        if base.document.get(field, _NOTHING) is value:
+        if base.document.get(field, _MISSING) is value:
             continue
         if field in base.items and field in base.document:
-            lists[field] = _runs(base.items[field].documents, base.items[field].index_by_name, value)
+            lists[field] = _encode_runs(base.items[field].documents, base.items[field].index_by_name, value)
         else:
             fields[field] = value
     absent = [field for field in base.document if field not in wanted.document]
@@ -51,7 +51,7 @@
         document = {field: value for field, value in base.document.items() if field not in difference[ABSENT]}
         document.update(difference[FIELDS])
         for field, runs in difference[LISTS].items():
-            document[field] = _joined(base.items[field].documents, runs)
+            document[field] = _expand_runs(base.items[field].documents, runs)
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         raise DifferenceError(repr(error)) from error
     return document
@@ -62,7 +62,7 @@
     return len(msgspec.json.encode(difference)) <= MAX_RELATIVE_SIZE * len(msgspec.json.encode(document))
 
 
-def _runs(current: list[Any], index_by_name: dict[str, int], wanted: list[Any]) -> list[Any]:
+def _encode_runs(current: list[Any], index_by_name: dict[str, int], wanted: list[Any]) -> list[Any]:
     runs: list[Any] = []
     end = -1  # end of the run that is being extended
     for item in wanted:
@@ -79,7 +79,7 @@
     return runs
 
 
-def _joined(current: list[Any], runs: list[Any]) -> list[Any]:
+def _expand_runs(current: list[Any], runs: list[Any]) -> list[Any]:
     joined: list[Any] = []
     for run in runs:
         if isinstance(run, dict):
--- a/sumachook/configuration/document_items.py
+++ b/sumachook/configuration/document_items.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-NAMED_PARTS = (
+NAMED_LISTS = (
     "models",
     "adapters",
     "lines",
--- a/sumachook/configuration/limits.py
+++ b/sumachook/configuration/limits.py
@@ -6,7 +6,7 @@
 from msgspec import Meta
 
 Bytes = Annotated[int, Meta(ge=1, le=1 << 32)]
-Span = Annotated[float, Meta(gt=0, le=1e9)]
+DurationMs = Annotated[float, Meta(gt=0, le=1e9)]
 
 
 class Limits(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
@@ -19,6 +19,6 @@
 
     header_bytes: Bytes = 16384
     body_bytes: Bytes = 4 << 20
-    header_ms: Span = 3000.0
-    idle_ms: Span = 15000.0
+    header_ms: DurationMs = 3000.0
+    idle_ms: DurationMs = 15000.0
     extra: dict[str, Any] = {}
--- a/sumachook/configuration/part.py
+++ b/sumachook/configuration/part.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from sumachook.configuration.carried_fields import EXTRA
-from sumachook.configuration.document_items import NAMED_PARTS, Document
+from sumachook.configuration.document_items import NAMED_LISTS, Document
 from sumachook.configuration.issue import ConfigurationIssue
 
 
@@ -23,11 +23,11 @@
     issues = []
     for field, names in removals.items():
         if field == EXTRA and isinstance(names, dict):
-            issues += [_names_needed(f"removals.{EXTRA}.{name}") for name in names if not _are_names(names[name])]
-        elif field not in NAMED_PARTS:
+            issues += [_names_required(f"removals.{EXTRA}.{name}") for name in names if not _are_names(names[name])]
+        elif field not in NAMED_LISTS:
             issues.append(ConfigurationIssue(f"removals.{field}", "items of this field have no name"))
         elif not _are_names(names):
-            issues.append(_names_needed(f"removals.{field}"))
+            issues.append(_names_required(f"removals.{field}"))
     return tuple(issues)
 
 
@@ -35,7 +35,7 @@
     return isinstance(names, (list, tuple)) and all(isinstance(name, str) for name in names)
 
 
-def _names_needed(path: str) -> ConfigurationIssue:
+def _names_required(path: str) -> ConfigurationIssue:
     return ConfigurationIssue(path, "a list of names is required")
 
 
@@ -53,22 +53,22 @@
     {'version': 3, 'services': [{'name': 'a'}, {'name': 'c'}]}
     """
     changed = {**base, **part}
-    for field in NAMED_PARTS:
+    for field in NAMED_LISTS:
         items, removed = part.get(field, ()), set(removals.get(field, ()))
         is_list = isinstance(items, (list, tuple))  # any other value is rejected later by validation
         if is_list and not items and field not in base:
-            changed.pop(field, None)  # an empty list adds nothing
+            changed.pop(field, None)  # an empty list does not create the field
         elif is_list and (field in part or removed):
             indices = (index_by_name or {}).get(field)
-            changed[field] = _replace(base.get(field, ()), items, removed, indices)
+            changed[field] = _replace_items(base.get(field, ()), items, removed, indices)
     if EXTRA in part or EXTRA in removals:
-        changed[EXTRA] = _change_carried(base.get(EXTRA, {}), part.get(EXTRA, {}), removals.get(EXTRA, {}))
+        changed[EXTRA] = _merge_extra(base.get(EXTRA, {}), part.get(EXTRA, {}), removals.get(EXTRA, {}))
         if not changed[EXTRA] and EXTRA not in base:
             del changed[EXTRA]
     return changed
 
 
-def _change_carried(base: Document, part: Any, removals: Document) -> Any:
+def _merge_extra(base: Document, part: Any, removals: Document) -> Any:
     """Applies a change to `extra`; only the fields that the change names differ.
 
     All uninterpreted fields are in this one object, so it is merged by field and never replaced as a whole.
@@ -81,7 +81,7 @@
         if _is_list_of_named(items) and not items and field not in base:
             changed.pop(field, None)
         elif _is_list_of_named(current) and _is_list_of_named(items):
-            changed[field] = _replace(current, items, removed, None)
+            changed[field] = _replace_items(current, items, removed, None)
     return changed
 
 
@@ -91,7 +91,7 @@
     )
 
 
-def _replace(
+def _replace_items(
     current: Sequence[Document], items: Sequence[Any], removed: set[str], indices: dict[str, int] | None
 ) -> list[Any]:
     kept: list[Any] = list(current)
--- a/sumachook/configuration/references.py
+++ b/sumachook/configuration/references.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Container, Iterator
 from typing import NamedTuple
 
-from sumachook.configuration.document_items import NAMED_PARTS, Document, Items, is_number, items_of, names_of
+from sumachook.configuration.document_items import NAMED_LISTS, Document, Items, is_number, items_of, names_of
 from sumachook.configuration.issue import ConfigurationIssue
 from sumachook.configuration.store import Store
 from sumachook.configuration.tenancy import tenancy_issues
@@ -162,7 +162,7 @@
 TENANCY = Rule(frozenset({"callers", "httpRoutes", "tenants", "capacity"}), tenancy_issues)
 
 RULES = (
-    *(DUPLICATE_HTTP_ROUTES if part == "httpRoutes" else _duplicates_in(part) for part in NAMED_PARTS),
+    *(DUPLICATE_HTTP_ROUTES if part == "httpRoutes" else _duplicates_in(part) for part in NAMED_LISTS),
     Rule(frozenset({"areas"}), _zone_issues),
     Rule(frozenset({"models", "adapters"}), _adapter_issues),
     Rule(frozenset({"lines", "callers"}), _caller_issues),
--- a/sumachook/configuration/tenancy.py
+++ b/sumachook/configuration/tenancy.py
@@ -6,8 +6,8 @@
 from sumachook.configuration.issue import ConfigurationIssue
 from sumachook.configuration.tenant import CEILING, FLOOR
 
-FIGURES = ("requestsPerS", "tokensPerS")
-OWNED_PARTS = (
+RATE_FIELDS = ("requestsPerS", "tokensPerS")
+OWNED_LISTS = (
     ("callers", "caller"),
     ("httpRoutes", "route"),
 )  # lists whose items tenants own, and the noun for an item in error messages
@@ -21,7 +21,7 @@
     [ConfigurationIssue(path='tenants[0].callers[1]', reason="no caller named 'b'")]
     """
     tenants = items_of(document, "tenants")
-    for part, noun in OWNED_PARTS:
+    for part, noun in OWNED_LISTS:
         yield from _ownership_issues(tenants, part, noun, names_of(document, part))
     yield from _key_issues(tenants)
     yield from _rate_issues(tenants)
@@ -59,7 +59,7 @@
 def _rate_issues(tenants: Items) -> Iterator[ConfigurationIssue]:
     """Yields issues of rates: a tenant without `keys` and without any rate, or a floor above the ceiling."""
     for index, tenant in tenants:
-        if "keys" not in tenant and all(tenant.get(figure) is None for figure in FIGURES):
+        if "keys" not in tenant and all(tenant.get(rate_field) is None for rate_field in RATE_FIELDS):
             yield ConfigurationIssue(f"tenants[{index}]", "requestsPerS or tokensPerS is required")
         floor, ceiling = tenant.get("floor", FLOOR), tenant.get("ceiling", CEILING)
         if is_number(floor) and is_number(ceiling) and floor > ceiling:
@@ -71,12 +71,12 @@
     capacity = document.get("capacity")
     if not isinstance(capacity, dict):
         return
-    for figure in FIGURES:
+    for rate_field in RATE_FIELDS:
         floors = [
-            tenant[figure] * tenant.get("floor", FLOOR)
+            tenant[rate_field] * tenant.get("floor", FLOOR)
             for _, tenant in tenants
-            if is_number(tenant.get(figure)) and is_number(tenant.get("floor", FLOOR))
+            if is_number(tenant.get(rate_field)) and is_number(tenant.get("floor", FLOOR))
         ]
-        if is_number(capacity.get(figure)) and sum(floors) > capacity[figure]:
-            reason = f"the tenants' floors sum to {sum(floors):g}, the capacity is {capacity[figure]:g}"
-            yield ConfigurationIssue(f"capacity.{figure}", reason)
+        if is_number(capacity.get(rate_field)) and sum(floors) > capacity[rate_field]:
+            reason = f"the tenants' floors sum to {sum(floors):g}, the capacity is {capacity[rate_field]:g}"
+            yield ConfigurationIssue(f"capacity.{rate_field}", reason)
--- a/sumachook/configuration/tenant.py
+++ b/sumachook/configuration/tenant.py
@@ -9,7 +9,7 @@
 
 FLOOR, CEILING = 0.5, 1.0  # defaults, as fractions of the quota
 PerSecond = Annotated[float, Meta(gt=0, le=1e9)]
-Part = Annotated[float, Meta(gt=0, le=1000)]
+QuotaFraction = Annotated[float, Meta(gt=0, le=1000)]
 # The name is sent to servers in a request header, so control characters are not allowed.
 TenantName = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[^\x00-\x1f\x7f]*\Z")]
 ApiKey = Annotated[str, Meta(min_length=1, max_length=1024)]
@@ -34,8 +34,8 @@
     requests_per_s: PerSecond | None = None
     tokens_per_s: PerSecond | None = None
     burst_s: Annotated[float, Meta(gt=0, le=3600)] = 1.0
-    floor: Part = FLOOR
-    ceiling: Part = CEILING
+    floor: QuotaFraction = FLOOR
+    ceiling: QuotaFraction = CEILING
     over_ceiling: Literal["refuse", "yield"] = "refuse"
     keys: tuple[ApiKey, ...] = ()
     priority: Annotated[int, Meta(ge=0, le=9)] = 0
--- a/sumachook/quotas/amounts.py
+++ b/sumachook/quotas/amounts.py
@@ -16,11 +16,11 @@
 NO_BOUNDS = Amounts(UNBOUND, UNBOUND)
 
 
-def shown(amount: float) -> float | None:
+def finite_or_none(amount: float) -> float | None:
     """Returns the amount as operators see it: None if it is unbounded."""
     return None if amount == UNBOUND else amount
 
 
-def shown_rounded(amount: float) -> float | None:
+def rounded_or_none(amount: float) -> float | None:
     """Returns the amount rounded to two decimal places as operators see it: None if it is unbounded."""
     return None if amount == UNBOUND else round(amount, 2)
--- a/sumachook/quotas/lease_issuer.py
+++ b/sumachook/quotas/lease_issuer.py
@@ -6,15 +6,15 @@
 
 from sumachook.host.effects import Effect, Log, Send
 from sumachook.host.events import Event
-from sumachook.quotas.amounts import NO_BOUNDS, NOTHING, UNBOUND, Amounts, shown_rounded
+from sumachook.quotas.amounts import NO_BOUNDS, NOTHING, UNBOUND, Amounts, rounded_or_none
 from sumachook.quotas.bucket import SECOND, Bucket
 from sumachook.quotas.events import IssuerTick, LeaseRequestReceived
 from sumachook.quotas.messages import LeaseDemand, LeaseGrant, LeaseResponse
-from sumachook.quotas.tenant_budget import Lending, Refusals, TenantBudget
+from sumachook.quotas.tenant_budget import IssuedGrant, ReportedDenials, TenantBudget
 from sumachook.quotas.terms import QuotaTerms
 
 # warning about a tenant whose requests are denied for a long time
-REFUSALS_OVER_AFTER = timedelta(seconds=2)  # the tenant counts as below its ceiling after this time without a denial
+DENIALS_OVER_AFTER = timedelta(seconds=2)  # the tenant counts as below its ceiling after this time without a denial
 WARN_AFTER = timedelta(seconds=30)
 WARN_INTERVAL = timedelta(minutes=1)
 
@@ -22,7 +22,7 @@
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 30.0
 
-MAX_AHEAD_PART = 0.5  # maximum fraction of the available amount that a single prefetch may take
+MAX_PREFETCH_PART = 0.5  # maximum fraction of the available amount that a single prefetch may take
 
 
 class QuotaLeaseIssuer:
@@ -86,38 +86,38 @@
 
     def _grant(self, budget: TenantBudget, edge: str, demand: LeaseDemand, now: timedelta) -> LeaseGrant:
         budget.refill(now)
-        budget.give_back(demand.returned_requests, demand.returned_tokens)
+        budget.credit_returned(demand.returned_requests, demand.returned_tokens)
         self.pool.add(demand.returned_requests, demand.returned_tokens)
         if demand.refused:
-            budget.refusals.append(Refusals(now, demand.refused))
+            budget.recent_denials.append(ReportedDenials(now, demand.refused))
             budget.note_requested(demand.refused, demand.refused * _tokens_per_request(demand))
         share = budget.share_of(edge, demand.demand_per_s, now)
-        decisions = [self._lend(budget, share, 1, tokens, now) for tokens in demand.pending_tokens]
+        decisions = [self._try_grant(budget, share, 1, tokens, now) for tokens in demand.pending_tokens]
         ahead = NOTHING
         if all(decisions) and demand.requests:
-            ahead = self._lend_ahead(budget, share, demand, now)
+            ahead = self._grant_prefetch(budget, share, demand, now)
         if demand.refused or not all(decisions):
-            budget.refused_since = budget.refused_since or now
-            budget.refused_at = now
+            budget.denied_since = budget.denied_since or now
+            budget.denied_at = now
         retry_after_s = self._retry_after_s(budget, demand.pending_tokens)
         return LeaseGrant(decisions, ahead.requests, ahead.tokens, retry_after_s, *budget.used())
 
-    def _lend_ahead(self, budget: TenantBudget, share: Bucket, demand: LeaseDemand, now: timedelta) -> Amounts:
+    def _grant_prefetch(self, budget: TenantBudget, share: Bucket, demand: LeaseDemand, now: timedelta) -> Amounts:
         """Grants part of the edge's expected demand in advance while leaving enough of the budget for other edges."""
         wanted = (demand.requests, demand.tokens)
         levels = zip(share.levels, budget.unreserved, budget.ceiling.levels, wanted, strict=True)
         parts = [
-            min(max(own, MAX_AHEAD_PART * unreserved), MAX_AHEAD_PART * level) / amount
+            min(max(own, MAX_PREFETCH_PART * unreserved), MAX_PREFETCH_PART * level) / amount
             for own, unreserved, level, amount in levels
             if amount
         ]
         count = int(demand.requests * max(0.0, min(1.0, *parts)))
         tokens = demand.tokens * count / demand.requests
-        if count and self._lend(budget, share, count, tokens, now):
+        if count and self._try_grant(budget, share, count, tokens, now):
             return Amounts(float(count), tokens)
         return NOTHING
 
-    def _lend(self, budget: TenantBudget, share: Bucket, requests: int, tokens: float, now: timedelta) -> bool:
+    def _try_grant(self, budget: TenantBudget, share: Bucket, requests: int, tokens: float, now: timedelta) -> bool:
         """Grants the amounts if allowed: within the floor whatever other tenants use, beyond it from spare capacity."""
         is_in_floor = budget.floor.covers(requests, tokens)
         if not budget.ceiling.covers(requests, tokens) or not (is_in_floor or self.pool.covers(requests, tokens)):
@@ -132,12 +132,12 @@
         self.pool.withdraw(requests, tokens)
         if is_in_floor:
             budget.floor.withdraw(requests, tokens)
-        budget.lent.append(Lending(now, requests, tokens))
+        budget.recent_grants.append(IssuedGrant(now, requests, tokens))
         return True
 
     def _retry_after_s(self, budget: TenantBudget, pending_tokens: Sequence[int]) -> float:
         """Returns the seconds to refill the missing amounts and to serve all requests denied in the last second."""
-        ahead = sum(refusals.request_count for refusals in budget.refusals)
+        ahead = sum(denials.request_count for denials in budget.recent_denials)
         seconds = budget.ceiling.seconds_until(1, max(pending_tokens, default=0.0))
         if budget.terms.ceiling.requests != UNBOUND:
             seconds += ahead / budget.terms.ceiling.requests
@@ -149,9 +149,9 @@
         """Returns by tenant the bucket levels, the grants of the last second and the seconds spent at the ceiling."""
         return {
             name: {
-                "levels": [shown_rounded(level) for level in budget.ceiling.levels],
+                "levels": [rounded_or_none(level) for level in budget.ceiling.levels],
                 "lent": budget.used(),
-                "fullFor": round((now - budget.refused_since) / SECOND, 1) if budget.refused_since is not None else 0.0,
+                "fullFor": round((now - budget.denied_since) / SECOND, 1) if budget.denied_since is not None else 0.0,
             }
             for name, budget in self.budgets.items()
         }
@@ -159,15 +159,15 @@
     def _warn(self, now: timedelta) -> list[Effect]:
         effects: list[Effect] = []
         for name, budget in self.budgets.items():
-            if budget.refused_since is None:
+            if budget.denied_since is None:
                 continue
-            if now - budget.refused_at > REFUSALS_OVER_AFTER:
-                budget.refused_since = None
+            if now - budget.denied_at > DENIALS_OVER_AFTER:
+                budget.denied_since = None
                 continue
             is_due = budget.warned_at is None or now - budget.warned_at > WARN_INTERVAL
-            if now - budget.refused_since > WARN_AFTER and is_due:
+            if now - budget.denied_since > WARN_AFTER and is_due:
                 budget.warned_at = now
-                seconds = round((now - budget.refused_since) / SECOND)
+                seconds = round((now - budget.denied_since) / SECOND)
                 fields = {"tenant": name, "seconds": seconds, "lent": budget.used()}
                 effects.append(Log("warning", "allowance", "A tenant has been at its ceiling for over 30 s.", fields))
         return effects
--- a/sumachook/quotas/rate_limiter.py
+++ b/sumachook/quotas/rate_limiter.py
@@ -6,7 +6,7 @@
 
 from sumachook.host.effects import Effect, Send
 from sumachook.host.events import Event, MessageReceived
-from sumachook.quotas.amounts import NOTHING, UNBOUND, Amounts, shown_rounded
+from sumachook.quotas.amounts import NOTHING, UNBOUND, Amounts, rounded_or_none
 from sumachook.quotas.effects import AdmissionDecision, AdmissionDenied, AdmissionGranted
 from sumachook.quotas.events import AdmissionKey, AdmissionRequested, LimiterTick, UsageSettled
 from sumachook.quotas.messages import (
@@ -28,7 +28,7 @@
 
 # leases
 LEASE = MILLISECOND * 400  # lease duration, counted from when the request was sent
-REQUEST_INTERVAL = MILLISECOND * 100  # wait before a request is sent after one that is still unanswered
+REQUEST_INTERVAL = MILLISECOND * 100  # minimum interval between requests while one is unanswered
 ISSUER_TIMEOUT = MILLISECOND * 200  # without a response; then this edge decides locally
 PROBE_INTERVAL = MILLISECOND * 200  # between requests to the issuer in local mode
 EXHAUSTED_FOR = MILLISECOND * 100  # after a denial, further requests are denied without asking the issuer
@@ -37,8 +37,8 @@
 MIN_PROBE_DEMAND_PER_S = 0.1  # tenants with less demand are left out of probes
 
 # leases prefetched ahead of demand
-AHEAD_S = 0.15  # seconds of demand to prefetch
-AHEAD_INTERVAL = MILLISECOND * 50
+PREFETCH_S = 0.15  # seconds of demand to prefetch
+PREFETCH_INTERVAL = MILLISECOND * 50
 
 # maximum wait of a pending request: a fraction of its patience, capped at the two limits below
 PATIENCE_PART = 0.35
@@ -68,8 +68,8 @@
 class RateLimiter:
     """Admits tenants' requests immediately from unexpired leases, and otherwise requests leases from the issuer.
 
-    Without an issuer (`is_alone`) each edge uses an equal part of every tenant's floor, and edges lend each other the
-    part that they do not need.
+    Without an issuer (`is_local_mode`) each edge uses an equal part of every tenant's floor, and edges lend each other
+    the part that they do not need.
     """
 
     __slots__ = (
@@ -79,7 +79,7 @@
         "number",
         "open_requests",
         "borrow_requests",
-        "is_alone",
+        "is_local_mode",
         "fence",
         "issuer",
         "cores",
@@ -98,7 +98,7 @@
         self.number = restart_epoch << RESTART_EPOCH_BITS
         self.open_requests: dict[int, OpenRequest] = {}
         self.borrow_requests: dict[int, timedelta] = {}  # send time by request number
-        self.is_alone = False
+        self.is_local_mode = False
         self.fence = 0
         self.issuer: str | None = None
         self.cores: tuple[str, ...] = ()
@@ -155,14 +155,14 @@
         quota.expire_leases(now, LEASE)
         if not quota.pending:
             if quota.spend(tokens):
-                needs_more = self._missing_ahead(quota, now).requests
+                needs_more = self._prefetch_amounts(quota, now).requests
                 return self._grant(quota, key, tokens) + (self._request_leases(now) if needs_more else [])
-            if self.is_alone and quota.spend_local(tokens, now):
+            if self.is_local_mode and quota.spend_local(tokens, now):
                 return self._grant(quota, key, tokens)
         if now < quota.exhausted_until or len(quota.pending) >= MAX_PENDING:
             return self._deny(quota, key)
         max_wait = event.patience * PATIENCE_PART
-        if not self.is_alone:
+        if not self.is_local_mode:
             quota.pending[key] = PendingAdmission(tokens, now + min(MAX_ISSUER_WAIT, max_wait))
             return self._request_leases(now)
         if not self.peers:
@@ -178,8 +178,8 @@
             return
         quota.charged_total -= event.tokens
         quota.admitted_total -= event.requests
-        quota.give_back(event.requests, event.tokens)
-        if self.is_alone:
+        quota.add_returned(event.requests, event.tokens)
+        if self.is_local_mode:
             quota.local.add(event.requests, event.tokens)
             quota.returned = NOTHING
 
@@ -197,13 +197,13 @@
         used_requests, used_tokens = quota.used
         record_fields = {
             "tenant": quota.terms.name,
-            "allowance": quota.terms.shown_ceiling(),
+            "allowance": quota.terms.describe_ceiling(),
             "used": {"requestsPerS": used_requests, "tokensPerS": used_tokens},
         }
         reason = f"tenant {quota.terms.name} has exceeded its quota"
         return [AdmissionDenied(key, reason, max(MIN_RETRY_AFTER_S, quota.retry_after_s), record_fields)]
 
-    def _serve_pending(self, quota: TenantQuota, spend: Callable[[int], bool]) -> list[Output]:
+    def _admit_pending(self, quota: TenantQuota, spend: Callable[[int], bool]) -> list[Output]:
         """Admits pending requests in arrival order until `spend` fails for one."""
         outputs: list[Output] = []
         for key, pending in list(quota.pending.items()):
@@ -222,20 +222,20 @@
         demands: dict[str, LeaseDemand] = {}
         pending: dict[str, list[tuple[AdmissionKey, int]]] = {}
         for name, quota in self.quotas.items():
-            named = [(key, each.tokens) for key, each in list(quota.pending.items())[:MAX_PENDING_PER_MESSAGE]]
-            ahead = self._missing_ahead(quota, now)
-            if not (named or ahead.requests or (is_tick and _has_news(quota, is_probe))):
+            sent_pending = [(key, each.tokens) for key, each in list(quota.pending.items())[:MAX_PENDING_PER_MESSAGE]]
+            ahead = self._prefetch_amounts(quota, now)
+            if not (sent_pending or ahead.requests or (is_tick and _needs_update(quota, is_probe))):
                 continue
             if ahead.requests:
-                quota.next_ahead_at = now + AHEAD_INTERVAL
+                quota.next_prefetch_at = now + PREFETCH_INTERVAL
             demands[name] = LeaseDemand(
-                [tokens for _, tokens in named],
+                [tokens for _, tokens in sent_pending],
                 *ahead,
                 quota.demand_per_s + quota.request_count,
                 quota.refused,
                 *quota.returned,
             )
-            pending[name] = named
+            pending[name] = sent_pending
             quota.refused = 0
             quota.returned = NOTHING
         if not demands and not is_probe:
@@ -244,12 +244,12 @@
         self.open_requests[self.number] = OpenRequest(now, pending)
         return [Send(self.issuer, LeaseRequest(self.number, demands))]
 
-    def _missing_ahead(self, quota: TenantQuota, now: timedelta) -> Amounts:
-        """Returns the amounts to prefetch for `AHEAD_S` seconds of demand, 0 while leases still cover half of it."""
-        wanted = int(quota.demand_per_s * AHEAD_S)
+    def _prefetch_amounts(self, quota: TenantQuota, now: timedelta) -> Amounts:
+        """Returns the amounts to prefetch for `PREFETCH_S` seconds of demand, 0 while leases still cover half of it."""
+        wanted = int(quota.demand_per_s * PREFETCH_S)
         available = quota.available[0]
-        is_too_soon = now < max(quota.exhausted_until, quota.next_ahead_at)
-        if wanted < 1 or available * 2 >= wanted or is_too_soon or self.is_alone:
+        is_too_soon = now < max(quota.exhausted_until, quota.next_prefetch_at)
+        if wanted < 1 or available * 2 >= wanted or is_too_soon or self.is_local_mode:
             return Amounts(0, 0.0)
         missing = wanted - int(available)
         return Amounts(missing, missing * quota.tokens_per_request)
@@ -258,7 +258,7 @@
         if message.fence < self.fence or message.number not in self.open_requests:
             return []
         self.fence = message.fence
-        self.is_alone = False
+        self.is_local_mode = False
         answered = self.open_requests.pop(message.number)
         # this response supersedes requests sent earlier
         self.open_requests = {number: each for number, each in self.open_requests.items() if number > message.number}
@@ -271,20 +271,20 @@
                 if grant.requests:
                     quota.leases.append(Lease(grant.requests, grant.tokens, answered.sent_at + LEASE))
         for quota in self.quotas.values():
-            outputs += self._serve_pending(quota, quota.spend)
+            outputs += self._admit_pending(quota, quota.spend)
         return outputs + self._request_leases(now)
 
     def _apply_grant(
-        self, quota: TenantQuota, grant: LeaseGrant, named: list[tuple[AdmissionKey, int]], now: timedelta
+        self, quota: TenantQuota, grant: LeaseGrant, sent_pending: list[tuple[AdmissionKey, int]], now: timedelta
     ) -> list[Output]:
         quota.retry_after_s = grant.retry_after_s
         quota.used = (grant.used_requests, grant.used_tokens)
         if not all(grant.decisions):
             quota.exhausted_until = now + EXHAUSTED_FOR
         outputs: list[Output] = []
-        for (key, tokens), is_granted in zip(named, grant.decisions, strict=False):
+        for (key, tokens), is_granted in zip(sent_pending, grant.decisions, strict=False):
             if quota.pending.pop(key, None) is None:  # already decided while the request was in flight
-                quota.give_back(int(is_granted), tokens if is_granted else 0)
+                quota.add_returned(int(is_granted), tokens if is_granted else 0)
             elif is_granted:
                 outputs += self._grant(quota, key, tokens)
             else:
@@ -300,7 +300,7 @@
         quota.next_borrow_at = now + BORROW_INTERVAL
         self.number += 1
         self.borrow_requests[self.number] = now
-        ahead = quota.demand_per_s * AHEAD_S
+        ahead = quota.demand_per_s * PREFETCH_S
         tokens = sum(pending.tokens for pending in quota.pending.values())
         wanted = Amounts(len(quota.pending) + ahead, tokens + ahead * quota.tokens_per_request)
         message = BorrowRequest(self.number, {quota.terms.name: wanted})
@@ -328,8 +328,8 @@
         return [*outputs, Send(address, BorrowResponse(message.number, lent))] if lent else outputs
 
     def _spare(self, quota: TenantQuota, wanted: Amounts) -> Amounts:
-        """Returns how much of `wanted` this edge can lend while keeping `AHEAD_S` seconds of its own demand."""
-        ahead = quota.demand_per_s * AHEAD_S if self.is_alone else 0.0
+        """Returns how much of `wanted` this edge can lend while keeping `PREFETCH_S` seconds of its own demand."""
+        ahead = quota.demand_per_s * PREFETCH_S if self.is_local_mode else 0.0
         kept = Amounts(ahead, ahead * quota.tokens_per_request)
         figures = zip(wanted, quota.local.levels, kept, quota.local.capacity, strict=True)
         return Amounts(
@@ -348,12 +348,12 @@
             if name in self.quotas:
                 quota = self.quotas[name]
                 quota.add_borrowed(amounts)
-                outputs += self._serve_local(quota, now)
+                outputs += self._admit_pending_locally(quota, now)
         return outputs
 
-    def _serve_local(self, quota: TenantQuota, now: timedelta) -> list[Output]:
+    def _admit_pending_locally(self, quota: TenantQuota, now: timedelta) -> list[Output]:
         """Admits pending requests from this edge's part of the floor, including borrowed amounts."""
-        return self._serve_pending(quota, lambda tokens: quota.spend_local(tokens, now))
+        return self._admit_pending(quota, lambda tokens: quota.spend_local(tokens, now))
 
     # ticks -------------------------------------------------------------------------
 
@@ -368,27 +368,27 @@
         self.ticked_at = now
         if not self.quotas:
             return outputs
-        was_alone = self.is_alone
+        was_local_mode = self.is_local_mode
         self._watch_issuer(now)
         for quota in self.quotas.values():
             if is_new_count:
                 quota.set_terms(quota.terms, self.edge_count)
             quota.update_demand(seconds)
             quota.expire_leases(now, LEASE)
-            if self.is_alone and quota.pending:
-                outputs += self._serve_local(quota, now)
+            if self.is_local_mode and quota.pending:
+                outputs += self._admit_pending_locally(quota, now)
                 outputs += self._borrow(quota, now) if quota.pending else []
             outputs += self._decide_overdue(quota, now)
-        if not self.is_alone:
+        if not self.is_local_mode:
             outputs += self._request_leases(now, is_tick=True)
-        elif now >= self.probe_at or not was_alone:
+        elif now >= self.probe_at or not was_local_mode:
             self.probe_at = now + PROBE_INTERVAL
             outputs += self._request_leases(now, is_tick=True, is_probe=True)
         return outputs + self._report(now)
 
     def _watch_issuer(self, now: timedelta) -> None:
         oldest = min((each.sent_at for each in self.open_requests.values()), default=now)
-        self.is_alone = self.is_alone or self.issuer is None or now - oldest > ISSUER_TIMEOUT
+        self.is_local_mode = self.is_local_mode or self.issuer is None or now - oldest > ISSUER_TIMEOUT
         self.open_requests = {number: each for number, each in self.open_requests.items() if now - each.sent_at < LEASE}
         self.borrow_requests = {
             number: sent_at for number, sent_at in self.borrow_requests.items() if now - sent_at < BORROW_LIFETIME
@@ -424,8 +424,8 @@
         return {
             name: {
                 "lent": quota.available,
-                "own": [shown_rounded(level) for level in quota.local.levels],
-                "isAlone": self.is_alone,
+                "own": [rounded_or_none(level) for level in quota.local.levels],
+                "isAlone": self.is_local_mode,
                 "admitted": quota.admitted_total,
                 "tokens": quota.charged_total,
                 "refused": quota.refused_total,
@@ -437,7 +437,7 @@
         }
 
 
-def _has_news(quota: TenantQuota, is_probe: bool) -> bool:
+def _needs_update(quota: TenantQuota, is_probe: bool) -> bool:
     """Returns whether the issuer needs an update on a tenant for which the edge requests no lease."""
     has_returned = quota.returned.requests >= 1 or quota.returned.tokens >= 1
     return bool(quota.refused) or has_returned or (is_probe and quota.demand_per_s > MIN_PROBE_DEMAND_PER_S)
--- a/sumachook/quotas/tenant_budget.py
+++ b/sumachook/quotas/tenant_budget.py
@@ -24,7 +24,7 @@
     noted_at: timedelta
 
 
-class Lending(NamedTuple):
+class IssuedGrant(NamedTuple):
     """Requests and tokens granted at one time."""
 
     at: timedelta
@@ -32,7 +32,7 @@
     tokens: float
 
 
-class Refusals(NamedTuple):
+class ReportedDenials(NamedTuple):
     """The number of requests that an edge denied and the time at which it reported them."""
 
     at: timedelta
@@ -52,10 +52,10 @@
         "requested",
         "demand",
         "shares",
-        "lent",
-        "refusals",
-        "refused_since",
-        "refused_at",
+        "recent_grants",
+        "recent_denials",
+        "denied_since",
+        "denied_at",
         "warned_at",
     )
 
@@ -69,10 +69,10 @@
         self.requested.add(*terms.floor_burst)
         self.demand: dict[str, EdgeDemand] = {}  # by edge
         self.shares: dict[str, Bucket] = {}  # by edge
-        self.lent: list[Lending] = []
-        self.refusals: list[Refusals] = []
-        self.refused_since: timedelta | None = None
-        self.refused_at = now
+        self.recent_grants: list[IssuedGrant] = []
+        self.recent_denials: list[ReportedDenials] = []
+        self.denied_since: timedelta | None = None
+        self.denied_at = now
         self.warned_at: timedelta | None = None
 
     def set_terms(self, terms: QuotaTerms) -> None:
@@ -87,8 +87,8 @@
         self.ceiling.refill(now)
         self.floor.refill(now)
         self.requested.refill(now)
-        self.lent = [lending for lending in self.lent if now - lending.at < RECENT]
-        self.refusals = [refusals for refusals in self.refusals if now - refusals.at < RECENT]
+        self.recent_grants = [grant for grant in self.recent_grants if now - grant.at < RECENT]
+        self.recent_denials = [denials for denials in self.recent_denials if now - denials.at < RECENT]
 
     def share_of(self, edge: str, demand_per_s: float, now: timedelta) -> Bucket:
         """Returns the bucket for an edge's share of the ceiling, in proportion to its recent demand."""
@@ -113,7 +113,7 @@
         lowest = (-DEMAND_MEMORY_S * figure for figure in self.terms.floor)
         self.requested.levels = Amounts(*map(max, self.requested.levels, lowest))
 
-    def give_back(self, requests: float, tokens: float) -> None:
+    def credit_returned(self, requests: float, tokens: float) -> None:
         """Credits amounts that were granted to an edge and returned unused."""
         for bucket in (self.ceiling, self.floor, self.requested):
             bucket.add(requests, tokens)
@@ -136,4 +136,4 @@
 
     def used(self) -> tuple[float, float]:
         """Returns the requests and tokens granted in the last second."""
-        return sum(lending.requests for lending in self.lent), sum(lending.tokens for lending in self.lent)
+        return sum(grant.requests for grant in self.recent_grants), sum(grant.tokens for grant in self.recent_grants)
--- a/sumachook/quotas/tenant_quota.py
+++ b/sumachook/quotas/tenant_quota.py
@@ -40,7 +40,7 @@
         "returned",
         "refused",
         "next_borrow_at",
-        "next_ahead_at",
+        "next_prefetch_at",
         "admitted_total",
         "refused_total",
         "yielded_total",
@@ -67,7 +67,7 @@
         self.returned = NOTHING
         self.refused = 0
         self.next_borrow_at = now
-        self.next_ahead_at = now
+        self.next_prefetch_at = now
         # totals since the edge started
         self.admitted_total = 0
         self.refused_total = 0
@@ -143,7 +143,7 @@
             )
         )
 
-    def give_back(self, requests: float, tokens: float) -> None:
+    def add_returned(self, requests: float, tokens: float) -> None:
         """Records unused amounts to return to the issuer with the next request, up to the burst."""
         self.returned = Amounts(
             min(self.terms.burst.requests, self.returned.requests + requests),
@@ -159,4 +159,4 @@
         while self.leases and self.leases[0].expires_at <= now:
             lease = self.leases.popleft()
             if now - lease.expires_at < stale_after:
-                self.give_back(lease.requests, lease.tokens)
+                self.add_returned(lease.requests, lease.tokens)
--- a/sumachook/quotas/terms.py
+++ b/sumachook/quotas/terms.py
@@ -3,7 +3,7 @@
 from typing import Any, NamedTuple, Self
 
 from sumachook.configuration.tenant import Tenant
-from sumachook.quotas.amounts import UNBOUND, Amounts, shown
+from sumachook.quotas.amounts import UNBOUND, Amounts, finite_or_none
 
 MIN_BURST = 1.0  # a bucket with a capacity below one request would never admit any
 # Maximum requests of a configured burst that an edge without an issuer may admit, or a new issuer may grant, while
@@ -48,13 +48,13 @@
         tenants = catalogue.tenants if catalogue is not None else ()
         return {tenant.name: cls.of(tenant) for tenant in tenants if _has_bound(tenant)}
 
-    def shown_floor(self) -> dict[str, float | None]:
+    def describe_floor(self) -> dict[str, float | None]:
         """Returns the floor rates as shown to operators."""
-        return _shown(self.floor)
+        return _describe_rates(self.floor)
 
-    def shown_ceiling(self) -> dict[str, float | None]:
+    def describe_ceiling(self) -> dict[str, float | None]:
         """Returns the ceiling rates as shown to operators and in records of denied requests."""
-        return _shown(self.ceiling)
+        return _describe_rates(self.ceiling)
 
 
 def _has_bound(tenant: Tenant) -> bool:
@@ -74,5 +74,5 @@
     return None if tenant.burst is None else min(MAX_UNCOUNTED_BURST, tenant.burst * tenant.floor)
 
 
-def _shown(amounts: Amounts) -> dict[str, float | None]:
-    return {"requestsPerS": shown(amounts.requests), "tokensPerS": shown(amounts.tokens)}
+def _describe_rates(amounts: Amounts) -> dict[str, float | None]:
+    return {"requestsPerS": finite_or_none(amounts.requests), "tokensPerS": finite_or_none(amounts.tokens)}
--- a/sumachook/quotas/usage.py
+++ b/sumachook/quotas/usage.py
@@ -63,8 +63,8 @@
 
 def _describe_tenant(terms: QuotaTerms, edges: dict[str, dict[str, Any]]) -> dict[str, Any]:
     return {
-        "floor": terms.shown_floor(),
-        "ceiling": terms.shown_ceiling(),
+        "floor": terms.describe_floor(),
+        "ceiling": terms.describe_ceiling(),
         "overCeiling": "yield" if terms.yields else "refuse",
         "requestsPerS": round(sum(edge["requestsPerS"] for edge in edges.values()), 2),
         "lent": {name: edge["lent"] for name, edge in edges.items() if any(edge["lent"])},
