--- a/harness/mutations/quotas.py
+++ b/harness/mutations/quotas.py
@@ -14,7 +14,7 @@
         "quota.leases.append(Lease(grant.requests, grant.tokens, answered.sent_at + LEASE))",
         "quota.leases.append(Lease(grant.requests, grant.tokens, now + LEASE))",
         LIMITER,
-        "lease_ends_by_the_clock",
+        "lease_expires",
     ),
     Mutation(
         13,
@@ -22,7 +22,7 @@
         "is_expired = now - answered.sent_at >= LEASE",
         "is_expired = False",
         LIMITER,
-        "lease_ends_by_the_clock",
+        "lease_expires",
     ),
     Mutation(
         13,
@@ -38,7 +38,7 @@
         "        if not fence:\n            return False\n        self._refresh_terms(now)",
         "        self._refresh_terms(now)",
         SHARES,
-        "lender_that_stood_still",
+        "frozen_issuer",
     ),
     Mutation(
         13,
@@ -46,7 +46,7 @@
         "        budget.ceiling.withdraw(requests, tokens)\n",
         "",
         SHARES,
-        "ten_times_its_share",
+        "overload_from_all_edges",
     ),
     Mutation(
         13,
@@ -54,7 +54,7 @@
         "        self.ceiling.add(*terms.floor_burst)\n",
         "        self.ceiling.add(*terms.burst)\n",
         SHARES,
-        "new_lender",
+        "new_issuer",
     ),
     Mutation(
         13,
@@ -62,7 +62,7 @@
         "is_in_floor = budget.floor.covers(requests, tokens)",
         "is_in_floor = False",
         SHARES,
-        "floors_come_first",
+        "floors_take_precedence",
     ),
     Mutation(
         13,
@@ -70,7 +70,7 @@
         "        self.pool.withdraw(requests, tokens)\n",
         "",
         SHARES,
-        "floors_come_first",
+        "floors_take_precedence",
     ),
     Mutation(
         13,
@@ -78,7 +78,7 @@
         "if not (is_free or budget.is_within_floor or share.covers(requests, tokens)):",
         "if False:",
         SHARES,
-        "fares_alike",
+        "same_fraction",
     ),
     Mutation(
         13,
@@ -86,7 +86,7 @@
         "            min(max(own, MAX_PREFETCH_PART * unreserved), MAX_PREFETCH_PART * level) / amount",
         "            max(own, MAX_PREFETCH_PART * unreserved) / amount",
         SHARES,
-        "leaves_half_for_those",
+        "leave_half_of_the_budget",
     ),
     Mutation(
         13,
@@ -94,7 +94,7 @@
         "        part = 1 / edge_count if edge_count else 0.0\n",
         "        part = 1.0\n",
         SHARES,
-        "while_nobody_lends",
+        "without_an_issuer",
     ),
     Mutation(
         13,
@@ -102,7 +102,7 @@
         "            if self.is_local_mode and quota.spend_local(tokens, now):",
         "            if False:",
         SHARES,
-        "while_nobody_lends",
+        "without_an_issuer",
     ),
     Mutation(
         13,
@@ -110,7 +110,7 @@
         "        if now < quota.next_borrow_at or not self.peers:",
         "        if True:",
         SHARES,
-        "while_nobody_lends",
+        "without_an_issuer",
     ),
     Mutation(
         13,
@@ -118,7 +118,7 @@
         "                quota.local.withdraw(*spare)",
         "                ()",
         SHARES,
-        "spend_the_neighbours",
+        "not_spent_twice",
     ),
     Mutation(
         13,
@@ -134,7 +134,7 @@
         'fence = self.core.leases.holds("accountant", now)\n        request',
         "fence = self.core.quota_lease_issuer.fence\n        request",
         TOWNS,
-        "lender_that_stood_still",
+        "frozen_issuer",
     ),
     Mutation(
         13,
@@ -142,7 +142,7 @@
         "if now < quota.exhausted_until or len(quota.pending) >= MAX_PENDING:",
         "if len(quota.pending) >= MAX_PENDING:",
         SHARES,
-        "refusal_is_immediate",
+        "denials_are_immediate",
     ),
     Mutation(
         13,
@@ -150,7 +150,7 @@
         "        quota.add_returned(event.requests, event.tokens)\n        if self.is_local_mode:",
         "        if self.is_local_mode:",
         SHARES,
-        "set_right_by_what_came_out",
+        "corrected_by_actual_output",
     ),
     Mutation(
         13,
@@ -166,7 +166,7 @@
         "        if request.run_status is RunStatus.NOT_RUN and not is_done:\n            return [UsageSettled(",
         "        if False:\n            return [UsageSettled(",
         ADMISSION,
-        "charge_is_set_right",
+        "charge_is_corrected",
     ),
     Mutation(
         13,
@@ -191,7 +191,7 @@
         "            limit = (limit + 1) // 2  # it runs where room is left\n",
         "            pass\n",
         ADMISSION,
-        "what_yields_goes_last",
+        "yielding_requests_run_last",
     ),
     Mutation(
         13,
@@ -207,7 +207,7 @@
         "            limit = max(1, limit // 2)  # it runs where room is left\n",
         "            pass\n",
         TOWNS,
-        "leave_half",
+        "leave_half_of_the_slots",
     ),
     Mutation(
         13,
@@ -215,7 +215,7 @@
         "sorted(queues.turns(weights), key=lambda turn: turn[1].is_yielding)",
         "queues.turns(weights)",
         TOWNS,
-        "whatever_their_line",
+        "regardless_of_their_queue",
     ),
     Mutation(
         13,
@@ -223,7 +223,7 @@
         "return request.is_yielding, request.tenant_priority, request.route.priority, request.number",
         "return request.tenant_priority, request.route.priority, request.number",
         ADMISSION,
-        "yields_goes_last",
+        "yielding_requests_run_last",
     ),
     Mutation(
         13,
@@ -231,7 +231,7 @@
         "return [] if unused is None else [UsageSettled(admission_key, request.tenant, 0, max(0, unused))]",
         "return [] if unused is None else [UsageSettled(admission_key, request.tenant, 0, 0)]",
         TOWNS,
-        "charged_by_what",
+        "charged_by_actual_output",
     ),
     Mutation(
         13,
--- a/tests/quotas/quota_fixtures.py
+++ b/tests/quotas/quota_fixtures.py
@@ -1,4 +1,4 @@
-"""Routers and cores with nothing but their allowance machines, under one virtual clock (docs/design/quotas.md)."""
+"""Simulates edges and cores that run only rate limiters and lease issuers, under a virtual clock (docs/design/quotas.md)."""
 
 from datetime import timedelta
 from heapq import heappop, heappush
@@ -30,11 +30,11 @@
 TICK = SECOND / 20
 VACANCY = SECOND * 4.5
 OUT_OF_LEASE = SECOND * 2
-FIRST_RESTART_EPOCH = 1_800_000_000_000  # milliseconds, as of real nodes
+FIRST_RESTART_EPOCH = 1_800_000_000_000  # milliseconds, the range of real nodes
 
 
 class Node:
-    """A process: its machine, its state, whether it runs."""
+    """A simulated process with its rate limiter or lease issuer, its state and its faults."""
 
     __slots__ = ("name", "machine", "state", "is_up", "is_frozen", "buffer", "restart_epoch", "up_at", "knows_from")
 
@@ -52,7 +52,7 @@
 
 
 class Caller:
-    """One request: who sent it where and what became of it; `ranAt` is the server's record."""
+    """A request and its outcome; `ran_at` is when it was admitted, as a server would record it."""
 
     __slots__ = (
         "tenant",
@@ -84,9 +84,10 @@
 
 
 class Offices:
-    """`send` and `offer` make traffic, `run` goes on; `kill`, `start`, `freeze`, `wake`, `cut`, `heal` bring faults about.
+    """Simulates a deployment: `send` and `offer` generate traffic, `run` advances the clock.
 
-    The accounting duty is held by one core, or by none; `lose_holder` takes the lease away and fills the duty after its vacancy.
+    `kill`, `start`, `freeze`, `wake`, `cut` and `heal` inject faults. At most one core holds the accounting duty;
+    `lose_holder` lets its lease expire and assigns the duty to another core after the vacancy.
     """
 
     def __init__(self, tenants, edges=4, seed=1, capacity=None, latency=(0.0005, 0.003), known=SECOND * 3):
@@ -163,7 +164,7 @@
         self.cuts.clear()
 
     def lose_holder(self, after=VACANCY, is_away=None):
-        """The holder's lease runs out; another core has the duty after the vacancy."""
+        """Lets the holder's lease expire; another core gets the duty after the vacancy."""
         if self.holder is None:
             return
         old, fence = self.holder, self.fence
@@ -195,7 +196,7 @@
         return 0
 
     def configure(self, tenants, capacity=None, spread=0.05):
-        """Each node learns it at a time of its own."""
+        """Changes the catalogue; each node receives it after a random delay of up to `spread` seconds."""
         self.tenants, self.capacity, self.generation = tenants, capacity or self.capacity, self.generation + 1
         for node in self.nodes.values():
             self._later(SECOND * spread * self.random.random(), self._learn, node, self.generation)
@@ -282,7 +283,7 @@
     # traffic ---------------------------------------------------------------------------------
 
     def send(self, tenant, edge, tokens=0, estimate=None, patience=2.0, takes=None):
-        """One request now; with `takes` seconds its tokens are set right at its end."""
+        """Sends one request now; if `takes` is given, its token charge is corrected after so many seconds."""
         call = Caller(tenant, edge, self.now, tokens, tokens if estimate is None else estimate, SECOND * patience)
         node = self.nodes[edge]
         if not node.is_up:
@@ -306,7 +307,7 @@
             self._hand(node, UsageSettled(_key(call), call.tenant, 0, call.estimate - call.tokens))
 
     def offer(self, tenant, rate, seconds, edges=None, is_even=False, **more):
-        """Traffic of so many a second over some routers, from now on."""
+        """Schedules `rate` requests per second for `seconds`, each to a random one of the edges."""
         at = 0.0
         while True:
             at += 1 / rate if is_even else self.random.expovariate(rate)
@@ -319,7 +320,7 @@
         if names:
             self.send(tenant, names[self.random.randrange(len(names))], **more)
 
-    # what callers and servers say ---------------------------------------------------------------
+    # records of callers and servers --------------------------------------------------------------
 
     def of(self, tenant, since=None, until=None, **wanted):
         return [
--- a/tests/quotas/test_admission.py
+++ b/tests/quotas/test_admission.py
@@ -1,4 +1,4 @@
-"""The proxy pipeline of an edge: requests of tenants wait for their admission, and their charge is set right."""
+"""The proxy pipeline of an edge: tenants' requests wait for admission, and their charges are corrected afterwards."""
 
 from sumachook.changefeed.trust import Trust
 from sumachook.quotas.effects import AdmissionDenied, AdmissionGranted
@@ -15,13 +15,14 @@
 
 
 def _settled(scene):
-    """What went back to the tenant: tenant, requests and tokens of each."""
+    """Returns (tenant, requests, tokens) of each refund."""
     found = [effect for effect in scene.out if isinstance(effect, UsageSettled)]
     return [(effect.tenant, effect.requests, effect.tokens) for effect in found]
 
 
 def test_request_of_a_tenant_waits_for_its_admission_and_others_do_not():
-    """Given a route of a tenant, its request is claimed and not sent until it is granted; one of another route goes at once and asks nobody."""
+    """Given a route that a tenant owns, its request is sent to a server only once admitted; a request of another route is
+    sent at once, without an admission request."""
     scene = _scene()
     cid = scene.ask(ONCE, tokens="30,50")
     (asked,) = [effect for effect in scene.out if isinstance(effect, AdmissionRequested)]
@@ -40,7 +41,8 @@
 
 
 def test_denied_request_ends_at_once_as_not_run():
-    """Given a denial, the answer is a 429 with run no and the time that was worked out; the record bears tenant, allowance and use; nothing was sent."""
+    """Given a denial, the response is a 429 with run "no" and the computed retry delay, the log record holds tenant, quota
+    and usage, and nothing is sent to a server."""
     scene = _scene()
     cid = scene.ask(ONCE)
     note = {
@@ -59,9 +61,9 @@
     assert scene.sends(cid) == [] and not _settled(scene) and scene.settled()
 
 
-def test_the_charge_is_set_right_by_what_came_out():
-    """Given a stream that may give 50 tokens and gives three events, 47 go back; given a request that no server ran, all of it goes back; one that
-    hangs up while it waits gives back too; one that may have run keeps its charge."""
+def test_charge_is_corrected_by_actual_usage():
+    """Given a stream of three events out of 50 estimated tokens, 47 are refunded. A request that no server ran, or whose
+    client disconnected while it was pending, is refunded completely; one that may have run keeps its charge."""
     scene = _scene()
     cid = scene.ask(CHAT, tokens="30,50")
     _granted(scene, cid)
@@ -84,9 +86,9 @@
     assert len(_settled(scene)) == 3 and scene.settled()
 
 
-def test_what_yields_goes_last_and_leaves_half_of_the_places():
-    """Given one server and rows that yield, they have the last urgency, take half of the places that this edge may have, and a row that comes later goes
-    before those that wait."""
+def test_yielding_requests_run_last_and_leave_half_of_the_slots():
+    """Given one server and yielding requests, they are sent with the lowest urgency and use half of the slots that this
+    edge may use; a later request that does not yield is sent before those that wait."""
     routes = [
         dict(each, split=[{"service": "records", "weight": 1}])
         for each in catalogue()["httpRoutes"]
--- a/tests/quotas/test_quota_bound.py
+++ b/tests/quotas/test_quota_bound.py
@@ -1,4 +1,4 @@
-"""The users' bound on what a tenant's requests may sum to in any five seconds, through floods and faults (docs/design/quotas.md)."""
+"""The required bound on a tenant's admitted requests in any five seconds, under overload and faults (docs/design/quotas.md)."""
 
 from bisect import bisect_left, bisect_right
 
@@ -9,7 +9,7 @@
 
 WINDOW_S, OVERSHOOT, SLACK = 5.0, 0.1, 20
 VACANCY = SECOND * 1.5
-FLOOD = 5  # times the rate
+FLOOD = 5  # overload, as a multiple of the tenant's rate
 
 
 def most_in_a_window(offices):
@@ -19,9 +19,9 @@
 
 @pytest.mark.parametrize(("rate", "edges"), [(6, 12), (62, 6)])
 @pytest.mark.parametrize("faults", [(), ("lost",), ("cut",), ("cut", "lost"), ("frozen", "lost")])
-def test_a_flood_is_let_in_within_the_bound_whatever_becomes_of_the_accountant(rate, edges, faults):
-    """Given a tenant with all its burst saved up that sends five times its rate from all edges, while the accountant's core is lost, a
-    third of the edges is cut off, or an edge stands still and wakes, no five seconds hold more than the users allow."""
+def test_overload_is_admitted_within_the_bound_through_faults_of_the_issuer(rate, edges, faults):
+    """Given a tenant with a full burst that sends five times its rate from all edges, while the issuer's core is lost, a
+    third of the edges is isolated, or an edge freezes and resumes, no window of five seconds exceeds the allowed total."""
     offices = Offices([Tenant("t", keys=("k",), requests_per_s=float(rate), burst=float(rate))], edges=edges)
     offices.run(2).offer("t", FLOOD * rate, 8.0)
     offices.run(0.5)
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas: a tenant's share of the capacity, enforced alike on every edge."""
+"""Simulated edges and cores enforce tenants' quotas consistently, with and without faults."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def broken(offices, name="shops", stranded=0.0, but=(), span=None, **state):
-    """What the witness says of one tenant."""
+    """Returns the violations that the invariant checker finds for one tenant."""
     invariant_checker = offices.invariant_checker(name)
     return [
         *invariant_checker.over(offices.runs(name), **state),
@@ -22,13 +22,13 @@
     return [call for call in offices.of(name, **span) if call.ran_at is not None]
 
 
-# calm -----------------------------------------------------------------------------
+# without faults -------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("edges", [1, 4, 16])
 @pytest.mark.parametrize("rate", [3.0, 15.0])
-def test_inside_its_share_nobody_is_refused_and_nobody_waits_long(edges, rate):
-    """Given a tenant inside its allowance whose requests meet any router, all are let in, each within a few milliseconds."""
+def test_requests_within_the_quota_are_admitted_without_delay(edges, rate):
+    """Given a tenant below its quota whose requests arrive at any edge, all are admitted, each within 20 ms."""
     offices = Offices([tenant(requests_per_s=20.0)], edges)
     offices.offer("shops", rate, 20).run(21)
     calls = offices.of("shops")
@@ -37,9 +37,9 @@
 
 
 @pytest.mark.parametrize("edges", [1, 4, 16])
-def test_ten_times_its_share_from_all_routers_is_let_in_once_over(edges):
-    """Given ten times the allowance over all routers, what all let in together is the ceiling's, each router's part about its part of the traffic, and
-    every refusal says for that tenant when to come back and what was used."""
+def test_overload_from_all_edges_is_admitted_up_to_the_ceiling(edges):
+    """Given ten times the quota over all edges, the total admitted stays at the ceiling, each edge admits in proportion
+    to its traffic, and every denial carries the tenant, its recent usage and a retry delay."""
     offices = Offices([tenant(requests_per_s=40.0)], edges)
     offices.offer("shops", 400.0, 10).run(11)
     calls, ran = offices.of("shops"), let_in(offices)
@@ -53,15 +53,17 @@
         for call in refused
     )
     late = [call for call in refused if call.at > offices.now - 8 * SECOND]
-    assert all(4 < call.come_back < 14 for call in late)  # nine of ten are turned away: nine seconds' worth a second
+    assert all(
+        4 < call.come_back < 14 for call in late
+    )  # nine of ten are denied, which adds nine seconds to serve them
     assert any(30 <= call.note["used"]["requestsPerS"] <= 60 for call in late)
 
 
 @pytest.mark.parametrize(
     "figures, tokens", [({"requests_per_s": 40.0}, 0), ({"requests_per_s": None, "tokens_per_s": 4000.0}, 100)]
 )
-def test_a_call_fares_alike_on_a_busy_router_and_on_a_quiet_one(figures, tokens):
-    """Given a flood of which one router of four has three quarters, the part of its calls that is let in is about that of the others' calls."""
+def test_busy_and_quiet_edges_admit_the_same_fraction_of_requests(figures, tokens):
+    """Given an overload of which one edge of four receives three quarters, all edges admit about the same fraction."""
     offices = Offices([tenant(**figures)], 4)
     offices.offer("shops", 300.0, 20, ["edge-1"], tokens=tokens).offer(
         "shops", 100.0, 20, EDGES[1:4], tokens=tokens
@@ -75,9 +77,10 @@
     assert broken(offices) == []
 
 
-def test_past_the_ceiling_all_refuse_within_half_a_second_and_below_it_all_admit():
-    """Given a tenant at half of its ceiling that goes to ten times it on all eight routers at once, with next to nothing saved up, half a second later
-    every router refuses and all together let in no more than the ceiling; half a second after it is back below, none is refused."""
+def test_all_edges_deny_within_half_a_second_above_the_ceiling_and_admit_again_below_it():
+    """Given a tenant with almost no burst that goes from half its ceiling to ten times it on eight edges at once, half a
+    second later every edge denies and the total admitted stays at the ceiling. Half a second after the load falls below
+    the ceiling again, no request is denied."""
     offices = Offices([tenant(requests_per_s=80.0, burst_s=0.05)], 8)
     offices.offer("shops", 40.0, 5, is_even=True).run(5)
     assert not any(call.is_refused for call in offices.of("shops", offices.now - 3 * SECOND))
@@ -99,24 +102,24 @@
 
 
 @pytest.mark.parametrize("seed", [75, 1, 2])
-def test_what_is_lent_ahead_leaves_half_for_those_who_ask(seed):
-    """Given a tenant that falls from ten times its ceiling to half of it, what one router is lent ahead does not take what another needs now: both turns
-    are over well within half a second."""
+def test_prefetched_leases_leave_half_of_the_budget_for_other_edges(seed):
+    """Given a tenant whose load drops from ten times its ceiling to half of it, leases prefetched by one edge do not
+    starve another: both transitions finish well within half a second."""
     _, up, down = play_turn(seed)
     assert up < SECOND * 0.3 and down < SECOND * 0.4
 
 
-def test_a_refusal_is_immediate_and_a_wait_for_an_answer_is_short():
-    """Given a tenant far beyond its ceiling, no answer to anybody takes longer than a question there and back, and what was just told no is not asked
-    for each request."""
+def test_denials_are_immediate_and_do_not_each_cost_a_lease_request():
+    """Given a tenant far above its ceiling, no decision takes longer than one round trip to the issuer, and a denial
+    suppresses lease requests for the requests that follow it."""
     offices = Offices([tenant(requests_per_s=10.0)], 4)
     offices.offer("shops", 800.0, 5).run(6)
     assert offices.asks < 6 * 4 * 35
     assert max(call.answered_at - call.at for call in offices.of("shops")) < SECOND / 40
 
 
-def test_traffic_that_moves_from_one_router_to_all_and_back_is_never_refused():
-    """Given a tenant at nine tenths of its allowance on one router, then on all, then on another one alone: the lent part follows at once."""
+def test_leases_follow_traffic_that_moves_between_edges():
+    """Given a tenant at three quarters of its quota on one edge, then on all, then on another one, none is denied."""
     offices = Offices([tenant(requests_per_s=40.0, floor=0.9)], 8)
     offices.offer("shops", 30.0, 6, ["edge-1"]).run(6)
     offices.offer("shops", 30.0, 6).run(6)
@@ -127,8 +130,9 @@
 # several tenants --------------------------------------------------------------------
 
 
-def test_two_tenants_past_theirs_at_once_have_their_own_each():
-    """Given two tenants at ten times theirs and a third inside its floor, each of the two has its ceiling, and the third is never refused."""
+def test_overloaded_tenants_are_each_limited_to_their_own_ceiling():
+    """Given two tenants at ten times their quotas and a third within its floor, each of the two is admitted up to its
+    ceiling, and the third is never denied."""
     offices = Offices([tenant("shops", 20.0), tenant("audits", 5.0), tenant("stamps", 10.0, floor=1.0)], 4)
     for name, rate in (("shops", 200.0), ("audits", 50.0), ("stamps", 6.0)):
         offices.offer(name, rate, 12)
@@ -138,9 +142,9 @@
     assert all(broken(offices, name) == [] for name in ("shops", "audits", "stamps"))
 
 
-def test_floors_come_first_when_ceilings_are_more_than_the_capacity():
-    """Given a capacity of 30 a second and two tenants that may each use all of it, one that floods leaves the other its floor; when the
-    other is silent it has the rest as well."""
+def test_floors_take_precedence_when_ceilings_exceed_the_capacity():
+    """Given a capacity of 30 requests per second and two tenants whose ceilings each equal it, a flood of one leaves the
+    other its floor; while the other sends nothing, the first may use the whole capacity."""
     tenants = [tenant("shops", 30.0, floor=0.5, burst_s=0.2), tenant("audits", 30.0, floor=0.3, burst_s=0.2)]
     offices = Offices(tenants, 4, capacity=Capacity(requests_per_s=30.0))
     offices.offer("audits", 300.0, 20)
@@ -155,8 +159,8 @@
     assert broken(offices, "shops") == []
 
 
-def test_what_yields_runs_and_is_not_charged():
-    """Given a tenant that gives way beyond its ceiling, nothing is refused, and what is beyond is marked so."""
+def test_yielding_requests_run_and_are_not_charged():
+    """Given a tenant that yields above its ceiling, no request is denied, and those above it are marked as yielding."""
     offices = Offices([tenant("audits", 5.0, over_ceiling="yield")], 4)
     offices.offer("audits", 50.0, 8).run(9)
     calls = offices.of("audits")
@@ -167,9 +171,9 @@
 # tokens -----------------------------------------------------------------------------
 
 
-def test_tokens_are_charged_by_estimate_and_set_right_by_what_came_out():
-    """Given requests that may give 1,000 tokens and give 100, and a burst that bears the estimates of what is in hand, the tokens' allowance lets in by
-    what comes out: by the estimates seven of eight would be refused."""
+def test_estimated_token_charges_are_corrected_by_actual_output():
+    """Given requests that may produce 1,000 tokens and produce 100, and a burst that covers the estimates of all running
+    requests, the token quota admits by actual output. By estimates alone, seven of eight requests would be denied."""
     offices = Offices([tenant(requests_per_s=None, tokens_per_s=2000.0, burst_s=8.0)], 4)
     offices.run(5).offer("shops", 16.0, 30, tokens=100, estimate=1000, takes=0.5).run(32)
     calls = offices.of("shops")
@@ -177,9 +181,9 @@
     assert broken(offices) == []
 
 
-def test_tokens_beyond_the_allowance_are_refused():
-    """Given requests that give what they may give, four times the allowance, a quarter is let in; one that is larger than all that may be saved
-    up waits for a full bucket and leaves a debt."""
+def test_requests_beyond_the_token_quota_are_denied():
+    """Given requests that use all their estimated tokens, at four times the quota, a quarter is admitted. A request larger
+    than the burst waits for a full bucket and leaves it negative."""
     offices = Offices([tenant(requests_per_s=None, tokens_per_s=2000.0)], 4)
     offices.offer("shops", 16.0, 20, tokens=500, takes=0.3).run(21)
     assert 0.8 * 2000 * 20 < sum(call.tokens for call in let_in(offices)) < 1.2 * 2000 * 20 and broken(offices) == []
@@ -199,8 +203,9 @@
 
 
 @pytest.mark.parametrize("rate", [8.0, 300.0])
-def test_routers_added_restarted_one_by_one_and_killed_change_nothing(rate):
-    """Given a tenant inside its floor, or far past its ceiling, while routers come, restart and die, it has neither more nor less."""
+def test_starting_restarting_and_killing_edges_does_not_change_the_admitted_rate(rate):
+    """Given a tenant within its floor, or far above its ceiling, while edges start, restart and crash, it is admitted
+    neither more nor less than before."""
     offices = Offices([tenant(requests_per_s=20.0)], 4)
     offices.offer("shops", rate, 24)
     for place in range(5, 9):
@@ -221,9 +226,9 @@
 
 
 @pytest.mark.parametrize("edges", [1, 4, 8])
-def test_while_nobody_lends_the_floor_is_let_in_wherever_it_goes_and_no_more(edges):
-    """Given the accountant killed, a tenant inside its floor on one router only is never refused, since the others lend it theirs; one far past its ceiling
-    everywhere has about its floor until somebody lends again."""
+def test_without_an_issuer_the_floor_is_admitted_on_any_edge_and_no_more(edges):
+    """Given that the issuer was killed, a tenant within its floor on a single edge is never denied, since the other edges
+    lend it their parts. A tenant far above its ceiling on all edges gets about its floor until there is an issuer again."""
     quiet = Offices([tenant(requests_per_s=40.0)], edges)
     quiet.offer("shops", 15.0, 20, ["edge-1"])
     quiet.run(5)
@@ -247,8 +252,8 @@
     assert broken(loud, changes=1, is_disturbed=True, stranded=edges) == []
 
 
-def test_a_router_that_is_cut_off_lets_in_its_part_of_the_floor():
-    """Given one router of four cut off from all, with all of a flood, it lets in its part of the floor and not the tenant's whole."""
+def test_isolated_edge_admits_its_part_of_the_floor():
+    """Given one edge of four that is isolated and receives a whole overload, it admits its part of the floor only."""
     offices = Offices([tenant(requests_per_s=40.0, burst_s=0.5)], 4)
     offices.offer("shops", 200.0, 12, ["edge-1"])
     offices.run(2)
@@ -263,8 +268,9 @@
     assert len(let_in(offices, since=healed + SECOND / 2)) > 30 * 1.2
 
 
-def test_a_split_parts_the_floor_and_never_doubles_the_ceiling():
-    """Given four routers of eight on the side without the lender, both sides flooded, both together have at most the ceiling and that side's part of the floor."""
+def test_network_partition_divides_the_floor_and_never_doubles_the_ceiling():
+    """Given four edges of eight partitioned from the issuer and an overload on both sides, the total admitted is at most
+    the ceiling plus the floor's part of the edges without an issuer."""
     offices = Offices([tenant(requests_per_s=40.0, burst_s=0.5)], 8)
     offices.offer("shops", 400.0, 16)
     offices.run(3)
@@ -278,8 +284,8 @@
     assert broken(offices, is_disturbed=True, stranded=8) == []
 
 
-def test_a_lender_that_stood_still_lends_nothing_from_its_buffer():
-    """Given a holder that freezes, loses its duty and wakes with questions in its buffer, none of them is answered with anything."""
+def test_frozen_issuer_grants_nothing_to_buffered_requests():
+    """Given an issuer that freezes, loses its duty and resumes with lease requests in its buffer, it grants none of them."""
     offices = Offices([tenant(requests_per_s=20.0)], 4)
     offices.offer("shops", 100.0, 14)
     offices.run(3)
@@ -294,8 +300,9 @@
     assert broken(offices, changes=1, is_disturbed=True, stranded=4) == []
 
 
-def test_what_was_lent_to_a_router_that_stood_still_is_over_when_it_wakes():
-    """Given a router that stands still for a second with requests in its buffer and leases in hand, on waking it spends none of them."""
+def test_leases_of_a_frozen_edge_have_expired_when_it_resumes():
+    """Given an edge that freezes for over a second with leases and buffered requests, on resuming it spends none of these
+    leases and does not return them."""
     offices = Offices([tenant(requests_per_s=100.0, burst_s=0.2)], 2)
     offices.offer("shops", 80.0, 4, ["edge-1"])
     offices.run(3)
@@ -311,8 +318,8 @@
     assert broken(offices, stranded=4) == [] or broken(offices, is_disturbed=True, stranded=100) == []
 
 
-def test_a_new_lender_begins_with_the_floor_and_not_with_all():
-    """Given lenders lost one after the other under a flood, each new one adds the floor's burst at most."""
+def test_new_issuer_starts_with_the_burst_of_the_floor():
+    """Given issuers lost one after the other under overload, each new one adds at most the burst of the floor."""
     offices = Offices([tenant(requests_per_s=40.0, burst_s=2.0, floor=0.25)], 4)
     offices.offer("shops", 400.0, 40)
     for _ in range(3):
@@ -323,9 +330,9 @@
     assert broken(offices, changes=2, is_disturbed=True, stranded=4) == []
 
 
-def test_a_new_lender_has_not_saved_up_what_it_cannot_know():
-    """Given a tenant that may save up five seconds' worth and has used it up, in the second after a new lender begins it has the floor's burst and what
-    comes meanwhile, not all of it."""
+def test_new_issuer_does_not_grant_the_full_burst_again():
+    """Given a tenant with a burst of five seconds that it has used up, in its first second a new issuer grants only the
+    burst of the floor plus the regular rate."""
     offices = Offices([tenant(requests_per_s=40.0, burst_s=5.0, floor=0.25)], 4)
     offices.offer("shops", 400.0, 25)
     offices.run(15)
@@ -337,8 +344,8 @@
     assert 40 < len(ran) <= 50 + 40 + 20, len(ran)
 
 
-def test_a_total_loss_ends_with_the_floor_to_begin_with():
-    """Given all routers and cores killed at once and started again under a flood, what is let in stays within the bound."""
+def test_restart_of_all_nodes_under_overload_stays_within_the_bound():
+    """Given all edges and cores killed at once and restarted under overload, the admitted requests stay within the bound."""
     offices = Offices([tenant(requests_per_s=40.0)], 4)
     offices.offer("shops", 400.0, 20)
     offices.run(5)
@@ -352,8 +359,9 @@
     assert broken(offices, changes=1, is_disturbed=True, stranded=4) == []
 
 
-def test_a_flood_on_one_router_does_not_spend_the_neighbours_parts_twice():
-    """Given nobody who lends and a flood on one router of eight, what the others give it they have no more: all together it is the floor."""
+def test_amounts_lent_to_another_edge_are_not_spent_twice():
+    """Given no issuer and an overload on one edge of eight, the amounts that the others lend are withdrawn from their own
+    parts: all edges together admit the floor."""
     offices = Offices([tenant(requests_per_s=40.0, burst_s=0.5)], 8)
     offices.run(2)
     lost = offices.now
@@ -366,12 +374,12 @@
     assert 0.5 * 3 * 20 < len(ran) <= 3 * 20 + 10 + 8, len(ran)
 
 
-# changes ----------------------------------------------------------------------------
+# configuration changes --------------------------------------------------------------
 
 
-def test_a_change_of_the_allowance_is_in_force_while_traffic_flows():
-    """Given a flood, an allowance that is halved and then doubled is what is let in half a second later; a tenant that is taken out is free, and nobody who
-    waited is forgotten."""
+def test_changed_quota_takes_effect_within_half_a_second():
+    """Given an overload, a quota that is halved and then quadrupled limits the admitted rate half a second later. A
+    tenant whose quota is removed is no longer limited, and all its pending requests are answered."""
     offices = Offices([tenant(requests_per_s=40.0, burst_s=0.5)], 4)
     offices.offer("shops", 300.0, 19)
     offices.run(5)
@@ -389,8 +397,8 @@
     )
 
 
-def test_a_router_that_has_not_heard_of_a_tenant_yet_forgets_nobody():
-    """Given a catalogue that reaches the lender before or after the routers, each request has its answer within its time."""
+def test_requests_of_a_new_tenant_are_answered_before_all_nodes_know_it():
+    """Given a catalogue that reaches the issuer before or after the edges, each request is answered within 0.5 s."""
     offices = Offices([tenant(requests_per_s=40.0)], 4)
     offices.offer("shops", 30.0, 10)
     offices.offer("audits", 30.0, 10)
@@ -401,11 +409,12 @@
     assert broken(offices) == []
 
 
-# what is seen -----------------------------------------------------------------------
+# observability ----------------------------------------------------------------------
 
 
-def test_the_lender_warns_of_a_tenant_that_is_full_for_long_and_only_of_it():
-    """Given one tenant past its ceiling for 40 s, one for 10 s and one never: one warning, of the first, and no second within a minute."""
+def test_issuer_warns_only_of_a_tenant_that_stays_at_its_ceiling():
+    """Given one tenant above its ceiling for 60 s, one for 10 s and one never, the issuer logs one warning, for the first
+    tenant, and no second one within a minute."""
     offices = Offices([tenant("shops", 10.0), tenant("audits", 10.0), tenant("stamps", 10.0)], 2)
     offices.offer("shops", 40.0, 60).offer("audits", 40.0, 10).offer("stamps", 5.0, 60).run(61)
     warnings = [
@@ -416,8 +425,8 @@
     assert [name for _, name in warnings] == ["shops"], warnings
 
 
-def test_a_tenant_costs_few_questions_and_none_when_it_is_silent():
-    """Given 200 requests a second over eight routers, the questions are far fewer; without requests there are none."""
+def test_lease_requests_are_few_under_load_and_stop_without_traffic():
+    """Given 200 requests per second over eight edges, far fewer lease requests are sent, and almost none without traffic."""
     offices = Offices([tenant(requests_per_s=400.0)], 8)
     offices.offer("shops", 200.0, 10).run(10)
     assert offices.asks < 200 * 10 * 0.7
--- a/tests/quotas/test_quotas_in_deployment.py
+++ b/tests/quotas/test_quotas_in_deployment.py
@@ -1,4 +1,4 @@
-"""Allowances in whole towns: edges, cores, servers, callers and the day's log (docs/design/quotas.md)."""
+"""Quotas in complete simulated deployments: edges, cores, servers, callers and the daily log (docs/design/quotas.md)."""
 
 import json
 import re
@@ -42,7 +42,7 @@
 
 
 def shared(seed, name="kosice", edges=3, **more):
-    """A town whose tenants have allowances, and what its witnesses know."""
+    """Returns a deployment whose tenants have quotas, and the view of it from callers' and servers' records."""
     deployment = settled(seed, name, edges, **more)
     answer = configure(deployment, TENANTS[name])
     assert answer and answer[0] == 200, answer
@@ -50,13 +50,13 @@
 
 
 def accountant(deployment):
-    """The core that lends, or None."""
+    """Returns the core that holds the accounting duty, or None."""
     return next((core for core in deployment.machines("core") if core.leases.holds("accountant", deployment.now)), None)
 
 
-def test_a_flood_of_lookups_is_refused_everywhere_with_all_that_is_promised():
-    """Given ten times its allowance of lookups over three edges, what is let in stays within the bound; each refusal is a 429 at once, with run no and a time
-    to come back, reached no server, and stands in the day's log with tenant, allowance and use."""
+def test_lookups_above_the_quota_are_denied_on_every_edge_with_status_and_record():
+    """Given ten times the quota of lookups over three edges, the admitted ones stay within the bound. Each denial is an
+    immediate 429 with run "no" and a retry delay, reaches no server, and is logged with tenant, quota and usage."""
     deployment, shares = shared(1)
     callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=600.0)])
     deployment.run(8)
@@ -91,9 +91,9 @@
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_operators_see_who_was_lent_what_and_who_was_refused():
-    """Given a flood of one tenant and a little of another, any core shows what is allowed, used, lent and refused by tenant and router, and edges and the
-    lender have it among their figures."""
+def test_operators_see_quota_usage_leases_and_denials_by_tenant():
+    """Given an overload of one tenant and little load of another, any core shows limits, usage, leases and denials by
+    tenant and edge; edges and the issuer export them as metrics."""
     deployment, _ = shared(2)
     deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims")])
     deployment.run(6)
@@ -116,9 +116,9 @@
 
 
 @pytest.mark.parametrize("name, flooding", [("kosice", "audits"), ("central-java", "dossiers")])
-def test_the_others_are_as_fast_with_a_tenant_at_ten_times_its_share_as_without(name, flooding):
-    """Given twin runs of one seed, without and with audits or dossiers at ten times their allowance from every edge: the medians and the 99th of a
-    hundred of everybody else's stay within the slack of `harness.twins`, and none of them is refused."""
+def test_tenant_at_ten_times_its_quota_does_not_slow_down_other_tenants(name, flooding):
+    """Given two runs of one seed, without and with audits or dossiers at ten times their quota from every edge, the median
+    and 99th percentile response times of all others stay within the slack of `harness.twins`, and none is denied."""
     times = []
     for is_flooded in (False, True):
         deployment, shares = shared(3, name, 4)
@@ -140,8 +140,9 @@
         assert times[1][each][0] <= median + slack and times[1][each][1] <= late * 1.25 + slack, (each, times)
 
 
-def test_the_accountant_is_lost_and_nobody_inside_a_floor_notices():
-    """Given the core killed that lends, lookups at half of their floor go on without a refusal, until another lends and after."""
+def test_tenant_within_its_floor_is_admitted_while_the_issuer_is_replaced():
+    """Given that the issuing core is killed, lookups at half of their floor are never denied, before and after another
+    core takes over the accounting duty."""
     deployment, shares = shared(4, edges=4)
     callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
     deployment.run(4)
@@ -155,8 +156,9 @@
     assert callers.calls
 
 
-def test_a_lender_that_stood_still_answers_nothing_that_lay_in_its_buffer():
-    """Given the core that lends frozen until another has its duty, what edges asked meanwhile gets no answer when it wakes, before its first pulse."""
+def test_frozen_issuer_does_not_answer_buffered_requests():
+    """Given an issuing core that is frozen until another holds its duty, it answers none of the buffered lease requests on
+    resuming, even before its first tick."""
     deployment, _ = shared(8)
     deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
     deployment.run(2)
@@ -179,8 +181,9 @@
     assert answers == []
 
 
-def test_a_new_edge_has_no_part_of_its_own_until_it_knows_the_others():
-    """Given an edge that starts again, in its first seconds its own part stands still; then it is what one of all edges has."""
+def test_new_edge_has_no_part_of_the_floor_until_it_knows_the_others():
+    """Given an edge that restarts, its local part of the floor stays at 0 in its first seconds; later it is the floor
+    divided by the number of edges."""
     deployment, _ = shared(9, edges=3)
     deployment.run(4)
     deployment.kill("edge-1")
@@ -194,8 +197,9 @@
     assert rate_limiter.edge_count == 3 and rate_limiter.quotas["status"].local.rates.requests == 48 / 3
 
 
-def test_edges_restart_one_by_one_under_a_flood_and_a_promise_is_kept():
-    """Given a flood while edges leave in order and start again one by one, nothing told as not run has run, and what ran stays within the bound."""
+def test_rolling_restart_of_edges_under_overload_keeps_the_bound():
+    """Given an overload while edges shut down and restart one by one, no request reported as not run has run, and the
+    requests that ran stay within the bound."""
     deployment, shares = shared(5, edges=4)
     callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims", rate=20.0)])
     deployment.run(2)
@@ -211,8 +215,9 @@
     assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_an_allowance_is_changed_while_traffic_flows_and_wrong_ones_change_nothing():
-    """Given a flood, a halved allowance is what is let in from the acknowledgement on; one with faults is refused by path and changes nothing."""
+def test_quota_change_takes_effect_once_acknowledged_and_an_invalid_one_is_refused():
+    """Given an overload, a lower quota limits the admitted rate from its acknowledgement on; an invalid quota is refused
+    with the paths of its issues and changes nothing."""
     deployment, shares = shared(6)
     deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0)])
     deployment.run(4)
@@ -230,8 +235,9 @@
     assert 0.85 * 5 * 20 < len(ran) < 5 * 20 * 1.2 + 40
 
 
-def test_a_prompt_of_a_tenant_without_room_is_refused_before_it_is_recorded_or_sent():
-    """Given three prompts of an auditor at three edges at once, with tokens for one, one runs, and of the others no server saw anything."""
+def test_prompt_above_the_token_quota_is_denied_before_it_is_recorded_or_sent():
+    """Given three prompts of one tenant at three edges at once, with tokens for one, one runs, and no server receives the
+    other two."""
     deployment, shares = shared(7)
     callers = quiet(deployment)
     deployment.run(3)
@@ -244,8 +250,8 @@
     ] * 2
 
 
-def test_the_worked_examples_of_the_operators_page_are_taken_as_they_stand():
-    """Given the operators' page, its examples are valid parts of the two cities' catalogues."""
+def test_examples_of_the_operators_page_are_valid():
+    """Given the operators' page, its examples are valid partial catalogues of the two example deployments."""
     page = (Path(__file__).parent.parent.parent / "docs" / "operations.md").read_text()
     examples = [json.loads(text) for text in re.findall(r'^    \{"tenants": \[\n.*?^    \]\}$', page, re.M | re.S)]
     assert len(examples) == 2
@@ -253,9 +259,9 @@
         assert read_catalogue(merge(spec(name).catalogue, example))[1] == ()
 
 
-def test_prompts_that_yield_leave_half_of_the_places_and_go_last():
-    """Given shops that yield and send forty prompts for one model at one edge, none is refused, they take half of the places that this edge may have at
-    most, and a clerk's prompt for the same model that comes last is answered as though they were not there."""
+def test_yielding_prompts_leave_half_of_the_slots_and_run_last():
+    """Given forty yielding prompts for one model at one edge, none is denied and they use at most half of the slots that
+    this edge may use. A later prompt for the same model that does not yield is answered as if they were absent."""
     deployment = settled(10, edges=1)
     tenants = [{"name": "shops", "callers": ["shop"], "requestsPerS": 0.1, "overCeiling": "yield"}]
     assert configure(deployment, tenants)[0] == 200
@@ -281,8 +287,9 @@
     assert edge.rate_limiter.describe()["shops"]["yielded"] >= 38
 
 
-def test_prompts_are_charged_by_what_came_out():
-    """Given tokens for one prompt's estimate and ten seconds to fill them, a second prompt is let in as soon as the first has ended with few tokens."""
+def test_prompts_are_charged_by_actual_output():
+    """Given tokens for the estimate of one prompt and ten seconds to refill them, a second prompt is admitted as soon as
+    the first has ended with few tokens."""
     deployment = settled(11)
     assert (
         configure(
@@ -304,8 +311,9 @@
     )
 
 
-def test_prompts_that_yield_go_last_whatever_their_line():
-    """Given an edge with one place at each server, all taken, prompts of a heavy line that yield and then others of a light one: all the others go first."""
+def test_yielding_prompts_run_last_regardless_of_their_queue():
+    """Given an edge with one slot at each server, all in use, and yielding prompts in a queue of high weight, all prompts
+    that arrive later in a queue of low weight and do not yield run first."""
     small = spec()
     small.servers = [{**server, "slots": 4} if server["kind"] == "model" else server for server in small.servers]
     deployment = Deployment(small, 12, 9)
@@ -316,7 +324,7 @@
     assert configure(deployment, tenants)[0] == 200
     callers, table = quiet(deployment), deployment.boxes["edge-1"].machine.inference_pipeline.table
     deployment.run(1)
-    ask(deployment, callers, "refunds", edge="edge-1")  # the one that is not beyond the allowance
+    ask(deployment, callers, "refunds", edge="edge-1")  # uses up the quota; all later prompts yield
     deployment.run(3)
     model = group(deployment, "refunds")["models"][0]
     held = [ask(deployment, callers, "claims", edge="edge-1", model=model, max_tokens=1024) for _ in range(8)]
--- a/tests/quotas/test_rate_limiter.py
+++ b/tests/quotas/test_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The rate limiter alone: leases by the clock, fences, and what is given back."""
+"""The rate limiter in isolation: lease expiry, fencing tokens, returned leases and borrowing."""
 
 from types import SimpleNamespace
 
@@ -14,7 +14,7 @@
 
 
 def _limiter(now, **more):
-    """A router that has learned who lends, with a request that waits for an answer; its number, and the call."""
+    """Returns a rate limiter that knows the issuer and has a pending request, and the number of its lease request."""
     state = SimpleNamespace(
         generation=1, catalogue=SimpleNamespace(tenants=(tenant(requests_per_s=20.0, **more),), capacity=Capacity())
     )
@@ -41,9 +41,9 @@
     return AdmissionRequested(_call(number), "shops", 0, SECOND * 2)
 
 
-def test_a_lease_ends_by_the_clock_from_when_it_was_asked_for():
-    """Given an answer that was 0.3 s under way, what it lends ahead is over 0.4 s after the question, not after the answer; given one that was 0.5 s
-    under way, it lends nothing at all."""
+def test_lease_expires_after_its_duration_from_the_request():
+    """Given a response that took 0.3 s, its prefetched lease expires 0.4 s after the request, not after the response.
+    Given a response that took 0.5 s, it provides no lease at all."""
     now = SECOND * 100
     rate_limiter, number = _limiter(now)
     assert _give(rate_limiter, number, now + SECOND * 0.3) == [AdmissionGranted(_call(1), False)]
@@ -54,7 +54,7 @@
 
 
 def test_response_under_an_older_fence_is_ignored():
-    """Given an answer under a fence, one under a lower fence lends nothing any more."""
+    """Given a response under one fencing token, a later response under a lower one provides no lease."""
     now = SECOND * 100
     rate_limiter, number = _limiter(now)
     assert _give(rate_limiter, number, now, fence=3, requests=0.0) == [AdmissionGranted(_call(1), False)]
@@ -64,7 +64,8 @@
 
 
 def test_unused_lease_goes_back_to_the_issuer_once():
-    """Given five requests lent ahead of which none is spent, after the lease they are given back with the next question, and not again."""
+    """Given five prefetched requests of which none is used, they are returned with the next lease request after the lease
+    has expired, and not a second time."""
     now = SECOND * 100
     rate_limiter, number = _limiter(now)
     _give(rate_limiter, number, now)
@@ -76,10 +77,11 @@
     assert backs == [5.0] and rate_limiter.quotas["shops"].returned == NOTHING
 
 
-def test_an_edge_that_is_alone_asks_the_same_few_others():
-    """Given an edge among eighty that has no issuer, its requests beyond its own part are asked of eight others, the same ones each time.
+def test_edge_in_local_mode_borrows_from_the_same_eight_edges():
+    """Given one of eighty edges without an issuer, it sends each borrow request to the same eight other edges.
 
-    Seen before: each of eighty edges asked all others for each request that waited while the accountant was away."""
+    Guards against a fault in which each of eighty edges asked all others for every pending request while there was no
+    issuer."""
     now = SECOND * 100
     limiter, _ = _limiter(now)
     peers = tuple(f"edge-{number}" for number in range(2, 81))
