--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -132,7 +132,7 @@
         "return msgspec.json.encode(one) == msgspec.json.encode(other)",
         "return one == other",
         CHECKED,
-        "true_in_the_place_of_one",
+        "true_in_place_of_one",
     ),
     Mutation(
         5,
@@ -140,7 +140,7 @@
         "if document_digest(wanted) != change.document_digest:",
         "if False:",
         DIFFERENCES,
-        "does_not_come_to_the_same",
+        "gives_another_document",
     ),
     Mutation(
         5,
--- a/harness/mutations/quotas.py
+++ b/harness/mutations/quotas.py
@@ -239,7 +239,7 @@
         "elif name in owners:",
         "elif False:",
         "tests/configuration",
-        "each_issue_between_tenants",
+        "each_issue_of_a_tenant",
     ),
     Mutation(
         13,
@@ -247,6 +247,6 @@
         "sum(floors) > capacity[rate_field]",
         "False",
         "tests/configuration",
-        "each_issue_between_tenants",
+        "each_issue_of_a_tenant",
     ),
 )
--- a/harness/mutations/tenants.py
+++ b/harness/mutations/tenants.py
@@ -94,7 +94,7 @@
         "changed[EXTRA] = _merge_extra(base.get(EXTRA, {}), part.get(EXTRA, {}), removals.get(EXTRA, {}))",
         "changed[EXTRA] = part.get(EXTRA, {})",
         PARTS,
-        "carried_is_changed_by_name",
+        "lists_in_extra_are_changed_by_name",
     ),
     Mutation(
         "CONFIG",
--- a/tests/configuration/test_carried_fields.py
+++ b/tests/configuration/test_carried_fields.py
@@ -1,10 +1,11 @@
-"""What a configuration carries without being read is told where it comes into force."""
+"""Fields of a configuration that are stored without being interpreted are listed by path."""
 
 from sumachook.configuration.carried_fields import carried_fields
 
 
-def test_fields_on_every_level_are_named_once():
-    """Given unknown fields at the top, in items and in items of items, each path is named once; what is read is not."""
+def test_uninterpreted_fields_of_every_level_are_listed_once():
+    """Given fields in `extra` at the top level, in items and in nested items, each path is listed once, and fields that are
+    interpreted are not listed."""
     model = {"name": "m", "extra": {"dtype": "f8"}}
     document = {
         "version": 4,
--- a/tests/configuration/test_catalogue.py
+++ b/tests/configuration/test_catalogue.py
@@ -1,4 +1,4 @@
-"""A whole catalogue: every issue by its path, whatever an operator sends."""
+"""Validation of complete catalogues reports every issue by its path, for any document."""
 
 from random import Random
 
@@ -15,8 +15,8 @@
     }
 
 
-def test_every_issue_is_named_by_path():
-    """Given a good catalogue, nothing is wrong with it; of a bad one each place that is wrong is named, in order."""
+def test_every_issue_is_reported_with_its_path():
+    """Given a valid catalogue, no issue is reported; given an invalid one, the path of each issue is, in order."""
     assert read_catalogue(_example())[1] == ()
     doc = _example() | {
         "colour": 1,
@@ -35,8 +35,9 @@
     ]
 
 
-def test_no_junk_makes_the_check_or_the_merge_raise():
-    """Whatever an operator sends is judged, never raised: it is judged on every node."""
+def test_random_documents_never_raise_in_validation_or_merge():
+    """Given random invalid documents, validation and merge report issues and never raise: each node validates every change,
+    so an exception would stop all of them."""
     random = Random(5)
     junk = (
         None,
@@ -78,8 +79,8 @@
     assert min(judged.values()) > 50
 
 
-def test_references_duplicates_and_bounds_are_refused():
-    """Given names that lead nowhere or stand twice, and lists that are too long, each is named."""
+def test_unknown_references_duplicates_and_too_long_lists_are_refused():
+    """Given references to unknown names, duplicate names and a list that is too long, the path of each issue is reported."""
     doc = _example()
     doc["callers"].append({"name": "clerk", "key": "clerk-key", "line": "nowhere", "patience": 1.0})
     doc["adapters"] = [{"name": "x", "model": "gone"}]
--- a/tests/configuration/test_checked_document.py
+++ b/tests/configuration/test_checked_document.py
@@ -1,4 +1,4 @@
-"""A change of configuration is checked by what differs, and judged as if it were read whole (docs/design/control-state.md, docs/design/forwarding.md)."""
+"""The incremental check of a changed configuration gives the results of the complete one (docs/design/control-state.md, docs/design/forwarding.md)."""
 
 import copy
 from time import process_time
@@ -24,7 +24,7 @@
 
 
 def _start():
-    """A document in which each kind of item stands and refers to others."""
+    """Returns a document with an item of each kind that refers to others."""
     callers = [
         {"name": f"caller-{number}", "key": f"key-of-{number}-", "line": "counter", "patience": 9.0}
         for number in range(3)
@@ -42,7 +42,7 @@
 
 
 def _copy(document):
-    """The same document with no object shared, as a body or a log entry brings it."""
+    """Returns a copy without shared objects, as decoded from a request body or a log entry."""
     return msgspec.json.decode(msgspec.json.encode(document))
 
 
@@ -126,7 +126,7 @@
 
 
 SERVED = strategies.sampled_from(("huvo11a", "wuno96b", "gone"))
-ALTERED = {  # by field: what one item may get in its place, valid or not
+ALTERED = {  # by field: the new values of an altered item, valid or not
     "name": strategies.sampled_from(("r-1", "r-2", "r-7", "m", "a", "caller-0", 3)),
     "prefix": strategies.sampled_from(("/p1/", "/p2/", "/q/", "bad")),
     "host": strategies.sampled_from(("ficu95.example", "FICU95.example", "other", None)),
@@ -148,7 +148,7 @@
 
 
 def _alter(take, document):
-    """A part in which one standing item has one field otherwise."""
+    """Returns a partial change that alters one field of one existing item."""
     part = take(strategies.sampled_from([part for part in ITEMS if document.get(part)]))
     item = take(strategies.sampled_from(list(document[part])))
     field = take(
@@ -158,7 +158,7 @@
 
 
 def _part(take, document):
-    """(part, removals): what an operator's partial change may hold."""
+    """Returns a random partial change and its removals."""
     kind = take(strategies.sampled_from(("alter", "alter", "alter", "add", "field", "remove", "mixed")))
     part = _alter(take, document) if kind in ("alter", "mixed") else {}
     if kind in ("add", "mixed"):
@@ -180,8 +180,9 @@
 
 @settings(max_examples=250, deadline=None, derandomize=True)
 @given(strategies.data())
-def test_any_sequence_of_changes_is_judged_as_if_each_were_read_whole(data):
-    """Given random changes, as parts and as wholes in a new order, verdict, reasons, catalogue and route table are those of the whole check."""
+def test_any_sequence_of_changes_gives_the_results_of_complete_checks(data):
+    """Given random changes, partial or complete and reordered, the incremental check gives the same result, issues,
+    catalogue and route table as the complete check, and modifies neither document."""
     base, _ = check_document(_start())
     for version in range(2, 2 + data.draw(strategies.integers(1, 8))):
         part, removals = _part(data.draw, base.document)
@@ -209,8 +210,9 @@
             base = revised
 
 
-def test_a_whole_that_differs_little_is_a_short_difference():
-    """Given 2,600 routes of which one changes, one goes and one comes, the difference holds these, and gives the whole again."""
+def test_small_change_of_a_large_document_gives_a_short_difference():
+    """Given 2,600 routes of which one is changed, one removed and one added, the difference contains only these and restores
+    the complete document."""
     base, _ = check_document(whole(1, 2600))
     wanted = _copy(base.document) | {"version": 2}
     wanted[ROUTES][7] |= {"timeoutMs": 77}
@@ -242,15 +244,16 @@
         {"fields": None, "absent": [], "lists": {}},
     ),
 )
-def test_a_difference_that_does_not_fit_is_named_as_such(wrong):
-    """Given a difference that names what is not there, it is refused as one, whatever is wrong with it."""
+def test_difference_that_does_not_match_the_base_raises(wrong):
+    """Given a malformed difference, or one that refers to items that do not exist, DifferenceError is raised."""
     base, _ = check_document(whole(1, 5))
     with pytest.raises(DifferenceError):
         apply_difference(base, wrong)
 
 
-def test_a_fault_of_one_item_among_many_has_the_reason_of_the_whole_check():
-    """Given one change each that repeats a match, drops a service in use, or bears true for a number, it is refused as from scratch."""
+def test_invalid_item_is_refused_with_the_reason_of_the_complete_check():
+    """Given changes that duplicate a match, remove a service in use, duplicate a name or have a value of a wrong type, each
+    is refused with the issues of the complete check."""
     base, _ = check_document(whole(1, 50))
     for part, removals in (
         ({ROUTES: [route(90, prefix="/p7/")]}, {}),
@@ -263,8 +266,8 @@
         assert revise_document(base, wanted) == (None, read_catalogue(wanted)[1]) and read_catalogue(wanted)[1]
 
 
-def test_true_in_the_place_of_one_is_refused_as_by_the_whole_check():
-    """Given a standing route with one try, the same with true for it is refused; with 1.0, which counts as a whole number, it is taken."""
+def test_true_in_place_of_one_is_refused_like_in_the_complete_check():
+    """Given a route with `tries` 1 in force, a change to true is refused; 1.0, which counts as an integer, is accepted."""
     base, _ = check_document(whole(1, 5) | {ROUTES: [route(0), route(1, tries=1)]})
     for tries in (True, 1.0):
         wanted = replace_in(base, {ROUTES: [route(1, tries=tries)]}, {})
@@ -272,8 +275,8 @@
     assert read_catalogue(replace_in(base, {ROUTES: [route(1, tries=True)]}, {}))[1] != ()
 
 
-def test_two_routes_may_exchange_what_they_match():
-    """Given two routes that exchange their prefixes in one change, it is valid, and the table follows."""
+def test_two_routes_may_exchange_their_prefixes():
+    """Given two routes that exchange their prefixes in one change, it is valid, and the route table is updated."""
     base, _ = check_document(whole(1, 5))
     revised, faults = revise_document(
         base, replace_named(base.document, {ROUTES: [route(1, prefix="/p2/"), route(2, prefix="/p1/")]}, {})
@@ -282,8 +285,8 @@
     assert len(revised.route_by_match) == 5
 
 
-def test_a_change_of_one_route_among_thousands_costs_a_small_part_of_the_whole_check():
-    """Given 2,600 routes, thirty changes of one route each cost less processor time than a third as many whole checks."""
+def test_changing_one_route_of_thousands_costs_a_fraction_of_a_complete_check():
+    """Given 2,600 routes, thirty changes of one route each take less processor time than ten complete checks."""
     base, _ = check_document(whole(1, 2600))
     start = process_time()
     for number in range(30):
--- a/tests/configuration/test_differences.py
+++ b/tests/configuration/test_differences.py
@@ -1,4 +1,4 @@
-"""A whole configuration that differs little goes into log and feed as its difference (docs/design/control-state.md)."""
+"""A complete configuration with few changes is logged and fed to edges as a difference (docs/design/control-state.md)."""
 
 import msgspec
 import pytest
@@ -20,12 +20,12 @@
 
 
 def _logged(change):
-    """The change as another node reads it from its log."""
+    """Returns the change as another node decodes it from its log."""
     return changes.read_change(pack_entry(change))
 
 
 def _changed(document, version, **more):
-    """The whole as an operator sends it, with one route altered."""
+    """Returns the complete document as an operator sends it, with one route changed."""
     document = msgspec.json.decode(msgspec.json.encode(document)) | {"version": version}
     document["httpRoutes"][version % len(document["httpRoutes"])] |= more
     return document
@@ -35,8 +35,9 @@
     return msgspec.json.decode(msgspec.json.encode(document))
 
 
-def test_a_whole_is_ordered_as_its_difference_and_comes_to_the_same():
-    """Given a whole that alters one route of 200, the entry is a difference of a hundredth of it, known again when it is resent whole."""
+def test_small_change_is_logged_as_a_difference_with_the_same_result():
+    """Given a complete document that changes one route of 200, the log entry is a difference of less than 3 % of its size, applies to
+    the same state, and is recognized as a repetition when the complete document is sent again."""
     state, other = _state(), _state()
     wanted = _changed(state.doc, 2, timeoutMs=77)
     change = changes.Configure("q2", wanted, {}, False, 1)
@@ -56,8 +57,8 @@
     )
 
 
-def test_a_whole_that_differs_much_or_a_first_one_is_ordered_as_it_is():
-    """Given no configuration in force, or one of which nothing stays, the change is ordered itself."""
+def test_first_or_largely_changed_document_is_logged_completely():
+    """Given no configuration in force, or one that the change replaces almost entirely, the change is logged as it is."""
     first = changes.Configure("q", whole(1, 3), {}, False, 0)
     assert State().compact_form(first) is first
     other = whole(2, 0) | {"httpRoutes": [route(number, timeoutMs=9) for number in range(300, 320)]}
@@ -66,11 +67,12 @@
 
 
 @pytest.mark.parametrize("bent", ("base document", "digest", "runs"))
-def test_a_difference_that_does_not_come_to_the_same_changes_nothing(bent):
-    """Given a difference whose base was changed under the same version, or that is spoiled, it is neither taken nor refused."""
+def test_difference_that_gives_another_document_changes_nothing(bent):
+    """Given a difference whose base changed under the same version, or that is corrupted, it is neither accepted nor
+    rejected, and the state remains unchanged."""
     state = _state()
     entry = state.compact_form(changes.Configure("q2", _changed(state.doc, 2, timeoutMs=77), {}, False, 1))
-    if bent == "base document":  # by an order that gives no version
+    if bent == "base document":  # by a change without a version
         assert (
             state.apply(2, changes.ApplyDocument("r", {"httpRoutes": [route(5, timeoutMs=9)]}, True, None)).outcome
             is Outcome.ACCEPTED
@@ -91,8 +93,8 @@
     assert isinstance(again, changes.ConfigureByDifference)
 
 
-def test_of_two_on_one_base_the_second_is_stale():
-    """Given two wholes on one base, made into differences at two cores, the first that is delivered counts."""
+def test_second_of_two_changes_on_one_base_is_stale():
+    """Given two differences from one base, computed at two cores, the first delivered is accepted and the second is stale."""
     state = _state()
     first = state.compact_form(changes.Configure("a", _changed(state.doc, 2, timeoutMs=77), {}, False, 1))
     second = state.compact_form(changes.Configure("b", _changed(state.doc, 3, timeoutMs=78), {}, False, 1))
@@ -118,8 +120,9 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(STEPS)
-def test_any_sequence_of_wholes_ends_alike_by_differences_and_by_wholes(steps):
-    """Given wholes of every kind, some refused, what is ordered in their place gives each node the verdict, reasons and state of the whole."""
+def test_any_sequence_of_documents_gives_the_same_state_as_differences_and_complete(steps):
+    """Given random documents, some of them invalid, logging a compact form gives each node the same result, issues and
+    state as logging the complete document."""
     state, other, number = _state(12), _state(12), 1
     for place, more, kind, is_far in steps:
         number += 1
@@ -141,9 +144,9 @@
         assert _plain(state.snapshot()) == _plain(other.snapshot()) and state.catalogue == other.catalogue
 
 
-def test_a_fleet_logs_and_feeds_the_difference():
-    """Given a whole of 1,500 routes sent again with one altered, at each core in turn, no core keeps more than 2 kB for each,
-    and all edges have it; after a kill of all cores and edges the last one stands."""
+def test_cores_and_edges_store_and_receive_only_the_difference():
+    """Given 1,500 routes of which one is changed through each core in turn, no core stores more than 2 kB per change, and
+    all edges receive it; after a kill of all cores and edges the last version is still in force."""
     deployment = _deployment(520)
     document = whole(6, 1500)
     assert _configure(deployment, "core-1", "whole", document, 5)[0] == 200
--- a/tests/configuration/test_node_settings.py
+++ b/tests/configuration/test_node_settings.py
@@ -1,10 +1,10 @@
-"""The settings of one process."""
+"""Validation of the settings of a node process."""
 
 from sumachook.configuration.node_settings import read_node_settings
 
 
-def test_issues_of_settings_are_named():
-    """Given settings of a core, each that is wrong is named; good ones of an edge are read."""
+def test_invalid_settings_are_reported_by_path():
+    """Given invalid settings of a core, the path of each issue is reported; valid settings of an edge are accepted."""
     doc = {
         "node": "c1",
         "address": "127.0.0.1:1",
--- a/tests/configuration/test_parts.py
+++ b/tests/configuration/test_parts.py
@@ -1,4 +1,4 @@
-"""A change of named items against the document in force: what it does not name stays, read or not."""
+"""Partial changes by item name leave all other items unchanged, including uninterpreted ones."""
 
 import pytest
 
@@ -29,20 +29,20 @@
         ({"extra": {"flag": None, "new": 0}}, {}, {"flag": None, "new": 0}),
     ],
 )
-def test_what_is_carried_is_changed_by_name_as_well(part, removals, wanted):
-    """Given lists of named items and other values that nobody reads, a change of some of them leaves all the rest as it was."""
+def test_lists_in_extra_are_changed_by_name(part, removals, wanted):
+    """Given lists of named items and other values in `extra`, a change of some of them leaves all others unchanged."""
     changed = replace_named(BASE, part, removals)
     assert changed == {**BASE, "extra": {**BASE["extra"], **wanted}}
 
 
 def test_an_empty_list_adds_no_field():
-    """Given a change with empty lists of what the document in force does not have, none of them is there afterwards."""
+    """Given a change with empty lists for fields that the document in force does not have, it does not add these fields."""
     base = {"version": 3, "services": [{"name": "s"}]}
     assert replace_named(base, {"httpRoutes": [], "extra": {"owners": []}}, {"tenants": []}) == base
 
 
-def test_removals_that_are_no_names_are_refused():
-    """Given removals of what is carried, lists of names pass and anything else is named by its path."""
+def test_removals_other_than_lists_of_names_are_refused():
+    """Given removals in `extra`, lists of names are accepted and any other value is refused with its path."""
     assert removal_issues({"extra": {"owners": ["o"], "others": []}}) == ()
     paths = [issue.path for issue in removal_issues({"extra": {"owners": "o", "others": [1]}, "services": ["s"]})]
     assert paths == ["removals.extra.owners", "removals.extra.others"]
--- a/tests/configuration/test_services.py
+++ b/tests/configuration/test_services.py
@@ -1,4 +1,4 @@
-"""Services, their routes and the limits of clients in a catalogue, and what is refused of them (docs/design/forwarding.md)."""
+"""Validation of services, forwarding routes and client limits in a catalogue (docs/design/forwarding.md)."""
 
 import msgspec
 
@@ -39,7 +39,7 @@
 
 
 def whole(version=1, routes=1, **more):
-    """A catalogue of services alone."""
+    """Returns a catalogue document with only services and routes."""
     return {
         "name": "c",
         "areas": ["hall-a", "hall-b", "hall-c"],
@@ -57,7 +57,7 @@
 
 
 def test_catalogue_of_services_alone_is_valid():
-    """Given no models, lines or callers, a catalogue of services and routes is whole, and what is left out has its default."""
+    """Given services and routes without models, queues or callers, the catalogue is valid, and omitted fields have defaults."""
     catalogue, faults = read_catalogue(whole())
     assert faults == () and catalogue.models == catalogue.lines == catalogue.callers == ()
     (one,) = catalogue.http_routes
@@ -71,8 +71,8 @@
     assert catalogue.services[0].engine.models[1].adapters == 30 and catalogue.version == 1
 
 
-def test_each_invalid_kind_is_refused_by_path_and_reason():
-    """Given one thing wrong at a time, the check names it, and it alone, by path."""
+def test_each_invalid_field_is_refused_by_its_path():
+    """Given one invalid field at a time, validation reports its path and no other."""
 
     def split(*pairs):
         return [{"service": service, "weight": weight} for service, weight in pairs]
@@ -104,7 +104,7 @@
 
 
 def test_numbers_that_are_not_finite_are_refused():
-    """Given NaN or infinity for a time or a weight, wherever it comes from, the check refuses it."""
+    """Given NaN, infinity or an integer beyond the float range as a time or weight, validation refuses it."""
     for value in (float("nan"), float("inf"), 10**400):
         assert _paths(whole() | {"httpRoutes": [route(0, timeout_ms=value)]}) == ["httpRoutes[0].timeoutMs"]
         assert _paths(whole() | {"httpRoutes": [route(0, split=[{"service": "huvo11a", "weight": value}])]}) == [
@@ -112,8 +112,8 @@
         ]
 
 
-def test_bounds_of_services_and_routes():
-    """Given more than the bounds of a list, it is refused before anything is weighed."""
+def test_too_many_services_or_routes_are_refused():
+    """Given more services or routes than allowed, the list is refused before its items are validated."""
     assert read_catalogue(whole() | {"services": [{"name": f"s{number}"} for number in range(65)]})[1] == (
         ("services", "65 entries, at most 64"),
     )
@@ -122,16 +122,17 @@
     )
 
 
-def test_many_faults_among_many_routes_are_all_named():
-    """Given every tenth of 1,500 routes wrong in its own way, each is named in order, and nothing else."""
+def test_all_issues_among_many_routes_are_reported():
+    """Given 1,500 routes of which every tenth is invalid, the path of each invalid one is reported in order, and no other."""
     routes = [route(number, timeout_ms=0) if number % 10 == 0 else route(number) for number in range(1500)]
     assert _paths(whole() | {"httpRoutes": routes}) == [
         f"httpRoutes[{number}].timeoutMs" for number in range(0, 1500, 10)
     ]
 
 
-def test_what_is_written_reads_back_as_it_was():
-    """Given whole numbers, fractions and unknown things in `extra`, the state's document gives the same text back, on a copy too."""
+def test_document_is_returned_as_it_was_written():
+    """Given integers, fractions and uninterpreted fields in `extra`, the document in the state encodes to the same JSON,
+    also after a restore from a snapshot."""
     doc = whole() | {"extra": {"note": [1, 1.0, None]}, "limits": {"headerMs": 3000, "extra": {"later": {"a": 1}}}}
     doc["httpRoutes"][0]["extra"] = {"colour": "red", "depth": 2}
     state, again = State(), State()
@@ -141,8 +142,8 @@
         assert msgspec.json.encode(each.doc) == msgspec.json.encode(doc)
 
 
-def test_no_junk_in_services_makes_the_check_fall():
-    """Given bent documents of every kind, they are judged and never raise, as whole and as part."""
+def test_random_services_never_raise_in_validation():
+    """Given random invalid documents, complete or partial, they are accepted or rejected with issues and never raise."""
     from random import Random
 
     random = Random(6)
--- a/tests/configuration/test_tenancy.py
+++ b/tests/configuration/test_tenancy.py
@@ -1,10 +1,10 @@
-"""Tenants against the rest of a catalogue."""
+"""Validation of tenants against the callers, routes and capacity of a catalogue."""
 
 from sumachook.configuration.catalogue import read_catalogue
 
 
-def test_each_issue_between_tenants_and_the_rest_is_named():
-    """Given tenants that refer to what there is and fit in, nothing is wrong; otherwise each place that is wrong is named."""
+def test_each_issue_of_a_tenant_is_reported_by_path():
+    """Given tenants with valid references and floors, no issue is reported; given invalid ones, each issue is, by its path."""
     doc = {
         "name": "c",
         "areas": ["a"],
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -119,7 +119,7 @@
 
 
 def test_leases_follow_traffic_that_moves_between_edges():
-    """Given a tenant at three quarters of its quota on one edge, then on all, then on another one, none is denied."""
+    """Given a tenant at three quarters of its quota, with a floor of 0.9, on one edge, on all, then on another, none is denied."""
     offices = Offices([tenant(requests_per_s=40.0, floor=0.9)], 8)
     offices.offer("shops", 30.0, 6, ["edge-1"]).run(6)
     offices.offer("shops", 30.0, 6).run(6)
