--- a/harness/experiments/allowances.py
+++ b/harness/experiments/allowances.py
@@ -19,7 +19,7 @@
 from sumachook.simulation.fault_injection import FaultInjection
 from sumachook.simulation.quota_invariant_checker import WINDOWS
 from tests.deployment_fixtures import group, leader, settled
-from tests.quotas.quota_fixtures import SECOND, Offices
+from tests.quotas.quota_fixtures import SECOND, QuotaSimulator
 
 MOST_SEEDS = 2000
 KNOWN = SECOND * 3
@@ -48,7 +48,7 @@
         self.spec = list(CITIES)[seed % 2]
         self.tenants = CITIES[self.spec]
         latency = self.random.choice(((0.0005, 0.003), (0.0005, 0.003), (0.002, 0.03)))
-        self.offices = Offices(list(self.tenants), self.random.choice((3, 4, 6, 9)), seed, latency=latency)
+        self.offices = QuotaSimulator(list(self.tenants), self.random.choice((3, 4, 6, 9)), seed, latency=latency)
         self.told, self.away, self.load_times, self.figures = (
             [],
             {},
@@ -410,7 +410,7 @@
 def play_turn(seed: int):
     """(routers, until the last router refused, until the last refusal after it was back below)."""
     routers = (4, 8, 16)[seed % 3]
-    offices = Offices([Tenant("shops", requests_per_s=80.0, burst_s=0.05)], routers, seed)
+    offices = QuotaSimulator([Tenant("shops", requests_per_s=80.0, burst_s=0.05)], routers, seed)
     offices.offer("shops", 40.0, 5, is_even=True).run(5)
     past = offices.now
     offices.offer("shops", 800.0, 3, is_even=True).run(3)
--- a/tests/quotas/quota_fixtures.py
+++ b/tests/quotas/quota_fixtures.py
@@ -29,14 +29,24 @@
 SECOND = timedelta(seconds=1)
 TICK = SECOND / 20
 VACANCY = SECOND * 4.5
-OUT_OF_LEASE = SECOND * 2
+REMAINING_LEASE = SECOND * 2
 FIRST_RESTART_EPOCH = 1_800_000_000_000  # milliseconds, the range of real nodes
 
 
 class Node:
     """A simulated process with its rate limiter or lease issuer, its state and its faults."""
 
-    __slots__ = ("name", "machine", "state", "is_up", "is_frozen", "buffer", "restart_epoch", "up_at", "knows_from")
+    __slots__ = (
+        "name",
+        "machine",
+        "state",
+        "is_up",
+        "is_frozen",
+        "buffer",
+        "restart_epoch",
+        "up_at",
+        "knows_edges_from",
+    )
 
     def __init__(self, name):
         self.name, self.machine, self.state, self.is_up, self.is_frozen, self.buffer, self.restart_epoch = (
@@ -48,10 +58,10 @@
             [],
             FIRST_RESTART_EPOCH,
         )
-        self.up_at = self.knows_from = None
+        self.up_at = self.knows_edges_from = None
 
 
-class Caller:
+class SimulatedRequest:
     """A request and its outcome; `ran_at` is when it was admitted, as a server would record it."""
 
     __slots__ = (
@@ -60,12 +70,12 @@
         "at",
         "answered_at",
         "is_refused",
-        "come_back",
+        "retry_delay_s",
         "ran_at",
         "tokens",
         "estimate",
         "is_yielding",
-        "note",
+        "denial_fields",
         "patience",
         "is_lost",
     )
@@ -79,28 +89,28 @@
             estimate,
             patience,
         )
-        self.answered_at = self.ran_at = self.come_back = self.note = None
+        self.answered_at = self.ran_at = self.retry_delay_s = self.denial_fields = None
         self.is_refused = self.is_yielding = self.is_lost = False
 
 
-class Offices:
+class QuotaSimulator:
     """Simulates a deployment: `send` and `offer` generate traffic, `run` advances the clock.
 
     `kill`, `start`, `freeze`, `wake`, `cut` and `heal` inject faults. At most one core holds the accounting duty;
     `lose_holder` lets its lease expire and assigns the duty to another core after the vacancy.
     """
 
-    def __init__(self, tenants, edges=4, seed=1, capacity=None, latency=(0.0005, 0.003), known=SECOND * 3):
-        self.now, self.random, self.heap, self.count, self.latency, self.known = (
+    def __init__(self, tenants, edges=4, seed=1, capacity=None, latency=(0.0005, 0.003), discovery_delay=SECOND * 3):
+        self.now, self.random, self.heap, self.count, self.latency, self.discovery_delay = (
             timedelta(seconds=100),
             Random(seed),
             [],
             0,
             latency,
-            known,
+            discovery_delay,
         )
         self.tenants, self.capacity, self.generation = tenants, capacity or Capacity(), 1
-        self.nodes, self.cuts, self.latest, self.calls, self.logs, self.asks = {}, set(), {}, [], [], 0
+        self.nodes, self.cuts, self.latest, self.calls, self.logs, self.lease_request_count = {}, set(), {}, [], [], 0
         self.holder, self.fence, self.known_holder, self.leased_until = "core-1", 1, "core-1", None
         self.changes, self.disturbed_at = [], []
         for name in ("core-1", "core-2", "core-3"):
@@ -108,7 +118,7 @@
         for place in range(edges):
             self.start(f"edge-{place + 1}")
         for edge in self.edges:
-            edge.knows_from = self.now
+            edge.knows_edges_from = self.now
         self.run(0.3)
 
     @property
@@ -130,12 +140,12 @@
             self.now,
         )
         node.state = SimpleNamespace(generation=self.generation, catalogue=self._catalogue())
-        node.knows_from = self.now + self.known
+        node.knows_edges_from = self.now + self.discovery_delay
         if name.startswith("core"):
             node.machine = QuotaLeaseIssuer(node.state, self.now)
         else:
             node.machine = RateLimiter(node.state, node.restart_epoch, self.now)
-        self._later(TICK * self.random.random(), self._tick, node, node.restart_epoch)
+        self._schedule(TICK * self.random.random(), self._tick, node, node.restart_epoch)
 
     def kill(self, name):
         node = self.nodes[name]
@@ -153,7 +163,7 @@
         node = self.nodes[name]
         node.is_frozen, buffer, node.buffer = False, node.buffer, []
         for message in buffer:
-            self._hand(node, message)
+            self._deliver(node, message)
 
     def cut(self, first, second):
         self.cuts |= {(one, other) for one in first for other in second} | {
@@ -168,21 +178,21 @@
         if self.holder is None:
             return
         old, fence = self.holder, self.fence
-        self.holder, self.leased_until = None, (old, fence, self.now + OUT_OF_LEASE)
-        self._later(after * 0.7, self._vacate)
-        self._later(after, self._fill, old)
+        self.holder, self.leased_until = None, (old, fence, self.now + REMAINING_LEASE)
+        self._schedule(after * 0.7, self._announce_vacancy)
+        self._schedule(after, self._assign_duty, old)
 
-    def _vacate(self):
+    def _announce_vacancy(self):
         self.known_holder = None
 
-    def _fill(self, old):
+    def _assign_duty(self, old):
         up = [
             name
             for name, node in sorted(self.nodes.items())
             if name.startswith("core") and node.is_up and not node.is_frozen and name != old
         ]
         if not up:
-            self._later(SECOND / 2, self._fill, "")
+            self._schedule(SECOND / 2, self._assign_duty, "")
             return
         self.fence += 1
         self.holder = self.known_holder = up[self.random.randrange(len(up))]
@@ -199,23 +209,23 @@
         """Changes the catalogue; each node receives it after a random delay of up to `spread` seconds."""
         self.tenants, self.capacity, self.generation = tenants, capacity or self.capacity, self.generation + 1
         for node in self.nodes.values():
-            self._later(SECOND * spread * self.random.random(), self._learn, node, self.generation)
+            self._schedule(SECOND * spread * self.random.random(), self._update_catalogue, node, self.generation)
 
-    def _learn(self, node, generation):
+    def _update_catalogue(self, node, generation):
         if node.state is not None and node.state.generation < generation:
             node.state.generation, node.state.catalogue = self.generation, self._catalogue()
 
     # time -----------------------------------------------------------------------------------
 
-    def _later(self, delay, call, *words):
+    def _schedule(self, delay, call, *arguments):
         self.count += 1
-        heappush(self.heap, (self.now + delay, self.count, call, words))
+        heappush(self.heap, (self.now + delay, self.count, call, arguments))
 
     def run(self, seconds):
         end = self.now + SECOND * seconds
         while self.heap and self.heap[0][0] <= end:
-            self.now, _, call, words = heappop(self.heap)
-            call(*words)
+            self.now, _, call, arguments = heappop(self.heap)
+            call(*arguments)
         self.now = end
         return self
 
@@ -229,15 +239,17 @@
                 other.name for other in self.edges if other is not node and (node.name, other.name) not in self.cuts
             )
             peer_count = (
-                len([name for name in self.nodes if name.startswith("edge")]) if self.now >= node.knows_from else 0
+                len([name for name in self.nodes if name.startswith("edge")])
+                if self.now >= node.knows_edges_from
+                else 0
             )
             cores = tuple(name for name in self.nodes if name.startswith("core"))
             message = LimiterTick(self.known_holder, cores, peers, peer_count)
         if not node.is_frozen:
-            self._hand(node, message)
-        self._later(TICK, self._tick, node, restart_epoch)
+            self._deliver(node, message)
+        self._schedule(TICK, self._tick, node, restart_epoch)
 
-    def _hand(self, node, message):
+    def _deliver(self, node, message):
         if not node.is_up:
             return
         if node.is_frozen:
@@ -252,59 +264,61 @@
             else:
                 message = LeaseRequestReceived(message.sender, message.address, message.message, fence)
         for effect in node.machine.take(message, self.now):
-            self._do(node, effect)
+            self._apply_effect(node, effect)
 
-    def _do(self, node, effect):
+    def _apply_effect(self, node, effect):
         if isinstance(effect, Send):
             other = self.nodes.get(effect.address)
             if other is None or (node.name, other.name) in self.cuts:
                 return
-            self.asks += isinstance(effect.message, LeaseRequest)
+            self.lease_request_count += isinstance(effect.message, LeaseRequest)
             raw = Codec("c", node.name, node.name, node.restart_epoch).pack(effect.message)
             at = self.now + SECOND * self.random.uniform(*self.latency)
             key = (node.name, other.name)
             at = self.latest[key] = max(at, self.latest.get(key, at))
-            self._later(at - self.now, self._arrive, key, other, other.restart_epoch, raw)
+            self._schedule(at - self.now, self._receive, key, other, other.restart_epoch, raw)
         elif isinstance(effect, AdmissionGranted):
             self._answer(effect.key.request, True, effect.is_yielding)
         elif isinstance(effect, AdmissionDenied):
             call = effect.key.request
-            call.come_back, call.note = effect.retry_after_s, effect.record_fields
+            call.retry_delay_s, call.denial_fields = effect.retry_after_s, effect.record_fields
             self._answer(call, False, False)
         elif isinstance(effect, Log):
             self.logs.append((self.now, node.name, effect.level, effect.component, effect.text, effect.fields))
 
-    def _arrive(self, key, other, restart_epoch, raw):
+    def _receive(self, key, other, restart_epoch, raw):
         if key in self.cuts or other.restart_epoch != restart_epoch:
             return
         sender, address, _, message = read_frame("c", raw)
-        self._hand(other, MessageReceived(sender, address, message))
+        self._deliver(other, MessageReceived(sender, address, message))
 
     # traffic ---------------------------------------------------------------------------------
 
     def send(self, tenant, edge, tokens=0, estimate=None, patience=2.0, takes=None):
         """Sends one request now; if `takes` is given, its token charge is corrected after so many seconds."""
-        call = Caller(tenant, edge, self.now, tokens, tokens if estimate is None else estimate, SECOND * patience)
+        call = SimulatedRequest(
+            tenant, edge, self.now, tokens, tokens if estimate is None else estimate, SECOND * patience
+        )
         node = self.nodes[edge]
         if not node.is_up:
             call.answered_at, call.is_lost = self.now, True
             return call
         self.calls.append(call)
         if takes is not None:
-            self._later(SECOND * takes, self._over, call, node.restart_epoch)
-        self._hand(node, AdmissionRequested(_key(call), tenant, call.estimate, call.patience))
+            self._schedule(SECOND * takes, self._settle_usage, call, node.restart_epoch)
+        self._deliver(node, AdmissionRequested(_admission_key(call), tenant, call.estimate, call.patience))
         return call
 
-    def _answer(self, call, is_in, is_yielding):
+    def _answer(self, call, is_admitted, is_yielding):
         assert call.answered_at is None, "answered twice"
-        call.answered_at, call.is_refused, call.is_yielding = self.now, not is_in, is_yielding
-        if is_in:
+        call.answered_at, call.is_refused, call.is_yielding = self.now, not is_admitted, is_yielding
+        if is_admitted:
             call.ran_at = self.now
 
-    def _over(self, call, restart_epoch):
+    def _settle_usage(self, call, restart_epoch):
         node = self.nodes[call.edge]
         if call.ran_at is not None and not call.is_yielding and node.restart_epoch == restart_epoch:
-            self._hand(node, UsageSettled(_key(call), call.tenant, 0, call.estimate - call.tokens))
+            self._deliver(node, UsageSettled(_admission_key(call), call.tenant, 0, call.estimate - call.tokens))
 
     def offer(self, tenant, rate, seconds, edges=None, is_even=False, **more):
         """Schedules `rate` requests per second for `seconds`, each to a random one of the edges."""
@@ -313,9 +327,9 @@
             at += 1 / rate if is_even else self.random.expovariate(rate)
             if at >= seconds:
                 return self
-            self._later(SECOND * at, self._offered, tenant, edges, more)
+            self._schedule(SECOND * at, self._send_offered, tenant, edges, more)
 
-    def _offered(self, tenant, edges, more):
+    def _send_offered(self, tenant, edges, more):
         names = edges or [node.name for node in self.edges]
         if names:
             self.send(tenant, names[self.random.randrange(len(names))], **more)
@@ -347,7 +361,7 @@
         return [Ask(call.at, call.is_refused) for call in self.of(tenant) if call.edge not in but]
 
 
-def _key(call):
+def _admission_key(call):
     return AdmissionKey(Pipeline.PROXY, call)
 
 
