--- a/sumachook/configuration/difference.py
+++ b/sumachook/configuration/difference.py
@@ -46,7 +46,7 @@
     Raises DifferenceError if the difference does not match `base`.
     """
     if base is None:
-        raise DifferenceError("no document is in force")
+        raise DifferenceError("no document is in force to which the difference applies")
     try:
         document = {field: value for field, value in base.document.items() if field not in difference[ABSENT]}
         document.update(difference[FIELDS])
--- a/sumachook/configuration/node_settings.py
+++ b/sumachook/configuration/node_settings.py
@@ -15,7 +15,7 @@
 MAX_SEEDS = 3
 FOUNDERS = 3  # the smallest number of voters that tolerates one failure
 
-COLD_OVERSHOOT, COLD_SLACK = 1.5, 5.0  # defaults for the load of a cold server beyond its rate
+COLD_OVERSHOOT, COLD_SLACK = 1.5, 5.0  # default limits on the load of a cold server above its configured rate
 
 
 class NodeSettings(msgspec.Struct, rename="camel", forbid_unknown_fields=True, frozen=True):
@@ -44,9 +44,10 @@
     # if not `fenced`: minimum seconds between the orders of two successive duty holders
     turn_gap: Annotated[float, Meta(ge=0, le=60)] = 0.0
     resend_ratio: Annotated[float, Meta(ge=0, le=1)] = 0.2
-    resend_slack: Annotated[float, Meta(ge=0, le=100000)] | None = None  # resends beyond the ratio, over all edges
+    # number of resends allowed beyond `resend_ratio`, in total over all edges
+    resend_slack: Annotated[float, Meta(ge=0, le=100000)] | None = None
     cold_overshoot: Annotated[float, Meta(ge=1, le=100)] = COLD_OVERSHOOT  # factor on the request rate of a cold server
-    cold_slack: Annotated[float, Meta(ge=0, le=100000)] = COLD_SLACK  # requests per second beyond that
+    cold_slack: Annotated[float, Meta(ge=0, le=100000)] = COLD_SLACK  # additional requests per second
     # seconds for which an edge accepts tenants' keys without contact to a core; null for no limit
     key_lifetime: Annotated[float, Meta(gt=0, le=86400)] | None = None
     grace: Annotated[float, Meta(ge=1, le=600)] = 8.0  # seconds from SIGTERM to SIGKILL
--- a/sumachook/configuration/part.py
+++ b/sumachook/configuration/part.py
@@ -15,7 +15,7 @@
     ()
     >>> for issue in removal_issues({"services": "a", "areas": ["b"], "extra": {"c": 1}}): print(*issue, sep=": ")
     removals.services: a list of names is required
-    removals.areas: items of this field have no name
+    removals.areas: items of this field are not named
     removals.extra.c: a list of names is required
     """
     if not isinstance(removals, dict):
@@ -25,7 +25,7 @@
         if field == EXTRA and isinstance(names, dict):
             issues += [_names_required(f"removals.{EXTRA}.{name}") for name in names if not _are_names(names[name])]
         elif field not in NAMED_LISTS:
-            issues.append(ConfigurationIssue(f"removals.{field}", "items of this field have no name"))
+            issues.append(ConfigurationIssue(f"removals.{field}", "items of this field are not named"))
         elif not _are_names(names):
             issues.append(_names_required(f"removals.{field}"))
     return tuple(issues)
@@ -74,7 +74,7 @@
     All uninterpreted fields are in this one object, so it is merged by field and never replaced as a whole.
     """
     if not isinstance(part, dict):
-        return part  # rejected later by validation
+        return part  # a value of another type is rejected later by validation
     changed = {**base, **part}
     for field in {**part, **removals}:
         current, items, removed = base.get(field, ()), part.get(field, ()), set(removals.get(field, ()))
--- a/sumachook/quotas/rate_limiter.py
+++ b/sumachook/quotas/rate_limiter.py
@@ -29,10 +29,10 @@
 # leases
 LEASE = MILLISECOND * 400  # lease duration, counted from when the request was sent
 REQUEST_INTERVAL = MILLISECOND * 100  # minimum interval between requests while one is unanswered
-ISSUER_TIMEOUT = MILLISECOND * 200  # without a response; then this edge decides locally
-PROBE_INTERVAL = MILLISECOND * 200  # between requests to the issuer in local mode
+ISSUER_TIMEOUT = MILLISECOND * 200  # time without a response from the issuer after which the edge enters local mode
+PROBE_INTERVAL = MILLISECOND * 200  # interval between probes of the issuer in local mode
 EXHAUSTED_FOR = MILLISECOND * 100  # after a denial, further requests are denied without asking the issuer
-MAX_PENDING = 512  # pending requests per tenant
+MAX_PENDING = 512  # maximum number of pending requests per tenant
 MAX_PENDING_PER_MESSAGE = 64
 MIN_PROBE_DEMAND_PER_S = 0.1  # tenants with less demand are left out of probes
 
@@ -47,7 +47,7 @@
 
 # borrowing from other edges
 BORROW_INTERVAL = MILLISECOND * 50
-BORROW_LIFETIME = MILLISECOND * 1000  # later responses are ignored
+BORROW_LIFETIME = MILLISECOND * 1000  # borrow responses that arrive later are ignored
 MAX_LENDERS = 8  # edges asked per borrow request, so that the cost does not grow with the number of edges
 
 REPORT_INTERVAL = MILLISECOND * 1000
@@ -97,7 +97,7 @@
         self.quotas: dict[str, TenantQuota] = {}
         self.number = restart_epoch << RESTART_EPOCH_BITS
         self.open_requests: dict[int, OpenRequest] = {}
-        self.borrow_requests: dict[int, timedelta] = {}  # send time by request number
+        self.borrow_requests: dict[int, timedelta] = {}  # send time of each borrow request by its number
         self.is_local_mode = False
         self.fence = 0
         self.issuer: str | None = None
--- a/sumachook/quotas/usage.py
+++ b/sumachook/quotas/usage.py
@@ -7,7 +7,7 @@
 from sumachook.host.events import MessageReceived
 from sumachook.quotas.terms import QuotaTerms
 
-REPORT_LIFETIME = timedelta(seconds=5)  # edges report every second
+REPORT_LIFETIME = timedelta(seconds=5)  # lifetime of a report; edges send one every second
 
 
 class EdgeReport(NamedTuple):
--- a/tests/configuration/test_differences.py
+++ b/tests/configuration/test_differences.py
@@ -72,7 +72,7 @@
     rejected, and the state remains unchanged."""
     state = _state()
     entry = state.compact_form(changes.Configure("q2", _changed(state.doc, 2, timeoutMs=77), {}, False, 1))
-    if bent == "base document":  # by a change without a version
+    if bent == "base document":  # changed by a request without a version
         assert (
             state.apply(2, changes.ApplyDocument("r", {"httpRoutes": [route(5, timeoutMs=9)]}, True, None)).outcome
             is Outcome.ACCEPTED
--- a/tests/quotas/quota_fixtures.py
+++ b/tests/quotas/quota_fixtures.py
@@ -30,7 +30,7 @@
 TICK = SECOND / 20
 VACANCY = SECOND * 4.5
 REMAINING_LEASE = SECOND * 2
-FIRST_RESTART_EPOCH = 1_800_000_000_000  # milliseconds, the range of real nodes
+FIRST_RESTART_EPOCH = 1_800_000_000_000  # restart epoch of the first start, in milliseconds as on real nodes
 
 
 class Node:
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -57,7 +57,7 @@
     late = [call for call in refused if call.at > simulator.now - 8 * SECOND]
     assert all(
         4 < call.retry_delay_s < 14 for call in late
-    )  # nine of ten are denied, which adds nine seconds to serve them
+    )  # nine of ten requests are denied: serving them takes nine seconds
     assert any(30 <= call.denial_fields["used"]["requestsPerS"] <= 60 for call in late)
 
 
--- a/tests/quotas/test_quotas_in_deployment.py
+++ b/tests/quotas/test_quotas_in_deployment.py
@@ -324,7 +324,7 @@
     assert configure(deployment, tenants)[0] == 200
     callers, table = quiet(deployment), deployment.boxes["edge-1"].machine.inference_pipeline.table
     deployment.run(1)
-    ask(deployment, callers, "refunds", edge="edge-1")  # uses up the quota; all later prompts yield
+    ask(deployment, callers, "refunds", edge="edge-1")  # this prompt uses up the quota; all later ones yield
     deployment.run(3)
     model = group(deployment, "refunds")["models"][0]
     held = [ask(deployment, callers, "claims", edge="edge-1", model=model, max_tokens=1024) for _ in range(8)]
