--- a/sumachook/placement/candidates.py
+++ b/sumachook/placement/candidates.py
@@ -1,4 +1,4 @@
-"""Where a model or adapter is best loaded, and what it costs others: read from servers and demand, changes nothing."""
+"""Chooses the server for a load and the evictions that it needs, from server contents and demand; changes no state."""
 
 from collections.abc import Collection, Sequence
 from datetime import timedelta
@@ -11,41 +11,41 @@
 from sumachook.placement.model_names import full_name, model_of
 from sumachook.placement.policy import SCORING
 
-UNUSED_GRACE = timedelta(seconds=2)  # what was just loaded stays for those who asked for it
-JUST_USED = timedelta(seconds=1)
-MAX_BLOCKED_RATE = 20.0  # requests a second; a busier server is not worse still
+UNUSED_GRACE = timedelta(seconds=2)  # protects a new load from eviction until requests use it
+RECENT_USE = timedelta(seconds=1)
+MAX_BLOCKED_RATE = 20.0  # requests per second; caps the cost of blocking a busy server
 
 
 class Eviction(NamedTuple):
-    """What is to be unloaded ("model" or "model/adapter") and what that costs, in seconds that somebody waits."""
+    """The models and adapters to unload ("model" or "model/adapter"), and the cost in seconds of waiting time."""
 
     cost: float
     names: tuple[str, ...]
 
 
 class Candidate(NamedTuple):
-    """A server for a load, and what is to be unloaded there first."""
+    """A server to load a model on, and the models and adapters to unload there first."""
 
     server: EngineServer
-    names: tuple[str, ...]
+    evictions: tuple[str, ...]
 
 
 class AdapterCandidate(NamedTuple):
-    """A server for an adapter, and the adapter ("model/adapter" or "") to be unloaded there first."""
+    """A server to load an adapter on, and the adapter ("model/adapter" or "") to unload there first."""
 
     server: EngineServer
     evicted: str
 
 
 class CandidateScoring:
-    """Weighs the servers of one service at one moment; costs are seconds that somebody waits.
+    """Scores the servers of one service at one moment; costs are seconds of request waiting time.
 
     Parameters
     ----------
-    wanted : names that requests wait for
-    desired : {model: replicas that it should have}
-    predicted : models that are likely to be asked for next
-    demand_age : how long anything has been asked for
+    wanted : models and adapters that pending requests wait for
+    desired : {model: target number of replicas}
+    predicted : models that are likely to be requested next
+    demand_age : time since the first request for any model
     """
 
     __slots__ = (
@@ -94,32 +94,32 @@
         self._rates: dict[str, float] = {}
         self._positions: dict[str, int] = {}
 
-    # demand --------------------------------------------------------------------------
+    # request rates and replicas ------------------------------------------------------
 
     def rate(self, name: str) -> float:
-        """Requests a second for a model or adapter."""
+        """Returns the request rate of a model or adapter, in requests per second."""
         if name not in self._rates:
             self._rates[name] = self.demand.rate(self.service, name, self.now)
         return self._rates[name]
 
     def predicted_rate(self, name: str) -> float:
-        """The same by the time that a load is complete."""
+        """Returns the request rate that is expected when a load started now completes, in requests per second."""
         return self.demand.predicted_rate(self.service, name, self.now)
 
     def running(self, name: str) -> int:
-        """How many requests of a model or adapter run."""
+        """Returns the number of running requests of a model or adapter."""
         return self.demand.running.get((self.service, name), 0)
 
     def planned_replicas(self, model: str) -> int:
-        """Servers that hold it, load it or make room for it."""
+        """Counts the open servers that hold the model, load it, or evict others for it."""
         return sum(1 for server in self.servers if server.is_open and server.will_hold(model))
 
     def load_on(self, server: EngineServer) -> float:
-        """Requests a second that this server gets, if each model's are spread evenly over its replicas."""
+        """Returns the request rate of a server, assuming that requests are spread evenly over a model's replicas."""
         return sum(self._rate_per_replica(model) for model in server.ready)
 
     def adapter_load_on(self, server: EngineServer) -> float:
-        """The same of models that have adapters."""
+        """Returns the part of `load_on` that belongs to models with adapters."""
         models = self.capacity.models
         return sum(
             self._rate_per_replica(model) for model in server.ready if model in models and models[model].adapters
@@ -131,22 +131,22 @@
     # costs ---------------------------------------------------------------------------
 
     def load_seconds(self, model: str, is_on_disk: bool = False) -> float:
-        """How long a load takes: as configured, or from a server's own disk as such loads took."""
+        """Returns the expected load time: as configured, or as observed for loads from the server's own disk."""
         load_ms = self.capacity.models[model].load_ms
         duration = timedelta(milliseconds=load_ms)
         if is_on_disk:
             kind = OrderKind(self.service, Verb.LOAD, False, False, load_ms)
-            duration = self.load_times.learnt(kind, duration * SCORING.disk_part)
+            duration = self.load_times.estimate_or(kind, duration * SCORING.disk_load_fraction)
         return duration.total_seconds()
 
     def acceptable_cost(self, model: str, waiting: int, age: timedelta) -> float:
-        """How much a load of this model may cost others.
+        """Returns the highest eviction cost that is acceptable for loading this model.
 
-        A replica of what is much asked for is given up for a rarely asked model only after a long wait.
+        A replica of a busy model is evicted for a rarely requested one only after a long wait.
 
         Parameters
         ----------
-        waiting : requests that wait for it
+        waiting : number of requests that wait for the model
         age : how long the first of them has waited
         """
         load = self.load_seconds(model)
@@ -159,10 +159,10 @@
         )
 
     def eviction_cost(self, server: EngineServer, model: str) -> float | None:
-        """What it costs others if `model` leaves this server; None if it must stay."""
+        """Returns the cost of evicting `model` from a server, in seconds of waiting; None if it must not be evicted."""
         if model not in self.capacity.models:
             return 0.0
-        if model in self.wanted or self._was_loaded_for_somebody(server, model):
+        if model in self.wanted or self._is_protected_load(server, model):
             return None
         replicas = max(1, self.replicas.get(model, 1))
         rate = self.rate(model)
@@ -172,28 +172,28 @@
         if 1 < replicas <= self.desired.get(model, 1):
             cost += load * rate * SCORING.shared_replica_loads
         running_here = self._running_at(server, model, replicas)
-        if running_here:  # an unload waits for them
+        if running_here:  # the server finishes running requests before it unloads
             cost += SCORING.eviction_of_running + running_here
         if replicas == 1:
-            cost += self._catalogue_worth(model)
+            cost += self._catalogue_order_cost(model)
         if model in self.predicted and replicas == 1:
             cost += load * SCORING.predicted_loads
-        last_begun = self.demand.last_begun.get((self.service, model))
-        if last_begun is not None and self.now - last_begun < JUST_USED:
-            cost += SCORING.just_used
+        last_started = self.demand.last_started.get((self.service, model))
+        if last_started is not None and self.now - last_started < RECENT_USE:
+            cost += SCORING.eviction_of_recently_used
         return cost
 
-    def _was_loaded_for_somebody(self, server: EngineServer, model: str) -> bool:
-        """Whether the model, or an adapter of it, was loaded a moment ago and not used since."""
+    def _is_protected_load(self, server: EngineServer, model: str) -> bool:
+        """Returns whether the model or an adapter of it was loaded within `UNUSED_GRACE` and not used since."""
         return any(model_of(name) == model and self.now - at < UNUSED_GRACE for name, at in server.unused_since.items())
 
     def _running_at(self, server: EngineServer, model: str, replicas: int) -> float:
         running_here = self.demand.running_at(self.service, model, server.name)
         return self.running(model) / replicas if running_here is None else running_here
 
-    def _catalogue_worth(self, model: str) -> float:
-        """What the order of the catalogue says of a model while little has been asked for."""
-        if self.demand_age >= SCORING.catalogue_order_for:
+    def _catalogue_order_cost(self, model: str) -> float:
+        """Returns a cost that favours models early in the catalogue, and fades as demand data accumulate."""
+        if self.demand_age >= SCORING.catalogue_order_decay:
             return 0.0
         if not self._positions:
             self._positions = {name: position for position, name in enumerate(self.capacity.models)}
@@ -201,13 +201,13 @@
             SCORING.catalogue_order_loads
             * self.load_seconds(model)
             * (1 - self._positions[model] / len(self._positions))
-            * (1 - self.demand_age / SCORING.catalogue_order_for)
+            * (1 - self.demand_age / SCORING.catalogue_order_decay)
         )
 
     # evictions -----------------------------------------------------------------------
 
     def cheapest_eviction(self, server: EngineServer, model: str) -> Eviction | None:
-        """What to unload from a server so that `model` fits: adapters if enough, else one model, else several."""
+        """Returns the evictions that make `model` fit: adapters if they free enough, else one model, else several."""
         free_mb = self.capacity.free_mb(server.models)
         size_mb = self.capacity.models[model].size_mb
         if free_mb >= size_mb:
@@ -242,9 +242,9 @@
         return self.capacity.free_mb({held: adapters for held, adapters in server.models.items() if held not in names})
 
     def evictable_adapters(self, server: EngineServer) -> list[str]:
-        """Adapters ("model/adapter") that may be unloaded, least recently used first, those that run last.
+        """Returns the adapters ("model/adapter") that may be evicted, least recently used first.
 
-        What requests wait for or what was just loaded is not among them.
+        Adapters with running requests come last; those just loaded or with waiting requests are left out.
         """
         found = []
         for model, adapters in server.ready.items():
@@ -255,23 +255,23 @@
                     or self.now - server.unused_since.get(name, self.now - UNUSED_GRACE) < UNUSED_GRACE
                 ):
                     continue
-                last_begun = self.demand.last_begun.get((self.service, name), timedelta(0))
+                last_started = self.demand.last_started.get((self.service, name), timedelta(0))
                 loaded_at = server.loaded_at.get(name, timedelta(0))
-                found.append((bool(self.running(name)), max(last_begun, loaded_at), name))
+                found.append((bool(self.running(name)), max(last_started, loaded_at), name))
         return [name for _, _, name in sorted(found)]
 
-    # choices -------------------------------------------------------------------------
+    # choice of a server --------------------------------------------------------------
 
     def best_server(
-        self, model: str, may_use_store: bool, is_spare: bool = False, max_cost: float = float("inf")
+        self, model: str, may_use_store: bool, is_optional: bool = False, max_cost: float = float("inf")
     ) -> Candidate | None:
-        """The best server for one more replica of `model`, or None for now.
+        """Returns the server with the lowest cost for another replica of `model`, or None if no server is suitable now.
 
         Parameters
         ----------
-        may_use_store : whether a load from the store may begin now
-        is_spare : nothing that is asked for gives way
-        max_cost : only what costs others at most this is unloaded
+        may_use_store : whether the weight store's rate limit admits a load now
+        is_optional : whether the replica is optional, so that no replica in use may be evicted for it
+        max_cost : highest acceptable eviction cost
         """
         per_zone: dict[str, int] = {}
         for server in self.servers:
@@ -286,39 +286,39 @@
             if not is_on_disk and not may_use_store:
                 continue
             eviction = self.cheapest_eviction(server, model)
-            if eviction is None or not self._is_acceptable(model, eviction, is_spare, max_cost):
+            if eviction is None or not self._is_acceptable(model, eviction, is_optional, max_cost):
                 continue
-            cost = self._total_cost(server, model, eviction, is_spare, per_zone.get(server.zone, 0))
+            cost = self._total_cost(server, model, eviction, is_optional, per_zone.get(server.zone, 0))
             if best is None or (cost, server.name) < best:
                 best = (cost, server.name)
                 chosen = Candidate(server, eviction.names)
         return chosen
 
-    def _is_acceptable(self, model: str, eviction: Eviction, is_spare: bool, max_cost: float) -> bool:
+    def _is_acceptable(self, model: str, eviction: Eviction, is_optional: bool, max_cost: float) -> bool:
         if eviction.cost > max_cost:
             return False
-        return not is_spare or not any(self._is_needed(name, self.rate(model)) for name in eviction.names)
+        return not is_optional or not any(self._is_needed(name, self.rate(model)) for name in eviction.names)
 
     def _total_cost(
-        self, server: EngineServer, model: str, eviction: Eviction, is_spare: bool, replicas_in_zone: int
+        self, server: EngineServer, model: str, eviction: Eviction, is_optional: bool, replicas_in_zone: int
     ) -> float:
         cost, names = eviction
         rate = self.rate(model)
-        if not is_spare:
+        if not is_optional:
             cost += sum(
-                SCORING.eviction_of_more_asked
+                SCORING.eviction_of_busier
                 for name in names
                 if self.replicas.get(name, 0) == 1 and self.rate(name) > rate
             )
         cost += self.load_seconds(model, model in server.on_disk) + SCORING.per_eviction * len(names)
-        cost += SCORING.same_zone * replicas_in_zone * min(1.0, rate)
+        cost += SCORING.replica_in_same_zone * replicas_in_zone * min(1.0, rate)
         cost += SCORING.load_on_server * self.load_on(server) + SCORING.blocked_adapters * min(
             MAX_BLOCKED_RATE, self.adapter_load_on(server)
         )
         return cost
 
     def _is_needed(self, name: str, rate: float) -> bool:
-        """Whether something that is asked for would miss this replica, beside a model of this rate."""
+        """Returns whether a replica is too valuable to evict for an optional one of a model with this request rate."""
         replicas = self.replicas.get(name, 0)
         if self.running(name):
             return replicas <= self.desired.get(name, 1)
@@ -327,7 +327,7 @@
         return self.rate(name) > 0.02 * rate
 
     def best_server_for_adapter(self, model: str, adapter: str) -> AdapterCandidate | None:
-        """The best server for one more replica of `adapter`, or None for now."""
+        """Returns the least loaded server for another replica of `adapter`, or None; prefers servers with room."""
         best: tuple[bool, float, str] | None = None
         chosen: AdapterCandidate | None = None
         for server in self.servers:
