--- a/tests/configuration/test_catalogue.py
+++ b/tests/configuration/test_catalogue.py
@@ -39,7 +39,7 @@
     """Given random invalid documents, validation and merge report issues and never raise: each node validates every change,
     so an exception would stop all of them."""
     random = Random(5)
-    junk = (
+    invalid_values = (
         None,
         True,
         -1,
@@ -55,13 +55,13 @@
         [None, 3, {"name": None}],
     )
 
-    def bend(value, depth=0):
+    def corrupt(value, depth=0):
         if random.random() < 0.04:
-            return random.choice(junk)
+            return random.choice(invalid_values)
         if isinstance(value, dict):
-            return {name: bend(item, depth + 1) for name, item in value.items() if random.random() < 0.99}
+            return {name: corrupt(item, depth + 1) for name, item in value.items() if random.random() < 0.99}
         if isinstance(value, list):
-            return [bend(item, depth + 1) for item in value]
+            return [corrupt(item, depth + 1) for item in value]
         return value
 
     whole = _example() | {
@@ -71,10 +71,10 @@
     }
     judged = {True: 0, False: 0}
     for _ in range(2000):
-        doc = bend(whole)
+        doc = corrupt(whole)
         for wanted in (doc, merge(whole, doc) if isinstance(doc, dict) else doc):
-            catalogue, faults = read_catalogue(wanted)
-            assert (catalogue is None) == bool(faults)
+            catalogue, found_issues = read_catalogue(wanted)
+            assert (catalogue is None) == bool(found_issues)
             judged[catalogue is None] += 1
     assert min(judged.values()) > 50
 
--- a/tests/configuration/test_checked_document.py
+++ b/tests/configuration/test_checked_document.py
@@ -23,7 +23,7 @@
 ROUTES, SERVICES = "httpRoutes", "services"
 
 
-def _start():
+def _document_with_all_kinds():
     """Returns a document with an item of each kind that refers to others."""
     callers = [
         {"name": f"caller-{number}", "key": f"key-of-{number}-", "line": "counter", "patience": 9.0}
@@ -126,7 +126,7 @@
 
 
 SERVED = strategies.sampled_from(("huvo11a", "wuno96b", "gone"))
-ALTERED = {  # by field: the new values of an altered item, valid or not
+ALTERED_VALUES = {  # by field: the new values of an altered item, valid or not
     "name": strategies.sampled_from(("r-1", "r-2", "r-7", "m", "a", "caller-0", 3)),
     "prefix": strategies.sampled_from(("/p1/", "/p2/", "/q/", "bad")),
     "host": strategies.sampled_from(("ficu95.example", "FICU95.example", "other", None)),
@@ -147,29 +147,31 @@
 }
 
 
-def _alter(take, document):
+def _random_alteration(choose, document):
     """Returns a partial change that alters one field of one existing item."""
-    part = take(strategies.sampled_from([part for part in ITEMS if document.get(part)]))
-    item = take(strategies.sampled_from(list(document[part])))
-    field = take(
-        strategies.sampled_from([field for field in ALTERED if field in item or field in ("tries", "extra", "colour")])
+    part = choose(strategies.sampled_from([part for part in ITEMS if document.get(part)]))
+    item = choose(strategies.sampled_from(list(document[part])))
+    field = choose(
+        strategies.sampled_from(
+            [field for field in ALTERED_VALUES if field in item or field in ("tries", "extra", "colour")]
+        )
     )
-    return {part: [item | {field: take(ALTERED[field])}]}
+    return {part: [item | {field: choose(ALTERED_VALUES[field])}]}
 
 
-def _part(take, document):
+def _random_change(choose, document):
     """Returns a random partial change and its removals."""
-    kind = take(strategies.sampled_from(("alter", "alter", "alter", "add", "field", "remove", "mixed")))
-    part = _alter(take, document) if kind in ("alter", "mixed") else {}
+    kind = choose(strategies.sampled_from(("alter", "alter", "alter", "add", "field", "remove", "mixed")))
+    part = _random_alteration(choose, document) if kind in ("alter", "mixed") else {}
     if kind in ("add", "mixed"):
-        field = take(strategies.sampled_from(sorted(ITEMS)))
-        part[field] = part.get(field, []) + take(strategies.lists(ITEMS[field], min_size=1, max_size=2))
+        field = choose(strategies.sampled_from(sorted(ITEMS)))
+        part[field] = part.get(field, []) + choose(strategies.lists(ITEMS[field], min_size=1, max_size=2))
     if kind == "field":
-        field = take(strategies.sampled_from(sorted(FIELD_VALUES)))
-        part[field] = take(FIELD_VALUES[field])
+        field = choose(strategies.sampled_from(sorted(FIELD_VALUES)))
+        part[field] = choose(FIELD_VALUES[field])
     if kind not in ("remove", "mixed"):
         return part, {}
-    names = take(
+    names = choose(
         strategies.lists(
             strategies.sampled_from(("r-0", "r-1", "r-3", "wuno96b", "huvo11a", "n", "a", "alias", "caller-1", "t")),
             max_size=2,
@@ -183,20 +185,23 @@
 def test_any_sequence_of_changes_gives_the_results_of_complete_checks(data):
     """Given random changes, partial or complete and reordered, the incremental check gives the same result, issues,
     catalogue and route table as the complete check, and modifies neither document."""
-    base, _ = check_document(_start())
+    base, _ = check_document(_document_with_all_kinds())
     for version in range(2, 2 + data.draw(strategies.integers(1, 8))):
-        part, removals = _part(data.draw, base.document)
+        part, removals = _random_change(data.draw, base.document)
         wanted = replace_named(base.document, part | {"version": version}, removals)
         assert replace_in(base, part | {"version": version}, removals) == wanted
         if data.draw(strategies.booleans()):
             wanted = _copy(wanted)
             if isinstance(wanted.get(ROUTES), list) and data.draw(strategies.booleans()):
                 wanted[ROUTES] = data.draw(strategies.permutations(wanted[ROUTES]))
-        held, asked = copy.deepcopy(base), _copy(wanted)
-        revised, faults = revise_document(base, wanted)
-        assert base == held, "the document in force was changed"
-        assert _copy(wanted) == asked, "the operator's document was changed"
-        assert (read_catalogue(_copy(wanted)), faults) == ((revised and revised.catalogue, faults), faults)
+        base_before, wanted_before = copy.deepcopy(base), _copy(wanted)
+        revised, found_issues = revise_document(base, wanted)
+        assert base == base_before, "the document in force was changed"
+        assert _copy(wanted) == wanted_before, "the operator's document was changed"
+        assert (read_catalogue(_copy(wanted)), found_issues) == (
+            (revised and revised.catalogue, found_issues),
+            found_issues,
+        )
         if revised is not None:
             again, _ = check_document(_copy(wanted))
             assert _copy(revised.document) == _copy(wanted) and revised.catalogue == again.catalogue
@@ -278,10 +283,10 @@
 def test_two_routes_may_exchange_their_prefixes():
     """Given two routes that exchange their prefixes in one change, it is valid, and the route table is updated."""
     base, _ = check_document(whole(1, 5))
-    revised, faults = revise_document(
+    revised, found_issues = revise_document(
         base, replace_named(base.document, {ROUTES: [route(1, prefix="/p2/"), route(2, prefix="/p1/")]}, {})
     )
-    assert faults == () and revised.route_by_match[("ficu95.example", "/p2/")].name == "r-1"
+    assert found_issues == () and revised.route_by_match[("ficu95.example", "/p2/")].name == "r-1"
     assert len(revised.route_by_match) == 5
 
 
--- a/tests/configuration/test_differences.py
+++ b/tests/configuration/test_differences.py
@@ -24,7 +24,7 @@
     return changes.read_change(pack_entry(change))
 
 
-def _changed(document, version, **more):
+def _with_one_route_changed(document, version, **more):
     """Returns the complete document as an operator sends it, with one route changed."""
     document = msgspec.json.decode(msgspec.json.encode(document)) | {"version": version}
     document["httpRoutes"][version % len(document["httpRoutes"])] |= more
@@ -39,7 +39,7 @@
     """Given a complete document that changes one route of 200, the log entry is a difference of less than 3 % of its size, applies to
     the same state, and is recognized as a repetition when the complete document is sent again."""
     state, other = _state(), _state()
-    wanted = _changed(state.doc, 2, timeoutMs=77)
+    wanted = _with_one_route_changed(state.doc, 2, timeoutMs=77)
     change = changes.Configure("q2", wanted, {}, False, 1)
     entry = state.compact_form(change)
     assert (
@@ -66,18 +66,20 @@
     assert _state(5).compact_form(change) is change
 
 
-@pytest.mark.parametrize("bent", ("base document", "digest", "runs"))
-def test_difference_that_gives_another_document_changes_nothing(bent):
+@pytest.mark.parametrize("corruption", ("base document", "digest", "runs"))
+def test_difference_that_gives_another_document_changes_nothing(corruption):
     """Given a difference whose base changed under the same version, or that is corrupted, it is neither accepted nor
     rejected, and the state remains unchanged."""
     state = _state()
-    entry = state.compact_form(changes.Configure("q2", _changed(state.doc, 2, timeoutMs=77), {}, False, 1))
-    if bent == "base document":  # changed by a request without a version
+    entry = state.compact_form(
+        changes.Configure("q2", _with_one_route_changed(state.doc, 2, timeoutMs=77), {}, False, 1)
+    )
+    if corruption == "base document":  # changed by a request without a version
         assert (
             state.apply(2, changes.ApplyDocument("r", {"httpRoutes": [route(5, timeoutMs=9)]}, True, None)).outcome
             is Outcome.ACCEPTED
         )
-    elif bent == "digest":
+    elif corruption == "digest":
         entry = msgspec.structs.replace(entry, document_digest="0" * 64)
     else:
         difference = entry.difference | {"lists": {"httpRoutes": [[0, 999]]}}
@@ -89,15 +91,21 @@
         and state.generation == generation
         and not state.accepted_versions.contains(2, entry.digest)
     )
-    again = state.compact_form(changes.Configure("q3", _changed(state.doc, 2, timeoutMs=77), {}, False, 1))
+    again = state.compact_form(
+        changes.Configure("q3", _with_one_route_changed(state.doc, 2, timeoutMs=77), {}, False, 1)
+    )
     assert isinstance(again, changes.ConfigureByDifference)
 
 
 def test_second_of_two_changes_on_one_base_is_stale():
     """Given two differences from one base, computed at two cores, the first delivered is accepted and the second is stale."""
     state = _state()
-    first = state.compact_form(changes.Configure("a", _changed(state.doc, 2, timeoutMs=77), {}, False, 1))
-    second = state.compact_form(changes.Configure("b", _changed(state.doc, 3, timeoutMs=78), {}, False, 1))
+    first = state.compact_form(
+        changes.Configure("a", _with_one_route_changed(state.doc, 2, timeoutMs=77), {}, False, 1)
+    )
+    second = state.compact_form(
+        changes.Configure("b", _with_one_route_changed(state.doc, 3, timeoutMs=78), {}, False, 1)
+    )
     assert (
         state.apply(2, _logged(first)).outcome is Outcome.ACCEPTED
         and state.apply(3, _logged(second)).outcome is Outcome.STALE
@@ -152,7 +160,7 @@
     assert _configure(deployment, "core-1", "whole", document, 5)[0] == 200
     sizes = {core.node: core.source.entries_bytes for core in deployment.machines("core")}
     for place, core in enumerate(("core-1", "core-2", "core-3")):
-        document = _changed(document, 7 + place, timeoutMs=70 + place)
+        document = _with_one_route_changed(document, 7 + place, timeoutMs=70 + place)
         status, answer = _configure(deployment, core, f"q{place}", document, 6 + place)
         assert status == 200 and answer["version"] == 7 + place
     deployment.run(1)
--- a/tests/configuration/test_services.py
+++ b/tests/configuration/test_services.py
@@ -51,15 +51,15 @@
 
 
 def _paths(doc):
-    catalogue, faults = read_catalogue(doc)
-    assert (catalogue is None) == bool(faults)
-    return [path for path, _ in faults]
+    catalogue, found_issues = read_catalogue(doc)
+    assert (catalogue is None) == bool(found_issues)
+    return [path for path, _ in found_issues]
 
 
 def test_catalogue_of_services_alone_is_valid():
     """Given services and routes without models, queues or callers, the catalogue is valid, and omitted fields have defaults."""
-    catalogue, faults = read_catalogue(whole())
-    assert faults == () and catalogue.models == catalogue.lines == catalogue.callers == ()
+    catalogue, found_issues = read_catalogue(whole())
+    assert found_issues == () and catalogue.models == catalogue.lines == catalogue.callers == ()
     (one,) = catalogue.http_routes
     assert (
         one == HttpRoute("r-0", "ficu95.example", "/p0/", "stream", 5000.0, one.split)
@@ -147,7 +147,7 @@
     from random import Random
 
     random = Random(6)
-    junk = (
+    invalid_values = (
         None,
         True,
         -1,
@@ -163,13 +163,13 @@
         [None, 3, {"name": None}],
     )
 
-    def bend(value):
+    def corrupt(value):
         if random.random() < 0.03:
-            return random.choice(junk)
+            return random.choice(invalid_values)
         if isinstance(value, dict):
-            return {name: bend(item) for name, item in value.items() if random.random() < 0.99}
+            return {name: corrupt(item) for name, item in value.items() if random.random() < 0.99}
         if isinstance(value, list):
-            return [bend(item) for item in value]
+            return [corrupt(item) for item in value]
         return value
 
     results = {Outcome.ACCEPTED: 0, Outcome.REJECTED: 0}
@@ -177,10 +177,10 @@
         state = State()
         state.apply(1, changes.Configure("q", whole(), {}, False, 0))
         before = msgspec.json.encode(state.doc)
-        part = bend(
+        part = corrupt(
             {"version": 2, "services": services(), "httpRoutes": [route(0), route(1)], "limits": {"headerMs": 5}}
         )
-        removals = bend({"services": ["gone"], "httpRoutes": ["r-0"]})
+        removals = corrupt({"services": ["gone"], "httpRoutes": ["r-0"]})
         result = state.apply(2, changes.Configure("p", part, removals, True, 1))
         results[result.outcome] += 1
         assert result.outcome is Outcome.ACCEPTED or (msgspec.json.encode(state.doc) == before and result.issues)
--- a/tests/quotas/test_quotas_in_deployment.py
+++ b/tests/quotas/test_quotas_in_deployment.py
@@ -41,7 +41,7 @@
     )
 
 
-def shared(seed, name="kosice", edges=3, **more):
+def deployment_with_quotas(seed, name="kosice", edges=3, **more):
     """Returns a deployment whose tenants have quotas, and the view of it from callers' and servers' records."""
     deployment = settled(seed, name, edges, **more)
     answer = configure(deployment, TENANTS[name])
@@ -49,7 +49,7 @@
     return deployment, DeploymentShares(deployment, TENANTS[name])
 
 
-def accountant(deployment):
+def find_accountant(deployment):
     """Returns the core that holds the accounting duty, or None."""
     return next((core for core in deployment.machines("core") if core.leases.holds("accountant", deployment.now)), None)
 
@@ -57,7 +57,7 @@
 def test_lookups_above_the_quota_are_denied_on_every_edge_with_status_and_record():
     """Given ten times the quota of lookups over three edges, the admitted ones stay within the bound. Each denial is an
     immediate 429 with run "no" and a retry delay, reaches no server, and is logged with tenant, quota and usage."""
-    deployment, shares = shared(1)
+    deployment, shares = deployment_with_quotas(1)
     callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=600.0)])
     deployment.run(8)
     callers.is_on = False
@@ -94,7 +94,7 @@
 def test_operators_see_quota_usage_leases_and_denials_by_tenant():
     """Given an overload of one tenant and little load of another, any core shows limits, usage, leases and denials by
     tenant and edge; edges and the issuer export them as metrics."""
-    deployment, _ = shared(2)
+    deployment, _ = deployment_with_quotas(2)
     deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims")])
     deployment.run(6)
     for core in ("core-1", "core-2", "core-3"):
@@ -112,7 +112,7 @@
         edge.take(HttpRequestReceived(1, "GET", "/metrics", {}, b""), deployment.now)
         for edge in deployment.machines("edge")
     )
-    assert accountant(deployment).quota_lease_issuer.describe(deployment.now)["status"]["fullFor"] > 1
+    assert find_accountant(deployment).quota_lease_issuer.describe(deployment.now)["status"]["fullFor"] > 1
 
 
 @pytest.mark.parametrize("name, flooding", [("kosice", "audits"), ("central-java", "dossiers")])
@@ -121,7 +121,7 @@
     and 99th percentile response times of all others stay within the slack of `harness.twins`, and none is denied."""
     times = []
     for is_flooded in (False, True):
-        deployment, shares = shared(3, name, 4)
+        deployment, shares = deployment_with_quotas(3, name, 4)
         light = [each for each in deployment.spec.traffic if each["name"] != flooding]
         callers = deployment.call_in(1.0, light)
         if is_flooded:
@@ -143,12 +143,12 @@
 def test_tenant_within_its_floor_is_admitted_while_the_issuer_is_replaced():
     """Given that the issuing core is killed, lookups at half of their floor are never denied, before and after another
     core takes over the accounting duty."""
-    deployment, shares = shared(4, edges=4)
+    deployment, shares = deployment_with_quotas(4, edges=4)
     callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
     deployment.run(4)
-    lost = box_of(deployment, accountant(deployment)).name
+    lost = box_of(deployment, find_accountant(deployment)).name
     deployment.kill(lost)
-    assert deployment.run_until(lambda: accountant(deployment) is not None, 12)
+    assert deployment.run_until(lambda: find_accountant(deployment) is not None, 12)
     deployment.run(5)
     calls = [call for call in shares.calls("status") if call.outcome != "pending"]
     assert len(calls) > 150 and not any(call.fault_class == "allowance" for call in calls)
@@ -159,13 +159,13 @@
 def test_frozen_issuer_does_not_answer_buffered_requests():
     """Given an issuing core that is frozen until another holds its duty, it answers none of the buffered lease requests on
     resuming, even before its first tick."""
-    deployment, _ = shared(8)
+    deployment, _ = deployment_with_quotas(8)
     deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
     deployment.run(2)
-    old = accountant(deployment)
+    old = find_accountant(deployment)
     name = box_of(deployment, old).name
     deployment.freeze(name)
-    assert deployment.run_until(lambda: accountant(deployment) not in (None, old), 15)
+    assert deployment.run_until(lambda: find_accountant(deployment) not in (None, old), 15)
     asked = [
         message
         for message in deployment.boxes[name].buffer
@@ -184,7 +184,7 @@
 def test_new_edge_has_no_part_of_the_floor_until_it_knows_the_others():
     """Given an edge that restarts, its local part of the floor stays at 0 in its first seconds; later it is the floor
     divided by the number of edges."""
-    deployment, _ = shared(9, edges=3)
+    deployment, _ = deployment_with_quotas(9, edges=3)
     deployment.run(4)
     deployment.kill("edge-1")
     deployment.run(0.5)
@@ -200,7 +200,7 @@
 def test_rolling_restart_of_edges_under_overload_keeps_the_bound():
     """Given an overload while edges shut down and restart one by one, no request reported as not run has run, and the
     requests that ran stay within the bound."""
-    deployment, shares = shared(5, edges=4)
+    deployment, shares = deployment_with_quotas(5, edges=4)
     callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims", rate=20.0)])
     deployment.run(2)
     for name in ("edge-1", "edge-2", "edge-3", "edge-4"):
@@ -218,7 +218,7 @@
 def test_quota_change_takes_effect_once_acknowledged_and_an_invalid_one_is_refused():
     """Given an overload, a lower quota limits the admitted rate from its acknowledgement on; an invalid quota is refused
     with the paths of its issues and changes nothing."""
-    deployment, shares = shared(6)
+    deployment, shares = deployment_with_quotas(6)
     deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0)])
     deployment.run(4)
     status, answer = configure(deployment, [{"name": "status", "requestsPerS": -1.0, "callers": ["nobody"]}], "wrong")
@@ -238,7 +238,7 @@
 def test_prompt_above_the_token_quota_is_denied_before_it_is_recorded_or_sent():
     """Given three prompts of one tenant at three edges at once, with tokens for one, one runs, and no server receives the
     other two."""
-    deployment, shares = shared(7)
+    deployment, shares = deployment_with_quotas(7)
     callers = quiet(deployment)
     deployment.run(3)
     calls = [ask(deployment, callers, "audits", max_tokens=2048, edge=edge) for edge in ("edge-1", "edge-2", "edge-3")]
