--- a/tests/quotas/test_rate_limiter.py
+++ b/tests/quotas/test_rate_limiter.py
@@ -33,12 +33,12 @@
     ]
 
 
-def _admission_key(number):
+def _request_key(number):
     return AdmissionKey(Pipeline.PROXY, number)
 
 
 def _admission_request(number):
-    return AdmissionRequested(_admission_key(number), "shops", 0, SECOND * 2)
+    return AdmissionRequested(_request_key(number), "shops", 0, SECOND * 2)
 
 
 def test_lease_expires_after_its_duration_from_the_request():
@@ -46,13 +46,9 @@
     Given a response that took 0.5 s, it provides no lease at all."""
     now = SECOND * 100
     rate_limiter, number = _limiter_with_pending_request(now)
-    assert _respond(rate_limiter, number, now + SECOND * 0.3) == [AdmissionGranted(_admission_key(1), False)]
-    assert rate_limiter.take(_admission_request(2), now + SECOND * 0.39)[0] == AdmissionGranted(
-        _admission_key(2), False
-    )
-    assert AdmissionGranted(_admission_key(3), False) not in rate_limiter.take(
-        _admission_request(3), now + SECOND * 0.41
-    )
+    assert _respond(rate_limiter, number, now + SECOND * 0.3) == [AdmissionGranted(_request_key(1), False)]
+    assert rate_limiter.take(_admission_request(2), now + SECOND * 0.39)[0] == AdmissionGranted(_request_key(2), False)
+    assert AdmissionGranted(_request_key(3), False) not in rate_limiter.take(_admission_request(3), now + SECOND * 0.41)
     late, number = _limiter_with_pending_request(now)
     assert _respond(late, number, now + SECOND * 0.5) == [] and late.quotas["shops"].available == (0, 0)
 
@@ -61,7 +57,7 @@
     """Given a response under one fencing token, a later response under a lower one provides no lease."""
     now = SECOND * 100
     rate_limiter, number = _limiter_with_pending_request(now)
-    assert _respond(rate_limiter, number, now, fence=3, requests=0.0) == [AdmissionGranted(_admission_key(1), False)]
+    assert _respond(rate_limiter, number, now, fence=3, requests=0.0) == [AdmissionGranted(_request_key(1), False)]
     (send,) = rate_limiter.take(_admission_request(2), now)
     number = send.message.number
     assert _respond(rate_limiter, number, now, fence=2) == [] and rate_limiter.quotas["shops"].available == (0, 0)
