--- a/harness/mutations/configuration.py
+++ b/harness/mutations/configuration.py
@@ -1,4 +1,4 @@
-"""Guards of operators' configurations, one at a time, for `python -m harness breaches`."""
+"""Mutations that remove one guard of configuration changes at a time, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -104,7 +104,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an order is answered by another's delivery",
+        "a request is answered by the delivery of another core's change",
         "if attempt.origin == self.origin else None",
         "if True else None",
         ORDERS,
@@ -112,7 +112,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a copy's delivery changes the answer",
+        "the delivery of a copy changes the response",
         "if order is not None and order.result is None:",
         "if order is not None:",
         ORDERS,
@@ -120,7 +120,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an order is proposed though its caller hung up",
+        "a change is proposed although its client disconnected",
         "            self.remove(order)\n\n    # the proposal",
         "            pass\n\n    # the proposal",
         ORDERS,
@@ -128,7 +128,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an order is answered when its caller has given up",
+        "a request is answered after its client's timeout",
         "if now >= order.answer_by:",
         "if False:",
         ORDERS,
@@ -136,7 +136,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an order's answer waits for edges beyond its time",
+        "a response waits for edges beyond its deadline",
         "min(order.delivered_at + self.confirm_within, order.answer_by)",
         "order.delivered_at + self.confirm_within",
         ORDERS,
@@ -144,7 +144,7 @@
     ),
     Mutation(
         "CONFIG",
-        "any number of orders waits at a core",
+        "the number of pending requests at a core has no limit",
         "if len(self.orders) >= MAX_ORDERS:",
         "if False:",
         ORDERS,
@@ -152,7 +152,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a document of any depth is walked",
+        "a document of any nesting depth is traversed",
         "if is_deeper(document, MAX_DEPTH):",
         "if False:",
         ORDERS,
@@ -160,7 +160,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a core that has just started says nothing",
+        "a core that has just started leaves requests unanswered",
         "if isinstance(event, HttpRequestReceived):\n            effects.append(starting",
         "if isinstance(event, HttpRequestReceived) and self.is_new:\n            effects.append(starting",
         ORDERS,
@@ -168,7 +168,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a core's first call is lost",
+        "the first request to a core is lost",
         "if isinstance(event, HttpRequestReceived):\n            effects.append(starting",
         "if isinstance(event, HttpRequestReceived) and not self.is_new:\n            effects.append(starting",
         ORDERS,
@@ -176,7 +176,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a member sends long orders to its leader",
+        "a follower forwards large requests to its leader",
         "if len(event.body) > MAX_FORWARDED_BYTES and",
         "if False and",
         ORDERS,
--- a/tests/configuration/test_tenancy.py
+++ b/tests/configuration/test_tenancy.py
@@ -1,10 +1,10 @@
-"""Tenants against the rest of a catalogue."""
+"""Validation of tenants against the callers, routes and capacity of a catalogue."""
 
 from sumachook.configuration.catalogue import read_catalogue
 
 
-def test_each_issue_between_tenants_and_the_rest_is_named():
-    """Given tenants that refer to what there is and fit in, nothing is wrong; otherwise each place that is wrong is named."""
+def test_each_issue_of_a_tenant_is_reported_by_path():
+    """Given tenants with valid references and floors, no issue is reported; given invalid ones, each issue is, by its path."""
     doc = {
         "name": "c",
         "areas": ["a"],
@@ -66,6 +66,6 @@
     ]
     low = {**doc, "capacity": {"requestsPerS": 11.9, "tokensPerS": 899.0}}
     assert read_catalogue(low)[1] == (
-        ("capacity.requestsPerS", "the tenants' floors sum to 12, it is 11.9"),
-        ("capacity.tokensPerS", "the tenants' floors sum to 900, it is 899"),
+        ("capacity.requestsPerS", "the tenants' floors sum to 12, the capacity is 11.9"),
+        ("capacity.tokensPerS", "the tenants' floors sum to 900, the capacity is 899"),
     )
