--- a/sumachook/__init__.py
+++ b/sumachook/__init__.py
@@ -1,3 +1,3 @@
-"""sumachook: a router and placer for many language models (docs/design.md)."""
+"""sumachook: routes requests to many language models and places these models on servers (docs/design.md)."""
 
 VERSION = "0.1.0"
--- a/sumachook/exceptions.py
+++ b/sumachook/exceptions.py
@@ -1,4 +1,4 @@
-"""The exceptions that Sumachook raises."""
+"""Base classes of the exceptions that Sumachook raises."""
 
 
 class SumachookError(Exception):
@@ -6,8 +6,8 @@
 
 
 class StorageError(SumachookError):
-    """Stored data can't be read or written."""
+    """Raised when a data file can't be read or written."""
 
 
 class ProtocolError(SumachookError):
-    """Bytes of another node or server that do not follow the protocol."""
+    """Raised when another node or server sends bytes that violate the protocol."""
--- a/sumachook/ledger/effects.py
+++ b/sumachook/ledger/effects.py
@@ -1,4 +1,4 @@
-"""What the ledger's writer tells the request pipelines of its edge."""
+"""Outcomes that the ledger writer returns to the request pipelines of its edge."""
 
 from enum import Enum
 
@@ -6,28 +6,28 @@
 
 
 class UnrecordedReason(Enum):
-    """Why a request was not recorded; the value is the text that its caller reads."""
+    """Reason why a request was not recorded; the value is the text in the caller's error response."""
 
     NO_QUORUM = "no two keepers answered"
 
 
 class RecordingOutcome(msgspec.Struct, frozen=True):
-    """Base of the outcomes of a `RequestOpened`."""
+    """Base class of the outcomes of a `RequestOpened` event."""
 
     request: str
 
 
 class Recorded(RecordingOutcome, frozen=True):
-    """The request may go on: its record is durable at two replicas, or need not be yet as it may run twice."""
+    """The request may proceed: its record is durable on two replicas, or it may run twice and has waited enough."""
 
 
 class Unrecorded(RecordingOutcome, frozen=True):
-    """The request must not run."""
+    """The request must be rejected, since its record is not durable."""
 
     reason: UnrecordedReason
 
 
 class DuplicateKey(RecordingOutcome, frozen=True):
-    """The request's idempotency key belongs to the request that `first` describes ("request", "state", "run")."""
+    """The idempotency key was already used by the request that `first` describes ("request", "state", "run")."""
 
     first: dict[str, str]
--- a/sumachook/ledger/events.py
+++ b/sumachook/ledger/events.py
@@ -1,6 +1,6 @@
-"""What the writer and the replica store of the ledger take, besides the events of every host.
+"""Input events of the ledger writer and the replica store, in addition to the events of the host.
 
-The first three come from the request pipelines of an edge, which give them as effects.
+The first three are emitted as effects by the request pipelines of an edge.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,9 +11,9 @@
 
 
 class RequestOpened(Event, frozen=True):
-    """A request was admitted; it waits for `Recorded`.
+    """A request was admitted and waits for a `Recorded` outcome.
 
-    `is_safe` is whether it may run twice: such a request goes on without its record if no quorum answers soon.
+    `is_safe` tells whether it may run twice: such a request proceeds without its record if no quorum answers in time.
     """
 
     record: Record
@@ -21,23 +21,23 @@
 
 
 class RequestClosed(Event, frozen=True):
-    """A request has ended; nobody waits for its record."""
+    """A request has ended; its closing record is sent at once, and no caller waits for the acknowledgement."""
 
     record: Record
 
 
 class RecordDeferred(Event, frozen=True):
-    """A record that nobody waits for and that may go out later, together with others."""
+    """A record for which no request waits, so that it may be delayed and sent in one batch with others."""
 
     record: Record
     is_close: bool
 
 
 class WriterTick(Event, frozen=True):
-    """Time has passed at an edge.
+    """Periodic tick of an edge.
 
-    `voting_members` has the addresses of the voters by name, `live_voters` the names of nodes that answer, and `relays`
-    the addresses of other edges, best first.
+    `voting_members` maps the name of each voter to its address, `live_voters` names the nodes that respond, and
+    `relays` lists the addresses of other edges, best first.
     """
 
     voting_members: Mapping[str, str]
@@ -46,27 +46,27 @@
 
 
 class DiskAvailabilityChanged(Event, frozen=True):
-    """The edge's disk takes records, or takes none, from now on."""
+    """The edge's disk started or stopped accepting writes."""
 
     is_available: bool
 
 
 class LeaveRequested(Event, frozen=True):
-    """The process will end soon: nothing is deferred any more."""
+    """The process is shutting down: deferred records are due at once, and no further record is deferred."""
 
 
 class StoreTick(Event, frozen=True):
-    """Time has passed at a core: restart epochs of the live nodes and addresses of the voters, both by name."""
+    """Periodic tick of a core, with the restart epochs of live nodes and the addresses of voters, both by node name."""
 
     live_restart_epochs: Mapping[str, int]
     voting_members: Mapping[str, str]
 
 
 class RecordsSynced(Event, frozen=True):
-    """Records are durable, so that `effect` (the acknowledgement) may go out."""
+    """A batch of records is durable, so `effect` (their acknowledgement) may be sent."""
 
     effect: Effect
 
 
 class RewriteSynced(Event, frozen=True):
-    """The rewritten file is durable."""
+    """The rewritten ledger file is durable."""
--- a/sumachook/ledger/messages.py
+++ b/sumachook/ledger/messages.py
@@ -1,4 +1,4 @@
-"""The messages between edges and replicas of the ledger."""
+"""Messages between the edges and the replicas of the ledger."""
 
 from collections.abc import Sequence
 from enum import StrEnum
@@ -9,98 +9,98 @@
 
 
 class AckOutcome(StrEnum):
-    """What became of a record at a replica."""
+    """Result of storing a record at a replica."""
 
     STORED = "ok"
-    DUPLICATE = "duplicate"  # its idempotency key belongs to another request
+    DUPLICATE = "duplicate"  # another request already uses its idempotency key
 
 
 class Acknowledgement(NamedTuple):
-    """A replica's answer for one record.
+    """A replica's acknowledgement of one record.
 
-    `detail` has the record's "state"; of a duplicate it describes the first request with the key, by "request", "state"
-    and "run".
+    `detail` contains the record's "state"; for a duplicate it describes the first request with the same idempotency key
+    by "request", "state" and "run".
     """
 
     request: str
-    outcome: str  # an `AckOutcome`
+    outcome: str  # value of an `AckOutcome`
     detail: dict[str, str]
 
 
 class RecordBatch(NodeMessage, frozen=True):
-    """Base of the messages that carry records to a replica."""
+    """Base class of the messages that send records to a replica."""
 
     records: tuple[RecordCopy, ...]
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from the decoded values of its fields."""
+        """Builds the message from the decoded values of its fields."""
         (records,) = values
         return cls(tuple([RecordCopy(*pair) for pair in records]))
 
 
 class OpenRecords(RecordBatch, frozen=True, tag="open"):
-    """Requests have begun; nothing is sent to a server for them before two replicas have acknowledged."""
+    """Opening records of requests, which are not sent to a server before two replicas have acknowledged them."""
 
 
 class CloseRecords(RecordBatch, frozen=True, tag="close"):
-    """Requests have ended."""
+    """Closing records of requests that have ended."""
 
 
 class HandOffRecords(RecordBatch, frozen=True, tag="hand"):
-    """Records that the sender kept for the receiver while that was away."""
+    """Records that the sender stored for the receiver while the receiver was unreachable (hinted handoff)."""
 
 
 class RecordAcks(NodeMessage, frozen=True):
-    """Base of a replica's answers to a `RecordBatch`."""
+    """Base class of the replies of a replica to a `RecordBatch`."""
 
     acks: tuple[Acknowledgement, ...]
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from the decoded values of its fields."""
+        """Builds the message from the decoded values of its fields."""
         (acks,) = values
         return cls(tuple([Acknowledgement(*ack) for ack in acks]))
 
 
 class RecordsOpened(RecordAcks, frozen=True, tag="opened"):
-    """Answer to `OpenRecords`, once they are durable."""
+    """Acknowledges `OpenRecords` once the records are durable."""
 
 
 class RecordsClosed(RecordAcks, frozen=True, tag="closed"):
-    """Answer to `CloseRecords`, once they are durable."""
+    """Acknowledges `CloseRecords` once the records are durable."""
 
 
 class RecordsHandedOff(RecordAcks, frozen=True, tag="handed"):
-    """Answer to `HandOffRecords`, once they are durable."""
+    """Acknowledges `HandOffRecords` once the records are durable."""
 
 
 class RelayRecords(NodeMessage, frozen=True, tag="carry"):
-    """Records that an edge cannot bring to two replicas; the edge that receives them tries as well."""
+    """Records that an edge cannot deliver to two replicas; the receiving edge also tries to deliver them."""
 
     records: tuple[UndeliveredRecord, ...]
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from the decoded values of its fields."""
+        """Builds the message from the decoded values of its fields."""
         (records,) = values
         return cls(tuple([UndeliveredRecord(*pair) for pair in records]))
 
 
 class FindRecord(NodeMessage, frozen=True, tag="find"):
-    """Asks another core for the record of a request; `asker` names the search and is repeated in the answer."""
+    """Asks another core for the record of a request; the response repeats `asker`, the id of the search."""
 
     asker: str
     request: str
 
 
 class RecordFound(NodeMessage, frozen=True, tag="found"):
-    """Answer to `FindRecord`; `record` is None where the sender has none."""
+    """Response to `FindRecord`; `record` is None if the sender does not store the record."""
 
     asker: str
     record: Record | None
 
 
-# What a core's `ReplicaStore` takes, and what an edge's `LedgerWriter` does.
+# Messages handled by the `ReplicaStore` of a core and by the `LedgerWriter` of an edge.
 STORE_MESSAGES: tuple[type[NodeMessage], ...] = (OpenRecords, CloseRecords, HandOffRecords, RecordsHandedOff)
 WRITER_MESSAGES: tuple[type[NodeMessage], ...] = (RecordsOpened, RecordsClosed, RelayRecords)
--- a/sumachook/ledger/pending_record.py
+++ b/sumachook/ledger/pending_record.py
@@ -1,16 +1,16 @@
-"""A record on its way from an edge to two replicas."""
+"""Delivery state of a record that two replicas have not acknowledged yet."""
 
 from datetime import timedelta
 
 from sumachook.ledger.records import Record, RecordKey, UndeliveredRecord, key_of
 
-RELAY_AFTER = timedelta(seconds=0.8)  # other edges are asked to help: later than a resend and a hinted handoff take
+RELAY_AFTER = timedelta(seconds=0.8)  # other edges are asked to relay; a resend and a hinted handoff finish earlier
 
 
 class PendingRecord:
-    """One record, and what is known of its delivery.
+    """A record and the state of its delivery.
 
-    Times are those of the edge's monotonic clock. `is_settled` tells that nobody waits for the outcome (any more).
+    All times are on the edge's monotonic clock. `is_settled` is true if no request waits for the outcome (any more).
     """
 
     __slots__ = (
@@ -31,7 +31,7 @@
         self.is_close = is_close
         self.is_safe = is_safe
         self.is_settled = is_close
-        self.is_deferred = False  # it goes out with others, from `started_at` on
+        self.is_deferred = False  # a deferred record is sent in a batch, at `started_at` or earlier
         self.started_at = now
         self.sent_at = now
         self.relay_at = now + RELAY_AFTER
@@ -40,16 +40,16 @@
 
     @property
     def key(self) -> RecordKey:
-        """Its key among the pending records of an edge."""
+        """Key of the record among the pending records of its edge."""
         return key_of(self.record, self.is_close)
 
     def begin_sending(self, now: timedelta) -> None:
-        """It is deferred no longer."""
+        """Ends the deferral and restarts the delivery timers at `now`."""
         self.is_deferred = False
         self.started_at = now
         self.sent_at = now
         self.relay_at = now + RELAY_AFTER
 
     def undelivered(self) -> UndeliveredRecord:
-        """Its form for relays and for the spill file."""
+        """Returns the record in the form in which it is relayed and written to the spill file."""
         return UndeliveredRecord(self.record, self.is_close)
--- a/sumachook/ledger/record_file.py
+++ b/sumachook/ledger/record_file.py
@@ -1,4 +1,4 @@
-"""The file of a replica, bounded by rewriting it."""
+"""The ledger file of a replica; its size is bounded by rewriting the file."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any, NamedTuple
@@ -11,23 +11,24 @@
 from sumachook.ledger.records import RecordCopy, stored_copy
 from sumachook.storage.layout import LEDGER
 
-# the file is rewritten when it is past either bound
+# the file is rewritten once it exceeds either limit
 MAX_STORED_RECORDS = 20000
 MAX_STORED_BYTES = 12 << 20
 
-CLOSED_SHARE = 4  # closed records fill this part of the bound at most after a rewrite, so that the next one is far off
-GROWTH = 2  # where open records alone are past the bound, the next rewrite comes when the file has grown so many times
+# A rewrite keeps closed records up to 1/4 of each limit, so that the file can grow for long before the next rewrite.
+CLOSED_SHARE = 4
+GROWTH = 2  # if open records alone exceed a limit, the next rewrite is due when the file has grown by this factor
 
 
 class FileSize(NamedTuple):
-    """A size of the file, in lines and in bytes as JSON."""
+    """Size of the ledger file in lines and in bytes of JSON."""
 
     records: int
     bytes: int
 
 
 class RecordFile:
-    """Counts what the file holds, and decides when it is written anew."""
+    """Tracks the size of the ledger file and decides when to rewrite it."""
 
     __slots__ = ("stored_records", "stored_bytes", "rewrite_above", "is_rewriting")
 
@@ -39,17 +40,17 @@
         self._count(lines)
 
     def append(self, copies: Iterable[RecordCopy], acknowledgement: Effect) -> Effect:
-        """Stores copies; the acknowledgement comes back in a `RecordsSynced`."""
+        """Returns an append of copies; `RecordsSynced` returns the acknowledgement once they are durable."""
         lines = tuple(stored_copy(copy) for copy in copies)
         self._count(lines)
         return AppendRecords(LEDGER, lines, RecordsSynced(acknowledgement))
 
     def note_rewritten(self) -> None:
-        """The rewritten file is durable."""
+        """Notes that the rewritten file is durable, so that another rewrite may start."""
         self.is_rewriting = False
 
     def rewrite_if_large(self, table: RecordTable) -> list[Effect]:
-        """Rewrites a file past its bounds: open records stay, and of the closed ones the newest."""
+        """Rewrites the file if it exceeds a limit, keeping all open records and the newest closed ones."""
         is_small = self.stored_records <= self.rewrite_above.records and self.stored_bytes <= self.rewrite_above.bytes
         if self.is_rewriting or is_small:
             return []
--- a/sumachook/ledger/record_table.py
+++ b/sumachook/ledger/record_table.py
@@ -1,4 +1,4 @@
-"""The records that a replica keeps, in memory."""
+"""In-memory table of the records that a replica stores."""
 
 from collections.abc import Iterable, Iterator
 
@@ -10,9 +10,10 @@
 
 
 class RecordTable:
-    """Records by request, newest last, with what is known of their idempotency keys and of who else is to have them.
+    """Records by request id, newest last, with their idempotency keys and pending hinted handoffs.
 
-    `handoffs` has the voters that are still owed a record, by request; `open` the open ones of `by_request`.
+    `handoffs` maps a request to the voters that still have to receive its record; `open` is the subset of `by_request`
+    with open records.
     """
 
     __slots__ = ("max_records", "by_request", "open", "handoffs", "request_by_key")
@@ -28,21 +29,21 @@
         return len(self.by_request)
 
     def find(self, request: str) -> Record | None:
-        """The record of a request, if it is here."""
+        """Returns the record of a request, or None if this replica does not store it."""
         return self.by_request.get(request)
 
     def first_with_key(self, record: Record) -> str | None:
-        """The request to which the record's idempotency key belongs, if it has one that is known."""
+        """Returns the first request with the record's idempotency key; None if there is no key or it is unused."""
         return self.request_by_key.get(range_key(record)) if record.get("key") else None
 
     def newest_closed(self) -> Iterator[Record]:
-        """All records that are not open, the newest first."""
+        """Iterates over all records that are not open, newest first."""
         return (record for record in reversed(self.by_request.values()) if record["state"] != OPEN)
 
     def merge(self, record: Record, owed_to: Iterable[str] | None = None) -> bool:
-        """Takes a record in: a final state beats "lost", which beats "open". Returns whether it changed the record.
+        """Merges a record and returns whether it changed: a final state supersedes "lost", which supersedes "open".
 
-        `owed_to`, where given, replaces the voters that are owed the record.
+        `owed_to`, if not None, replaces the set of voters that still have to receive the record.
         """
         request = record["request"]
         known = self.by_request.get(request)
@@ -69,10 +70,10 @@
         if not has_not_run:
             self.request_by_key.setdefault(key, request)
         elif self.request_by_key.get(key) == request:
-            del self.request_by_key[key]  # the key may be used again
+            del self.request_by_key[key]  # the request did not run, so its key may be used again
 
     def drop(self, request: str) -> None:
-        """Forgets a record."""
+        """Removes a record with its pending handoffs, and its idempotency key if the key is its own."""
         dropped = self.by_request.pop(request)
         self.handoffs.pop(request, None)
         self.open.pop(request, None)
@@ -80,7 +81,7 @@
             del self.request_by_key[range_key(dropped)]
 
     def copy_of(self, record: Record) -> RecordCopy:
-        """The record with the voters that are still owed it."""
+        """Returns the record with the voters that still have to receive it."""
         return RecordCopy(record, tuple(self.handoffs.get(record["request"], ())))
 
 
--- a/sumachook/ledger/records.py
+++ b/sumachook/ledger/records.py
@@ -1,7 +1,7 @@
-"""Records of requests and the forms in which they are kept, sent and stored.
+"""Records of requests, and their forms in memory, on the wire and on disk.
 
-A record is a document: its keys ("request", "edge", "incarnation", "state", "openedAt", ...) are those on the wire, in
-the files and in the logs of the days, and are read by tools outside of this program.
+A record is a document: its keys ("request", "edge", "incarnation", "state", "openedAt", ...) are the same on the wire,
+in the data files and in the day logs, and external tools read them.
 """
 
 from collections.abc import Sequence
@@ -9,43 +9,43 @@
 
 Record = dict[str, Any]
 
-# states of a record; whatever is neither of these two is final
+# states of a record; all states other than these two are final
 OPEN = "open"
-LOST = "lost"  # the edge that wrote it is gone, and the outcome with it
+LOST = "lost"  # the edge that wrote the record has disappeared, so the outcome of the request is unknown
 
-DONE = "done"  # the final state of a request that was answered
+DONE = "done"  # final state of a request that was answered
 
-_STORED_TAG = "row"  # first value of each stored line
+_STORED_TAG = "row"  # first value of each line in the file
 
 
 class RecordKey(NamedTuple):
-    """Identifies a record on its way to the replicas: a request has an opening and a closing one."""
+    """Identifies an undelivered record: each request has an opening record and a closing one (`is_close`)."""
 
     request: str
     is_close: bool
 
 
 class RecordCopy(NamedTuple):
-    """A record for a replica, with the voters for which that replica keeps it (hinted handoff)."""
+    """A record for a replica, with the voters for which that replica stores it (hinted handoff)."""
 
     record: Record
     owed_to: tuple[str, ...]
 
 
 class UndeliveredRecord(NamedTuple):
-    """A record that two replicas have not acknowledged yet."""
+    """An opening or closing record that two replicas have not acknowledged yet."""
 
     record: Record
     is_close: bool
 
 
 def key_of(record: Record, is_close: bool) -> RecordKey:
-    """The key of a record on its way to the replicas."""
+    """Returns the key that identifies an undelivered record."""
     return RecordKey(record["request"], is_close)
 
 
 def stored_copy(copy: RecordCopy) -> tuple[str, Record, tuple[str, ...]]:
-    """The line of a replica's file.
+    """Returns the line that stores a copy in the ledger file of a replica.
 
     >>> copy = RecordCopy({"request": "r1"}, ("core-2",))
     >>> stored_copy(copy), copy_from_stored(stored_copy(copy)) == copy
@@ -55,13 +55,13 @@
 
 
 def copy_from_stored(line: Sequence[Any]) -> RecordCopy:
-    """The copy that a line of a replica's file stands for."""
+    """Decodes a line of a replica's ledger file."""
     _, record, owed_to = line
     return RecordCopy(record, owed_to)
 
 
 def stored_undelivered(undelivered: UndeliveredRecord) -> tuple[str, Record, bool]:
-    """The line of an edge's spill file.
+    """Returns the line that stores an undelivered record in the spill file of an edge.
 
     >>> undelivered = UndeliveredRecord({"request": "r1"}, True)
     >>> stored_undelivered(undelivered), undelivered_from_stored(stored_undelivered(undelivered)) == undelivered
@@ -71,6 +71,6 @@
 
 
 def undelivered_from_stored(line: Sequence[Any]) -> UndeliveredRecord:
-    """The record that a line of an edge's spill file stands for."""
+    """Decodes a line of an edge's spill file."""
     _, record, is_close = line
     return UndeliveredRecord(record, is_close)
--- a/sumachook/ledger/replica_selection.py
+++ b/sumachook/ledger/replica_selection.py
@@ -1,17 +1,17 @@
-"""Which voters keep which record."""
+"""Selects the voters that store a record."""
 
 from functools import lru_cache
 from zlib import crc32
 
 from sumachook.ledger.records import Record
 
-OWNER_COUNT = 2  # voters that own a record; the next one keeps it for an owner that is away
+OWNER_COUNT = 2  # voters that own a record; the next voter in order stores it for an unreachable owner
 _FORWARDED_KIND = "forward"
 
 
 @lru_cache(4096)
 def replicas_of(range_key: str, voters: tuple[str, ...]) -> tuple[str, ...]:
-    """The voters in the order in which they keep this key (rendezvous hashing); the first two own it.
+    """Returns the voters in order of preference for a range key (rendezvous hashing); the first two own it.
 
     >>> replicas_of("r1", ("a", "b", "c")) == replicas_of("r1", ("a", "b", "c"))
     True
@@ -22,10 +22,10 @@
 
 
 def range_key(record: Record) -> str:
-    """What decides who keeps a record: its client and idempotency key, so that repeats of a key meet, or its request.
+    """Returns the key that selects the replicas of a record: its client and idempotency key, or its request id.
 
-    A forwarded request goes by its edge: its records are deferred, and all that an edge has for its two replicas goes
-    in one message.
+    Requests with the same idempotency key thus share replicas, which detect the duplicate. The key of a forwarded
+    request is its edge: these records are deferred, and one message to each of two replicas takes all those of an edge.
 
     >>> range_key({"request": "e1.7.3", "key": ""})
     'e1.7.3'
--- a/sumachook/ledger/replica_store.py
+++ b/sumachook/ledger/replica_store.py
@@ -1,4 +1,4 @@
-"""The keeping end of the ledger, in each core."""
+"""The replica of the ledger that each core runs."""
 
 import re
 from collections.abc import Iterable, Mapping, Sequence
@@ -25,7 +25,7 @@
 from sumachook.ledger.replica_selection import OWNER_COUNT, range_key, replicas_of
 from sumachook.runtime.cluster_clock import ClusterClock
 
-LOST_AFTER = timedelta(seconds=3)  # an edge that is gone for so long does not come back as the same process
+LOST_AFTER = timedelta(seconds=3)  # an edge that is unreachable for this long does not return as the same process
 SWEEP_INTERVAL = timedelta(seconds=0.5)
 HANDOFF_INTERVAL = timedelta(seconds=0.5)
 MAX_HANDOFFS_PER_ROUND = 2000
@@ -38,9 +38,9 @@
 
 
 class ReplicaStore:
-    """Keeps records of edges and acknowledges them once they are durable.
+    """Stores the records of edges and acknowledges them once they are durable.
 
-    It keeps copies for voters that are away until they are back, and closes as lost what edges left open that are gone.
+    Stores copies for unreachable voters until they return, and closes the open records of failed edges as lost.
     """
 
     __slots__ = (
@@ -67,14 +67,14 @@
         self.records = RecordTable(max_records)
         self.file = RecordFile(stored)
         self.voting_members: dict[str, str] = {}
-        self.away_since: dict[tuple[str, int], timedelta] = {}  # by name and restart epoch of an edge
+        self.away_since: dict[tuple[str, int], timedelta] = {}  # by name and restart epoch of the edge
         self.next_handoff_at = now
         self.next_sweep_at = now
         for line in stored:
             self._merge(copy_from_stored(line))
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Handles an event; `now` is monotonic time."""
+        """Handles an event and returns its effects; `now` is monotonic time."""
         match event:
             case MessageReceived(message=RecordBatch()):
                 return self._on_records(event.address, event.message)
@@ -88,10 +88,10 @@
                 return []
             case StoreTick():
                 return self._handle_tick(event, now)
-        raise TypeError(f"no event of a replica store: {event!r}")
+        raise TypeError(f"the replica store does not handle this event: {event!r}")
 
     def find(self, request: str) -> Record | None:
-        """The record of a request, if it is here."""
+        """Returns the record of a request, or None if this replica does not store it."""
         return self.records.find(request)
 
     # storing -----------------------------------------------------------------------
@@ -117,7 +117,7 @@
         return self._store(fresh, reply) if fresh else [reply]
 
     def _describe(self, request: str) -> dict[str, str]:
-        """What the sender of a duplicate learns of the first request with its key."""
+        """Describes the first request with an idempotency key, for the acknowledgement of a duplicate."""
         record = self.find(request) or {}
         return {"request": request, "state": record.get("state", OPEN), "run": record.get("run", "maybe")}
 
@@ -125,11 +125,11 @@
         return [*self._append_day_logs(copies), self.file.append(copies, acknowledgement)]
 
     def _append_day_logs(self, copies: Iterable[RecordCopy]) -> list[Effect]:
-        """Opened and closed, in the log of the day on which the request came in, before it is acknowledged."""
+        """Appends records, open or closed, to the log of the day of their request, before they are acknowledged."""
         lines_by_day: dict[str, list[Record]] = {}
         for copy in copies:
             record = self.find(copy.record["request"]) or copy.record
-            day = record["openedAt"][:10]  # comes from another node and becomes the name of a file
+            day = record["openedAt"][:10]  # sent by another node and part of a file name, hence checked
             lines_by_day.setdefault(day if DAY.fullmatch(day) else UNKNOWN_DAY, []).append(record)
         return [AppendDayLog(f"day-{day}.jsonl", tuple(lines)) for day, lines in lines_by_day.items()]
 
@@ -148,7 +148,7 @@
         return effects
 
     def _close_lost(self, live_restart_epochs: Mapping[str, int], now: timedelta) -> list[Effect]:
-        """Closes as lost what edges that are gone left open; that is how it gets into the day's log."""
+        """Closes the open records of failed edges as lost, which also writes them to the day log."""
         lost = [
             record for record in self.records.open.values() if self._is_writer_lost(record, live_restart_epochs, now)
         ]
@@ -160,10 +160,13 @@
             closed = {**record, "state": LOST, "class": LOST, "run": "maybe", "endedAt": ended_at}
             self.records.merge(closed)
             copies.append(RecordCopy(closed, ()))
-        return self._store(copies, Log("warning", "ledger", "Open rows closed as lost.", {"rows": len(copies)}))
+        return self._store(copies, Log("warning", "ledger", "Closed open records of lost edges.", {"rows": len(copies)}))
 
     def _is_writer_lost(self, record: Record, live_restart_epochs: Mapping[str, int], now: timedelta) -> bool:
-        """Whether the edge that wrote a record has been gone, or run anew, for long; notes since when it is."""
+        """Tells whether the edge process that wrote a record has been absent or replaced for longer than `LOST_AFTER`.
+
+        Notes when the absence began.
+        """
         writer = (record["edge"], record["incarnation"])
         if live_restart_epochs.get(writer[0]) == writer[1]:
             self.away_since.pop(writer, None)
@@ -176,7 +179,7 @@
         return replicas_of(range_key(record), tuple(sorted(voting_members)))[:OWNER_COUNT]
 
     def _learn_voting_members(self, voting_members: Mapping[str, str]) -> None:
-        """A new voter is owed the records that it owns from now on."""
+        """Applies a change of the voters, and schedules the handoff of records that a new voter owns."""
         joined = set(voting_members) - set(self.voting_members) - {self.voter}
         if self.voting_members and joined:
             for request, record in self.records.by_request.items():
@@ -212,6 +215,6 @@
                 self._drop_unless_owned(record)
 
     def _drop_unless_owned(self, record: Record) -> None:
-        """What was kept for another voter is that voter's now; its closing goes there too."""
+        """Drops a record that was stored for another voter, which will also receive its closing record."""
         if self.voter not in self._owners(record, self.voting_members):
             self.records.drop(record["request"])
--- a/sumachook/ledger/spill_file.py
+++ b/sumachook/ledger/spill_file.py
@@ -1,4 +1,4 @@
-"""The file of an edge with the records that no two replicas have taken for a while."""
+"""The spill file of an edge: records that two replicas have failed to acknowledge for a while."""
 
 from collections.abc import Iterable, Mapping
 from datetime import timedelta
@@ -8,12 +8,12 @@
 from sumachook.ledger.records import RecordKey, stored_undelivered
 from sumachook.storage.layout import SPOOL
 
-SPILL_AFTER = timedelta(seconds=0.3)  # a healthy quorum answers well before, so that the disk is used in trouble alone
-MAX_LINES = 40000  # twice what may be pending, so that a rewrite is rare
+SPILL_AFTER = timedelta(seconds=0.3)  # a healthy quorum answers well before, so the disk is used during failures only
+MAX_LINES = 40000  # twice the limit of pending records, so that a rewrite is rare
 
 
 class SpillFile:
-    """Knows which records the file holds; it is emptied once all of them are delivered."""
+    """Tracks which records the spill file contains, and empties it once all of them are delivered."""
 
     __slots__ = ("keys", "line_count")
 
@@ -22,9 +22,9 @@
         self.line_count = line_count
 
     def save(self, pending: Mapping[RecordKey, PendingRecord], now: timedelta) -> list[Effect]:
-        """Writes what has been pending for long, or empties the file."""
+        """Appends records that have been pending for longer than `SPILL_AFTER`, or empties a file of delivered ones."""
         late = [each for key, each in pending.items() if key not in self.keys and now - each.started_at > SPILL_AFTER]
-        if late and self.line_count + len(late) > MAX_LINES:  # delivered records stay in the file until now
+        if late and self.line_count + len(late) > MAX_LINES:  # a rewrite drops delivered records
             return self._rewrite(pending)
         if late:
             self.keys.update(each.key for each in late)
--- a/sumachook/ledger/writer.py
+++ b/sumachook/ledger/writer.py
@@ -1,4 +1,4 @@
-"""The writing end of the ledger, in each edge."""
+"""The ledger writer of an edge, which delivers its records to the replicas."""
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
 from datetime import timedelta
@@ -31,31 +31,32 @@
 
 Output = Effect | RecordingOutcome
 
-QUORUM = 2  # replicas that hold a record before it counts as recorded, or all of them where there are fewer
+QUORUM = 2  # acknowledgements that a record needs, or one from each voter if there are fewer voters
 
-# bounds
-MAX_PENDING = 20000  # records in memory; the oldest give way
+# limits
+MAX_PENDING = 20000  # records in memory; beyond that the oldest one is dropped
 MAX_RECORDS_PER_MESSAGE = 100
 MAX_RELAYED_PER_MESSAGE = 100
-RELAY_COUNT = 2  # edges that are asked to help
+RELAY_COUNT = 2  # edges that receive a relayed record
 
-# times of a record that is sent at once
-HINT_AFTER = timedelta(seconds=0.15)  # a silent owner's copy goes to the third replica
+# timeouts of a record that is sent without deferral
+HINT_AFTER = timedelta(seconds=0.15)  # then the copy of an owner that has not acknowledged goes to the third replica
 RESEND_AFTER = timedelta(seconds=0.3)
-SAFE_WAIT = timedelta(seconds=0.4)  # then a request that may run twice goes on without its record
-UNSAFE_WAIT = timedelta(seconds=1.5)  # then any other is refused; long enough for a change of leader
+SAFE_WAIT = timedelta(seconds=0.4)  # then a request that may run twice proceeds without its record
+UNSAFE_WAIT = timedelta(seconds=1.5)  # then any other request is refused; long enough for a change of leader
 RELAY_INTERVAL = timedelta(seconds=2)
 NEVER = timedelta.max
 
-# times that a deferred record may wait for others
-DEFER_UNFINISHED = timedelta(seconds=0.3)  # of a request that runs for long, or ended late or badly
-DEFER_FINISHED = timedelta(seconds=1)  # of a request that ended well and in time
+# maximum time for which a deferred record waits to be batched
+DEFER_UNFINISHED = timedelta(seconds=0.3)  # for a request that runs for long, ended late or failed
+DEFER_FINISHED = timedelta(seconds=1)  # for a request that succeeded in time
 
 
 class LedgerWriter:
-    """Brings the records of an edge to two replicas each, and tells its pipelines which requests may go on.
+    """Delivers each record of an edge to two replicas, and tells the pipelines which requests may proceed.
 
-    With a disk, what waits for its replicas too long is also kept in the spill file, across restarts.
+    If the edge has a disk, records that remain unacknowledged for too long are also written to the spill file, which
+    survives restarts.
     """
 
     __slots__ = ("pending", "voting_members", "live_voters", "dropped_count", "has_disk", "spill_file", "is_leaving")
@@ -68,7 +69,7 @@
         self.has_disk = has_disk
         self.spill_file = SpillFile(len(spilled))
         self.is_leaving = False
-        for line in spilled:  # what an earlier run of this node could not deliver
+        for line in spilled:  # records that an earlier run of this node could not deliver
             record, is_close = undelivered_from_stored(line)
             restored = PendingRecord(record, is_close, True, now)
             restored.is_settled = True
@@ -76,7 +77,7 @@
             self.spill_file.keys.add(restored.key)
 
     def take(self, event: Event, now: timedelta) -> Sequence[Output]:
-        """Handles an event; `now` is monotonic time."""
+        """Handles an event and returns effects and recording outcomes; `now` is monotonic time."""
         match event:
             case RequestOpened(record, is_safe):
                 return self._add_and_send(PendingRecord(record, False, is_safe, now))
@@ -97,7 +98,7 @@
             case LeaveRequested():
                 self._handle_leave(now)
                 return []
-        raise TypeError(f"no event of a ledger writer: {event!r}")
+        raise TypeError(f"the ledger writer does not handle this event: {event!r}")
 
     # new records -------------------------------------------------------------------
 
@@ -112,10 +113,10 @@
         return self._send(pending, self._replicas(pending.record)[:OWNER_COUNT])
 
     def _defer(self, record: Record, is_close: bool, now: timedelta) -> None:
-        """Keeps a record back; once the first of those that are deferred is due, all go out in one message to each."""
+        """Defers a record; once one deferred record is due, all are sent, in one batch per replica."""
         opening = self.pending.get(key_of(record, False))
         if is_close and opening is not None and opening.is_deferred:
-            del self.pending[opening.key]  # the request ended before its opening went out
+            del self.pending[opening.key]  # the request ended before its opening record was sent
         deferred = PendingRecord(record, is_close, True, now + self._max_deferral(record))
         deferred.is_settled = True
         deferred.is_deferred = True
@@ -172,7 +173,7 @@
         return outputs
 
     def _send_deferred(self, now: timedelta) -> list[Effect]:
-        """All that is deferred, once the first of it is due."""
+        """Sends all deferred records once the first of them is due."""
         deferred = [pending for pending in self.pending.values() if pending.is_deferred]
         if not any(now >= pending.started_at for pending in deferred):
             return []
@@ -183,7 +184,7 @@
         return effects
 
     def _send_hinted(self, pending: PendingRecord, replicas: tuple[str, ...], now: timedelta) -> list[Effect]:
-        """Where an owner is silent or gone, the third of three replicas keeps its copy for it."""
+        """Sends the copy of an owner that is slow or unreachable to the third of three replicas (hinted handoff)."""
         owners, stand_ins = replicas[:OWNER_COUNT], replicas[OWNER_COUNT : OWNER_COUNT + 1]
         if len(replicas) != OWNER_COUNT + 1 or stand_ins[0] in pending.sent_to:
             return []
@@ -203,7 +204,7 @@
         return effects
 
     def _settle_overdue(self, pending: PendingRecord, now: timedelta) -> list[RecordingOutcome]:
-        """A request waits for its record for so long only; a record that is settled is still delivered."""
+        """Ends the wait of a request whose record is overdue; the delivery of the record continues."""
         max_wait = SAFE_WAIT if pending.is_safe else UNSAFE_WAIT
         if pending.is_settled or now - pending.started_at <= max_wait:
             return []
@@ -212,7 +213,7 @@
         return [Recorded(request) if pending.is_safe else Unrecorded(request, UnrecordedReason.NO_QUORUM)]
 
     def _relay(self, relays: tuple[str, ...], now: timedelta) -> list[Effect]:
-        """Gives other edges what no two replicas take; whoever reaches the replicas delivers it."""
+        """Sends overdue records to other edges, which deliver them if they can reach the replicas."""
         late = [each for each in self.pending.values() if now >= each.relay_at and not each.is_deferred]
         late = late[:MAX_RELAYED_PER_MESSAGE]
         for pending in late:
@@ -241,7 +242,7 @@
 
 
 def _batched(outputs: Iterable[Output]) -> list[Output]:
-    """What goes to one replica at one tick goes in as few messages as its bound allows, after everything else.
+    """Merges all records for one replica into as few messages as the limit allows, after all other outputs.
 
     >>> one, other = (RecordCopy({"request": request}, ()) for request in "ab")
     >>> first, _, second = [Send("k:1", OpenRecords((one,))), Recorded("r"), Send("k:1", OpenRecords((other,)))]
