--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -92,7 +92,7 @@
     Mutation(
         "DISK",
         "a core without its ledger is who it was",
-        '            damaged = dict.fromkeys(given_up, f"given up together with {lost[0]}") | damaged\n',
+        '            damaged = dict.fromkeys(given_up, f"set aside together with {lost[0]}") | damaged\n',
         "            pass\n",
         STORAGE,
         "given_up_for_good",
@@ -133,8 +133,8 @@
     Mutation(
         "DISK",
         "a day's file is made before the one before it has its name",
-        "        self.file_system.sync_folder()  # else the new name",
-        "        # else the new name",
+        "        self.file_system.sync_folder()  # without it, a power loss",
+        "        # without it, a power loss",
         STORAGE,
         "day_logs_hold",
     ),
--- a/sumachook/ledger/replica_store.py
+++ b/sumachook/ledger/replica_store.py
@@ -160,7 +160,7 @@
             closed = {**record, "state": LOST, "class": LOST, "run": "maybe", "endedAt": ended_at}
             self.records.merge(closed)
             copies.append(RecordCopy(closed, ()))
-        return self._store(copies, Log("warning", "ledger", "Closed open records of lost edges.", {"rows": len(copies)}))
+        return self._store(copies, Log("warning", "ledger", "Closed records of lost edges.", {"rows": len(copies)}))
 
     def _is_writer_lost(self, record: Record, live_restart_epochs: Mapping[str, int], now: timedelta) -> bool:
         """Tells whether the edge process that wrote a record has been absent or replaced for longer than `LOST_AFTER`.
--- a/sumachook/storage/__init__.py
+++ b/sumachook/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable files of a node: record files, day logs and the queue of writes before them (design, section 13)."""
+"""Durable files of a node: record files, day logs and their write queue (design, section 13)."""
--- a/sumachook/storage/batches.py
+++ b/sumachook/storage/batches.py
@@ -1,7 +1,7 @@
-"""How records lie in a file: numbered, chained batches, one for each sync.
+"""The format of a record file: numbered batches, chained by checksums, with one sync per batch.
 
-Batch `n + 1` is written only after the sync of batch `n` has come back. So at most the last batch of a file can be
-incomplete after a loss of power, and the header of a later batch proves that the one before it had been synced.
+Batch `n + 1` is written only after the sync of batch `n` has returned. So at most the last batch of a file can be
+incomplete after a power loss, and the header of a later batch proves that the previous batch had been synced.
 """
 
 import struct
@@ -16,14 +16,14 @@
 from sumachook.transport.codec import as_tuples
 
 MAGIC = b"smk2"
-# magic, generation of the file, number of the batch, length of its body, checksum of the batch before, and its own
+# magic, file generation, batch number, body length, checksum of the previous batch's body, checksum of this body
 _FIELDS = struct.Struct(">4sQQIII")
 _HEADER_SUM = struct.Struct(">I")
 HEADER_SIZE = _FIELDS.size + _HEADER_SUM.size
 
 
 class _Header(NamedTuple):
-    """The fields of a batch's header, in the order in which they are packed."""
+    """The fields of a batch header in their packed order."""
 
     magic: bytes
     generation: int
@@ -35,17 +35,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where the next batch of a file belongs."""
+    """End of the last complete batch of a file, where the next one is written."""
 
-    generation: int = 1  # counts the times at which the file was written anew
-    number: int = 0  # of the last whole batch
-    checksum: int = 0  # of its body
-    length: int = 0  # bytes of the file up to its end
+    generation: int = 1  # incremented by each rewrite of the file
+    number: int = 0  # number of the last complete batch
+    checksum: int = 0  # CRC-32 of its body
+    length: int = 0  # file offset of its end, in bytes
 
 
 @dataclass(frozen=True, slots=True)
 class FileContent:
-    """What a file holds: records up to the last whole batch, and the reason if more was lost than an unsynced tail."""
+    """Records up to the last complete batch of a file; `damage` tells why synced data must have been lost."""
 
     records: tuple[Any, ...]
     position: Position
@@ -53,7 +53,7 @@
 
 
 def pack_batch(name: str, position: Position, records: Sequence[Any]) -> tuple[bytes, Position]:
-    """The bytes of the next batch, and the position after it."""
+    """Encodes the next batch and returns its bytes with the position after it."""
     parts = _body_parts(records)
     number = position.number + 1
     length = sum(map(len, parts))
@@ -66,7 +66,7 @@
 
 
 def _body_parts(records: Sequence[Any]) -> list[bytes]:
-    """A JSON array in parts, one record each, so that the interpreter is held for one of them at a time."""
+    """Encodes a JSON array record by record, so that each call holds the interpreter lock for one record only."""
     parts = [b"["]
     for index, record in enumerate(records):
         if index:
@@ -77,7 +77,7 @@
 
 
 def read_file(name: str, raw: bytes) -> FileContent:
-    """The records of all whole batches; with `damage` where something that had been synced is not whole.
+    """Decodes all complete batches; sets `damage` if data that had been synced is incomplete or corrupt.
 
     >>> first, position = pack_batch("log", Position(), [["a"]])
     >>> second, position = pack_batch("log", position, [["b"], ["c"]])
@@ -88,7 +88,7 @@
     >>> bool(read_file("log", first[:-1] + b"?" + second).damage)
     True
     """
-    records, end = single_records.read_prefix(raw)  # files of earlier versions begin with records that stand alone
+    records, end = single_records.read_prefix(raw)  # files of earlier versions begin with single records
     position = Position(length=end)
     while (batch := _batch_at(name, raw, position)) is not None:
         body, position = batch
@@ -97,7 +97,7 @@
 
 
 def _batch_at(name: str, raw: bytes, position: Position) -> tuple[bytes, Position] | None:
-    """The body of the batch that follows on `position` and the position after it, or None if it is incomplete."""
+    """Returns the body of the batch at `position` and the position after it, or None if it is incomplete or invalid."""
     header = _header_at(name, raw, position.length)
     if header is None:
         return None
@@ -129,19 +129,19 @@
 
 
 def _damage_at(name: str, raw: bytes, position: Position) -> str:
-    """Why what follows on the last whole batch cannot be an unsynced tail, or nothing."""
+    """Returns why the bytes after the last complete batch cannot be an unsynced tail; empty if they can."""
     if position.length == len(raw):
         return ""
     if position.length == 0 and not raw.startswith(single_records.MAGIC):
-        return "its first batch is not whole, which was synced before the file got its name"
+        return "the first batch is incomplete, though it was synced before the file got its name"
     offset = position.length
     if position.number == 0 and (later := single_records.find_record(raw, offset + 1)) is not None:
-        return f"bad bytes at {offset}, a good record at {later}"
+        return f"invalid bytes at offset {offset}, but a valid record at offset {later}"
     while (offset := raw.find(MAGIC, offset)) >= 0:
         header = _header_at(name, raw, offset)
         if header is not None and (position.number == 0 or header.generation == position.generation):
             if header.number > position.number + 1 or (position.number == 0 and offset > position.length):
                 missing = position.number + 1
-                return f"batch {missing} is not whole at {position.length}, batch {header.number} follows it"
+                return f"batch {missing} at offset {position.length} is broken, but batch {header.number} follows it"
         offset += 1
     return ""
--- a/sumachook/storage/day_logs.py
+++ b/sumachook/storage/day_logs.py
@@ -1,4 +1,4 @@
-"""The logs of days: JSON lines for people, in segments, bounded together by bytes."""
+"""Day logs: request records as JSON lines for operators, in segments whose total size is bounded."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -9,22 +9,22 @@
 from sumachook.storage.file_system import FileSystem
 
 PREFIX, SUFFIX = "day-", ".jsonl"
-SEGMENT_BYTES = 4 << 20  # a reader of logs opens one without trouble
-MAX_TOTAL_BYTES = 32 << 20  # of all days; a core's files together stay far below the disk that it is given
-MAX_INHERITED_LINES = 2000  # what an earlier process wrote and may not have acknowledged is at most so much
+SEGMENT_BYTES = 4 << 20  # small enough to open in a log viewer
+MAX_TOTAL_BYTES = 32 << 20  # for all days; keeps the files of a core far below the size of its disk
+MAX_INHERITED_LINES = 2000  # limit of lines that an earlier process may have written without acknowledgement
 
 
 @dataclass(slots=True)
 class _Segment:
-    """The file that a day's lines go to now."""
+    """The open segment of a day, to which its lines are appended."""
 
     length: int
-    is_unsynced: bool = False  # behind `length` there may be anything
-    inherited: frozenset[bytes] = frozenset()  # the last lines that an earlier process wrote
+    is_unsynced: bool = False  # bytes beyond `length` are undefined
+    inherited: frozenset[bytes] = frozenset()  # last lines that an earlier process wrote
 
 
 class DayLogs:
-    """Appends lines to `day-DATE.jsonl`; a full one becomes `day-DATE.NUMBER.jsonl`, the oldest of all are removed."""
+    """Appends lines to `day-DATE.jsonl`; renames a full file to `day-DATE.NUMBER.jsonl`, removes the oldest ones."""
 
     __slots__ = ("file_system", "segment_bytes", "max_bytes", "segments", "removed")
 
@@ -35,14 +35,14 @@
         self.segment_bytes = segment_bytes
         self.max_bytes = max_bytes
         self.segments: dict[str, _Segment] = {}
-        self.removed: list[str] = []  # names of segments that gave way, until somebody tells of them
+        self.removed: list[str] = []  # names of removed segments that have not been logged yet
 
     def append(self, name: str, records: Iterable[Any]) -> None:
-        """Makes the records durable as lines at the end of the day's log."""
+        """Appends the records as lines to the log of a day and syncs it."""
         is_first_write = name not in self.segments
         if is_first_write:
             self._begin(name)
-        inherited = self.segments[name].inherited  # written, not acknowledged, and so asked for again
+        inherited = self.segments[name].inherited  # written but not acknowledged, hence submitted again
         lines = [line for record in records if (line := msgspec.json.encode(record)) not in inherited]
         raw = b"".join(line + b"\n" for line in lines)
         if not is_first_write and self.segments[name].length + len(raw) > self.segment_bytes:
@@ -56,14 +56,14 @@
         segment.length += len(raw)
 
     def _begin(self, name: str) -> None:
-        """Takes up the file that an earlier process left, or makes it."""
+        """Opens the file that an earlier process left and drops its torn lines, or creates the file."""
         if name not in self.file_system.names():
             self._make(name)
             return
         raw = self.file_system.read(name)
         lines = whole_lines(raw)
         whole = b"".join(line + b"\n" for line in lines)
-        if whole != raw:  # torn lines were never acknowledged; behind half a line the next one would be lost
+        if whole != raw:  # a torn line was never acknowledged; a line appended to it would be lost
             self.file_system.write_new(name + ".new", whole)
             self.file_system.rename(name + ".new", name)
         else:
@@ -72,7 +72,7 @@
         self.segments[name] = _Segment(len(whole), inherited=frozenset(lines[-MAX_INHERITED_LINES:]))
 
     def _make(self, name: str) -> None:
-        self.file_system.sync_folder()  # else the new name could be kept and the renaming of the file before lost
+        self.file_system.sync_folder()  # without it, a power loss could keep the new name but lose the previous rename
         self._make_room()
         self.file_system.write_new(name, b"")
         self.file_system.sync_folder()
@@ -90,7 +90,7 @@
         self._make(name)
 
     def _make_room(self) -> None:
-        """The oldest segments go, until a full one more finds room."""
+        """Removes the oldest segments until another full segment fits below the limit."""
         sizes = {name: self.file_system.size(name) for name in self.file_system.names() if name.startswith(PREFIX)}
         for name in sorted(sizes, key=_age):
             if sum(sizes.values()) + self.segment_bytes <= self.max_bytes:
@@ -101,7 +101,7 @@
 
 
 def whole_lines(raw: bytes) -> list[bytes]:
-    """The lines of a log that are whole; half of one, as a loss of power leaves it, was never acknowledged.
+    """Returns the complete lines of a log; a power loss can leave a torn line, which was never acknowledged.
 
     >>> whole_lines(b'{"a":1}\\n{"b":')
     [b'{"a":1}']
@@ -114,7 +114,7 @@
 
 
 def _age(name: str) -> tuple[str, int]:
-    """Days in order; within a day the numbered segments in order, the open one last."""
+    """Sort key: by day, and within a day by segment number with the open segment last."""
     day, _, number = name.removesuffix(SUFFIX).partition(".")
     return (day, int(number) if number.isdigit() else 1 << 30)
 
--- a/sumachook/storage/events.py
+++ b/sumachook/storage/events.py
@@ -1,10 +1,10 @@
-"""What the storage tells the machine that writes to it."""
+"""Events that the storage sends to the state machine of its node."""
 
 from sumachook.host.events import Event
 
 
 class DiskStateChanged(Event, frozen=True):
-    """Whether the disk takes records from now on; `reason` says why it doesn't."""
+    """The disk started or stopped accepting writes; `reason` tells why it stopped."""
 
     is_available: bool
     reason: str = ""
--- a/sumachook/storage/file_system.py
+++ b/sumachook/storage/file_system.py
@@ -1,28 +1,28 @@
-"""The few operations on files that the storage needs, and their real implementation."""
+"""The file operations that the storage needs, and their implementation on a real disk."""
 
 import os
 from pathlib import Path
 from typing import Protocol
 
-OWNER_ONLY = 0o600  # mode of new files: the stored configuration has clients' keys in it
+OWNER_ONLY = 0o600  # mode of new files, since the stored configuration contains the keys of clients
 
 
 class FileSystem(Protocol):
-    """One flat folder. Every operation that writes comes back only after its own sync.
+    """One flat folder of files. Every operation that writes to a file syncs it before it returns.
 
-    A name that was made, renamed or removed is durable only after `sync_folder`. Any operation may raise `OSError`; the
-    content of the file that it was to change is unknown from then on.
+    A name that was created, renamed or removed is durable only after `sync_folder`. Any operation may raise `OSError`;
+    the content of the file that it was to change is undefined afterwards.
     """
 
     @property
     def location(self) -> str:
-        """Where the folder is, for messages."""
+        """The location of the folder, for messages."""
 
     def prepare(self) -> None:
-        """Makes the folder itself durable, if it is missing."""
+        """Creates the folder durably if it does not exist."""
 
     def names(self) -> list[str]:
-        """The names of all files in the folder."""
+        """Returns the names of all files in the folder."""
 
     def size(self, name: str) -> int:
         """The file's length in bytes."""
@@ -31,25 +31,25 @@
         """The whole content of a file."""
 
     def write_new(self, name: str, raw: bytes) -> None:
-        """Makes the file, or empties it, writes `raw` and syncs it."""
+        """Creates or empties the file, writes `raw` and syncs it."""
 
     def append(self, name: str, raw: bytes) -> None:
-        """Writes `raw` behind the file's end and syncs it."""
+        """Appends `raw` to the file and syncs it."""
 
     def truncate(self, name: str, length: int) -> None:
-        """Sets the file's length and syncs it."""
+        """Truncates the file to `length` bytes and syncs it."""
 
     def sync(self, name: str) -> None:
-        """Makes durable what an earlier process may have written without a sync."""
+        """Syncs the file, since an earlier process may have written to it without a sync."""
 
     def rename(self, name: str, new_name: str) -> None:
-        """Gives a file another name, in place of the file that had it."""
+        """Renames a file, replacing the file that had the new name."""
 
     def remove(self, name: str) -> None:
-        """Takes a name out of the folder."""
+        """Removes a file from the folder."""
 
     def sync_folder(self) -> None:
-        """Makes all made, renamed and removed names durable."""
+        """Makes all created, renamed and removed names durable."""
 
 
 class RealFileSystem:
@@ -66,7 +66,7 @@
         return str(self.path)
 
     def prepare(self) -> None:
-        """Makes the folder and each missing parent, and syncs each in its own parent."""
+        """Creates the folder and each missing parent, and syncs the parent of each."""
         missing = []
         folder = self.path
         while not folder.exists():
@@ -77,7 +77,7 @@
             _sync_folder(folder.parent)
 
     def names(self) -> list[str]:
-        """The names of all files, in order."""
+        """Returns the names of all files in sorted order."""
         return sorted(entry.name for entry in os.scandir(self.path) if entry.is_file())
 
     def size(self, name: str) -> int:
@@ -89,15 +89,15 @@
         return (self.path / name).read_bytes()
 
     def write_new(self, name: str, raw: bytes) -> None:
-        """Makes or empties the file, writes and syncs it."""
+        """Creates or empties the file, writes `raw` and syncs it."""
         self._write(name, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, raw)
 
     def append(self, name: str, raw: bytes) -> None:
-        """Writes behind the end and syncs."""
+        """Appends `raw` to the file and syncs it."""
         self._write(name, os.O_WRONLY | os.O_APPEND, raw)
 
     def truncate(self, name: str, length: int) -> None:
-        """Sets the length and syncs."""
+        """Truncates the file to `length` bytes and syncs it."""
         handle = os.open(self.path / name, os.O_WRONLY)
         try:
             os.ftruncate(handle, length)
@@ -106,7 +106,7 @@
             os.close(handle)
 
     def sync(self, name: str) -> None:
-        """Syncs what an earlier process may have left."""
+        """Syncs the file, which an earlier process may have left unsynced."""
         handle = os.open(self.path / name, os.O_RDWR)
         try:
             os.fsync(handle)
@@ -114,19 +114,19 @@
             os.close(handle)
 
     def rename(self, name: str, new_name: str) -> None:
-        """Renames, in place of the file of that name."""
+        """Renames a file, replacing the file that had the new name."""
         os.replace(self.path / name, self.path / new_name)
 
     def remove(self, name: str) -> None:
-        """Removes the name."""
+        """Removes the file."""
         os.unlink(self.path / name)
 
     def sync_folder(self) -> None:
-        """Syncs the folder itself."""
+        """Syncs the entries of the folder."""
         _sync_folder(self.path)
 
     def _write(self, name: str, flags: int, raw: bytes) -> None:
-        """One descriptor for write and sync, so that an error of the write-back is reported here."""
+        """Writes and syncs through one descriptor, so that fsync reports a failed write-back of these bytes."""
         handle = os.open(self.path / name, flags, OWNER_ONLY)
         try:
             rest = memoryview(raw)
--- a/sumachook/storage/folder.py
+++ b/sumachook/storage/folder.py
@@ -1,4 +1,4 @@
-"""The data folder of a node: which file is written how, and what a start makes of what it finds."""
+"""The data folder of a node: how its files are written, and how they are recovered at startup."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -9,13 +9,13 @@
 from sumachook.storage.file_system import FileSystem
 from sumachook.storage.write_queue import WriteKind, WriteStep
 
-TEMPORARY_SUFFIX = ".new"  # of a file that is being written anew
-DAMAGED_SUFFIX = ".damaged"  # of a file that was set aside for the operator
+TEMPORARY_SUFFIX = ".new"  # of the replacement file during a rewrite
+DAMAGED_SUFFIX = ".damaged"  # of a damaged file that is kept for the operator
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """A file that was set aside, and why."""
+    """A damaged file that was renamed to `kept_as`, and the reason."""
 
     name: str
     reason: str
@@ -24,17 +24,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """What a start found: the records of each file, and the files that could not be read."""
+    """Result of opening the folder: the records of each readable file, and the damaged files."""
 
     records: dict[str, tuple[Any, ...]]
     damages: tuple[Damage, ...] = ()
 
 
 class DataFolder:
-    """Record files and day logs of one folder; a write counts once `write` has come back.
+    """The record files and day logs of one folder; a step is durable once `write` has returned.
 
-    `open` is called first. After an `OSError` the same step is given again: what had been written of it is cut off, or
-    written anew, before anything follows it.
+    `open` must be called first. After an `OSError` the caller must retry the same step: the partially written bytes are
+    truncated or rewritten before any further write to that file.
     """
 
     __slots__ = ("file_system", "day_logs", "positions", "generations", "unsynced", "damages")
@@ -43,17 +43,17 @@
         self.file_system = file_system
         self.day_logs = day_logs or DayLogs(file_system)
         self.positions: dict[str, Position] = {}
-        self.generations: dict[str, int] = {}  # the highest of each file that was ever written or found
+        self.generations: dict[str, int] = {}  # highest generation of each file that was written or read
         self.damages: dict[str, str] = {}
-        self.unsynced: set[str] = set()  # files behind whose position there may be anything
+        self.unsynced: set[str] = set()  # files with undefined bytes after their position
 
-    # start ----------------------------------------------------------------------
+    # startup --------------------------------------------------------------------
 
     def open(self, names: Iterable[str], identity_names: Sequence[str] = ()) -> Opened:
-        """Reads the files `names`, and makes durable what was found before anybody acts on it.
+        """Reads the files `names`, and makes their content durable before the node acts on it.
 
-        A file that lost more than an unsynced tail is set aside. If it is one of `identity_names`, all of these are:
-        the node then starts as a blank one, since it may have forgotten what it promised.
+        A file that lost more than an unsynced tail is renamed with the suffix ".damaged". If it is one of
+        `identity_names`, all of these are renamed: the node then starts blank, since it may have lost its promises.
         """
         files = self.file_system
         files.prepare()
@@ -63,7 +63,7 @@
         damaged = {name: content.damage for name, content in contents.items() if content.damage}
         if lost := [name for name in identity_names if name in damaged]:
             given_up = [name for name in identity_names if name in contents]
-            damaged = dict.fromkeys(given_up, f"given up together with {lost[0]}") | damaged
+            damaged = dict.fromkeys(given_up, f"set aside together with {lost[0]}") | damaged
         for name, reason in damaged.items():
             self._set_aside(name, reason)
         sound = {name: content for name, content in contents.items() if name not in damaged}
@@ -75,22 +75,25 @@
         return Opened(records, tuple(damages))
 
     def _remove_leftovers(self) -> None:
-        """Rewrites that were cut short; the files that they were for are whole."""
+        """Removes the temporary files of interrupted rewrites; the files that they would have replaced are intact."""
         for name in self.file_system.names():
             if name.endswith(TEMPORARY_SUFFIX):
                 self.file_system.remove(name)
 
     def _set_aside(self, name: str, reason: str) -> None:
-        """One at a time and durable, so that no later file is gone while an earlier one is still taken for good."""
+        """Renames a damaged file and syncs the folder.
+
+        Files are renamed durably one by one: a crash must not lose a later file while an earlier one is still in use.
+        """
         self.damages.setdefault(name, reason)
-        self.file_system.rename(name, name + DAMAGED_SUFFIX)  # one is kept of each; a later one takes its place
+        self.file_system.rename(name, name + DAMAGED_SUFFIX)  # replaces an earlier copy
         self.file_system.sync_folder()
 
     def _read(self, name: str) -> FileContent:
         return read_file(name, self.file_system.read(name))
 
     def _settle(self, name: str, position: Position) -> None:
-        """Cuts an unsynced tail off; syncs the rest, which a process that was killed may have left unsynced."""
+        """Truncates an unsynced tail; syncs the file, which a killed process may have left unsynced."""
         if position.length == 0:
             self.file_system.remove(name)
             return
@@ -104,7 +107,7 @@
     # writing --------------------------------------------------------------------
 
     def write(self, step: WriteStep) -> None:
-        """Makes one step durable."""
+        """Writes one step and syncs it; raises OSError if the disk fails."""
         if step.kind is WriteKind.DAY_LOG:
             self.day_logs.append(step.file, step.records)
         elif step.kind is WriteKind.REWRITE or step.file not in self.positions:
@@ -123,8 +126,8 @@
         self.positions[name] = after
 
     def _rewrite(self, name: str, records: Sequence[Any]) -> None:
-        """Beside the old file, synced, put in its place; so a file that has its name has a whole first batch."""
-        generation = self.generations[name] = self.generations.get(name, 0) + 1  # a second try is yet another one
+        """Writes and syncs a temporary file, then renames it, so that a renamed file has a complete first batch."""
+        generation = self.generations[name] = self.generations.get(name, 0) + 1  # a retry uses yet another generation
         raw, after = pack_batch(name, Position(generation), records)
         temporary = name + TEMPORARY_SUFFIX
         self.file_system.write_new(temporary, raw)
--- a/sumachook/storage/layout.py
+++ b/sumachook/storage/layout.py
@@ -1,10 +1,10 @@
-"""The files of a node's data folder."""
+"""File names in the data folder of a node."""
 
-LOG = "consensus"  # the ordered log of a core, with its identity and its promises
-LEDGER = "ledger"  # the rows that a core keeps
-SNAPSHOT = "image"  # an edge's copy of the control state
-SPOOL = "spool"  # an edge's records that no two keepers have taken
+LOG = "consensus"  # consensus log of a core, with its identity and its promises
+LEDGER = "ledger"  # request records that a core stores as a replica
+SNAPSHOT = "image"  # control state snapshot of an edge
+SPOOL = "spool"  # spill file of an edge: records without acknowledgements from two replicas
 
 FILES = (LOG, LEDGER, SNAPSHOT, SPOOL)
-IDENTITY_FILES = (LOG, LEDGER)  # without one of these a core is not who it was
-EARLIER_LOG = "accord"  # of the version before; its entries bear no digests, so it cannot be taken over
+IDENTITY_FILES = (LOG, LEDGER)  # a core that lost one of these must take a new identity
+EARLIER_LOG = "accord"  # log of the previous version; its entries have no digests, so it cannot be migrated
--- a/sumachook/storage/single_records.py
+++ b/sumachook/storage/single_records.py
@@ -1,6 +1,6 @@
-"""The record format of earlier versions: each record stands alone, nothing tells where a sync ended.
+"""The record format of earlier versions: independent records, without a mark of where each sync ended.
 
-Such files are still read. What is appended to one is written as batches (`batches.py`) behind its records.
+Such files can still be read. New records are appended to them as batches (`batches.py`).
 """
 
 import struct
@@ -16,13 +16,13 @@
 
 
 def pack_record(record: Any) -> bytes:
-    """One record in the old format; the product writes none any more."""
+    """Encodes one record in the old format, for tests only: the product no longer writes this format."""
     body = msgspec.json.encode(record)
     return _HEADER.pack(MAGIC, len(body), zlib.crc32(body), zlib.crc32(MAGIC + len(body).to_bytes(4, "big"))) + body
 
 
 def read_prefix(raw: bytes) -> tuple[list[Any], int]:
-    """The whole records that the file begins with, and where they end."""
+    """Decodes the complete records at the start of a file; returns them with the offset of their end."""
     records: list[Any] = []
     offset = 0
     while (record := _record_at(raw, offset)) is not None:
@@ -32,7 +32,7 @@
 
 
 def find_record(raw: bytes, offset: int) -> int | None:
-    """Where the next whole record begins, from `offset` on."""
+    """Returns the offset of the first complete record at or after `offset`, or None if there is none."""
     while (offset := raw.find(MAGIC, offset)) >= 0:
         if _record_at(raw, offset) is not None:
             return offset
--- a/sumachook/storage/write_queue.py
+++ b/sumachook/storage/write_queue.py
@@ -1,4 +1,4 @@
-"""Writes that wait for the disk, in an order that keeps every promise."""
+"""The queue of pending disk writes, ordered so that a record is acknowledged only after its day log line is durable."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -8,14 +8,14 @@
 from sumachook.host.effects import AppendDayLog, AppendRecords, RewriteRecords
 from sumachook.storage.events import DiskStateChanged
 
-STALLED_AFTER = timedelta(seconds=1)  # a step that takes so long means that the disk does not take records
-MAX_WAITING_WRITES = 4096  # so do that many writes
+STALLED_AFTER = timedelta(seconds=1)  # the disk counts as unavailable if a step takes longer
+MAX_WAITING_WRITES = 4096  # the disk also counts as unavailable if more writes are queued
 
 Write = AppendRecords | RewriteRecords | AppendDayLog
 
 
 class WriteKind(Enum):
-    """How a step changes its file."""
+    """The way in which a step changes its file."""
 
     APPEND = "append"
     REWRITE = "rewrite"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteStep:
-    """What goes to one file with one sync; afterwards the machine is given `followups`."""
+    """The records that one sync writes to one file; afterwards the state machine receives `followups`."""
 
     kind: WriteKind
     file: str
@@ -34,7 +34,7 @@
 
 
 def step_of(write: Write, now: timedelta) -> WriteStep:
-    """The step that makes this write alone durable."""
+    """Returns the step for a single write."""
     match write:
         case AppendRecords(file, records, done):
             kind = WriteKind.APPEND
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class _WaitingWrites:
-    """What waits for one file."""
+    """The queued writes of one file."""
 
     since: timedelta
     kind: WriteKind = WriteKind.APPEND
@@ -57,11 +57,11 @@
 
 
 class WriteQueue:
-    """Takes writes from the machine and gives them out one step at a time.
+    """Queues the writes of the state machine and returns them one step at a time.
 
-    All that waits for one file goes out in one step. `first_file` goes before all else: what others wait for most. Then
-    come the day logs, since a record is acknowledged only after its line is durable, then the rest, oldest first.
-    A rewrite replaces what waited for its file before it, so that no file's part of the queue holds more than one.
+    A step contains all queued writes of one file. `first_file` has priority, since other nodes wait for its writes. Day
+    logs come next, since a record is acknowledged only after its line is durable, then all other files, oldest first.
+    A rewrite replaces the queued writes of its file, so that the queue holds at most one rewrite per file.
 
     >>> queue, zero = WriteQueue("log"), timedelta(0)
     >>> queue.put(AppendRecords("ledger", (["row"],), "row is safe"), zero)
@@ -83,7 +83,7 @@
         self.was_available = True
 
     def put(self, write: Write, now: timedelta) -> None:
-        """Add a write; its `done`, if any, is what the machine is given once it is durable."""
+        """Queues a write; its `done` value, if any, is returned by `finish_step` once the write is durable."""
         step = step_of(write, now)
         waiting = self.waiting.setdefault(step.file, _WaitingWrites(now))
         if step.kind is not WriteKind.APPEND:
@@ -96,11 +96,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing waits and nothing is under way."""
+        """Whether no write is queued or in progress."""
         return self.step is None and not self.waiting
 
     def begin_step(self, now: timedelta) -> WriteStep | None:
-        """The step that is to be written now, the same until it is finished; None if nothing waits."""
+        """Returns the step to write now, the same one until it is finished; None if the queue is empty."""
         if self.step is None and self.waiting:
             file = min(self.waiting, key=self._rank)
             waiting = self.waiting.pop(file)
@@ -108,18 +108,18 @@
         return self.step
 
     def finish_step(self) -> tuple[Any, ...]:
-        """The step is durable; gives its followups."""
+        """Marks the current step as durable and returns its followups."""
         step = self.step
         self.step = None
         self.error = ""
         return step.followups if step is not None else ()
 
     def fail_step(self, error: str) -> None:
-        """The disk refused the step; it is begun again."""
+        """Records the error of the current step, which remains current and is retried."""
         self.error = error
 
     def state_change(self, now: timedelta) -> DiskStateChanged | None:
-        """The disk's state, if it is another than was last given."""
+        """Returns the availability of the disk if it changed since the last call, else None."""
         reason = self.error or self._delay(now)
         is_available = not reason
         if is_available == self.was_available:
@@ -133,7 +133,7 @@
 
     def _delay(self, now: timedelta) -> str:
         if self.step is not None and now - self.step.begun_at > STALLED_AFTER:
-            return "a write takes more than a second"
+            return "a write takes longer than 1 s"
         if sum(waiting.count for waiting in self.waiting.values()) > MAX_WAITING_WRITES:
-            return "too many writes wait"
+            return "too many writes are queued"
         return ""
