--- a/sumachook/host/__init__.py
+++ b/sumachook/host/__init__.py
@@ -1,5 +1,5 @@
-"""The contract between a state machine and its host: the events that it takes and the effects that it asks for.
+"""The interface between a state machine and its host: input events and output effects.
 
-A node is a state machine without clock, socket or file. Its host, a process (`nodes/daemon.py`) or the in-memory fleet
-(`simulation/fleet.py`), gives it events and carries out the effects that it gives back.
+A node is a state machine without clock, socket or file access. Its host, a process (`nodes/daemon.py`) or the in-memory
+simulation (`simulation/fleet.py`), passes events to it and executes the effects that it returns.
 """
--- a/sumachook/host/effects.py
+++ b/sumachook/host/effects.py
@@ -1,4 +1,4 @@
-"""What a state machine asks its host to do."""
+"""Effects: the actions that a state machine requests from its host."""
 
 from datetime import timedelta
 from enum import StrEnum
@@ -10,25 +10,25 @@
 
 
 class Effect(msgspec.Struct, frozen=True):
-    """Base of all effects that a host carries out."""
+    """Base class of all effects, executed by the host (`HOST_EFFECTS`) or by another component of the node."""
 
 
 class Send(Effect, frozen=True):
-    """Send a message to the node at this address over a connection: in order, lost only with the connection."""
+    """Send a message to the node at this address over a connection: in order, and lost only if the connection fails."""
 
     address: str
     message: Any
 
 
 class SendDatagram(Effect, frozen=True):
-    """Send a message to the node at this address in one datagram, which may be lost."""
+    """Send a message to the node at this address as one datagram, which may be lost."""
 
     address: str
     message: Any
 
 
 class Reply(Effect, frozen=True):
-    """Answer a request with a complete response."""
+    """Send a complete response to a request."""
 
     call_id: CallId
     status: int
@@ -37,7 +37,7 @@
 
 
 class BeginResponse(Effect, frozen=True):
-    """Answer a request with status and headers now; the body follows in chunks."""
+    """Send the status and headers of a response now; the body follows in chunks."""
 
     call_id: CallId
     status: int
@@ -45,26 +45,26 @@
 
 
 class SendChunk(Effect, frozen=True):
-    """Send a part of the body of a response that was begun."""
+    """Send a chunk of the body of a response that `BeginResponse` started."""
 
     call_id: CallId
     data: bytes
 
 
 class EndResponse(Effect, frozen=True):
-    """End a response that was begun, in good order."""
+    """Complete a response that `BeginResponse` started."""
 
     call_id: CallId
 
 
 class AbortResponse(Effect, frozen=True):
-    """Close the connection of a response, so that what was sent cannot pass for complete."""
+    """Close the connection of a response, so that the client cannot mistake the partial body for a complete one."""
 
     call_id: CallId
 
 
 class Fetch(Effect, frozen=True):
-    """Call an HTTP server; `mode` "events" reads a stream of server-sent events, anything else the complete body."""
+    """Call an HTTP server; `mode` "events" reads a stream of server-sent events, any other mode the complete body."""
 
     call_id: CallId
     method: str
@@ -77,9 +77,9 @@
 
 
 class ConnectionReuse(StrEnum):
-    """Which connections that were used before may carry a call.
+    """Policy for sending a call over a connection that was used before.
 
-    `WHEN_ALIVE`: one of which it is known that the server has not forgotten it, as for a call that may not run twice.
+    `WHEN_ALIVE` allows only a connection that the server is known to keep open, as for a call that may not run twice.
     """
 
     NEVER = "never"
@@ -90,7 +90,7 @@
 class ForwardRequest(Effect, frozen=True):
     """Forward a client's request to a server unchanged.
 
-    After it so many idle connections to that server may be kept.
+    Afterwards the host keeps at most `max_kept_connections` idle connections to that server.
     """
 
     call_id: CallId
@@ -105,13 +105,13 @@
 
 
 class CancelCall(Effect, frozen=True):
-    """Give up a call that was begun by `Fetch` or `ForwardRequest`; nothing more is told of it."""
+    """Cancel a call that `Fetch` or `ForwardRequest` started; no further event of this call is delivered."""
 
     call_id: CallId
 
 
 class AppendRecords(Effect, frozen=True):
-    """Append records to a file of the data folder; `done` is given back to the machine once they are durable."""
+    """Append records to a file of the data folder; `done` is passed to the state machine once they are durable."""
 
     file: str
     records: tuple[Any, ...]
@@ -119,7 +119,7 @@
 
 
 class RewriteRecords(Effect, frozen=True):
-    """Replace a file of the data folder by these records; `done` is given back once they are durable."""
+    """Replace a file of the data folder by these records; `done` is passed to the state machine once they are durable."""
 
     file: str
     records: tuple[Any, ...]
@@ -127,14 +127,14 @@
 
 
 class AppendDayLog(Effect, frozen=True):
-    """Append lines to the log of one day ("YYYY-MM-DD"), durable before anything that depends on them."""
+    """Append lines to the day log `day` ("day-YYYY-MM-DD.jsonl"), durable before the records that depend on them."""
 
     day: str
     lines: tuple[Any, ...]
 
 
 class Log(Effect, frozen=True):
-    """Write a line to the program's log: level ("info", "warning", "error"), the part that speaks, text and fields."""
+    """Write a line to the log of the process: level ("info", "warning", "error"), source component, text and fields."""
 
     level: str
     component: str
@@ -143,32 +143,32 @@
 
 
 class ApplyClientLimits(Effect, frozen=True):
-    """The configuration's limits of clients (`configuration/limits.py`) hold at the proxy server from now on."""
+    """Apply the client limits of the configuration (`configuration/limits.py`) to the proxy server."""
 
     limits: Any
 
 
 class CloseProxyServer(Effect, frozen=True):
-    """Take no more connections of clients; answer what is in flight."""
+    """Accept no new client connections; requests in flight are still answered."""
 
 
 class WakeAfter(Effect, frozen=True):
-    """Give a `DelayElapsed` after this delay."""
+    """Deliver a `DelayElapsed` event after this delay."""
 
     delay: timedelta
 
 
 class Exit(Effect, frozen=True):
-    """End the process with this exit code once the last messages are out, and answers written.
+    """Exit the process with this code once the last messages and responses have been written.
 
-    What clients have not taken within `write_within` of this effect is lost.
+    Response bytes that clients have not read within `write_within` of this effect are lost.
     """
 
     code: int
     write_within: timedelta = timedelta(seconds=2)
 
 
-# What a host carries out; other effects are for another part of the same node.
+# Effects that a host executes; all others are for another component of the same node.
 HOST_EFFECTS: frozenset[type[Effect]] = frozenset(
     {
         Send,
--- a/sumachook/host/events.py
+++ b/sumachook/host/events.py
@@ -1,4 +1,4 @@
-"""What a host tells a state machine."""
+"""Events: the inputs that a host delivers to a state machine."""
 
 from enum import StrEnum
 from typing import Any
@@ -7,37 +7,37 @@
 
 from sumachook.calls.run_status import CallFailure
 
-CallId = Any  # names a call within one node; opaque to hosts
+CallId = Any  # identifies a call within one node; opaque to hosts
 
 
 class Event(msgspec.Struct, frozen=True):
-    """Base of all events of a host."""
+    """Base class of all events."""
 
 
 class Tick(Event, frozen=True):
-    """The timer fired; every time-out is looked at on a tick."""
+    """The periodic timer fired; all timeouts are checked on a tick."""
 
 
 class StopRequested(Event, frozen=True):
-    """The process was told to end (SIGTERM): drain, then exit within the grace period."""
+    """The process received SIGTERM: drain, then exit within the grace period."""
 
 
 class SettingsReloadRequested(Event, frozen=True):
-    """The process was told to read its settings file again (SIGHUP)."""
+    """The process received SIGHUP and must reload its settings file."""
 
 
 class SeedsChanged(Event, frozen=True):
-    """The settings name other seed addresses ("IP:PORT")."""
+    """The reloaded settings contain a different list of seed addresses ("IP:PORT")."""
 
     addresses: tuple[str, ...]
 
 
 class DelayElapsed(Event, frozen=True):
-    """The delay of a `WakeAfter` effect is over."""
+    """The delay of a `WakeAfter` effect has elapsed."""
 
 
 class MessageReceived(Event, frozen=True):
-    """A message of another node, with the address at which that node is answered."""
+    """A message from another node arrived; replies to that node go to `address`."""
 
     sender: str
     address: str
@@ -45,11 +45,11 @@
 
 
 class UnreadableMessageReceived(Event, frozen=True):
-    """Bytes that are no message of this cluster; they were dropped."""
+    """Received bytes were dropped, since they are not a valid message of this cluster."""
 
 
 class HttpRequestReceived(Event, frozen=True):
-    """A request at the node's own HTTP address; header names are in lower case."""
+    """A request arrived at the node's own HTTP address; header names are in lower case."""
 
     call_id: CallId
     method: str
@@ -59,7 +59,7 @@
 
 
 class ProxyRequestReceived(Event, frozen=True):
-    """A client's request to be forwarded; path, header pairs and body are as they came."""
+    """A client's request to forward arrived; path, header pairs and body are unchanged."""
 
     call_id: CallId
     method: str
@@ -69,7 +69,7 @@
 
 
 class ConnectionEnd(StrEnum):
-    """What ended a client's connection; the value is what logs say."""
+    """Reason why a client's connection ended; the value is the text in log lines."""
 
     CLIENT = "the client left, or the way to it broke"
     NOT_READ = "closed here: the client does not read"
@@ -81,50 +81,50 @@
 
 
 class ClientDisconnected(Event, frozen=True):
-    """The connection of a request's client ended before its answer was complete."""
+    """The client connection of a request ended before the response was complete."""
 
     call_id: CallId
     ended_by: ConnectionEnd = ConnectionEnd.CLIENT
 
 
 class CallEvent(Event, frozen=True):
-    """Base of what a host tells of a call that the node makes itself."""
+    """Base class of the events of an outgoing call, which the node itself made."""
 
     call_id: CallId
 
 
 class RequestSent(CallEvent, frozen=True):
-    """The connection stands and the first byte is about to go out: from here on the call may have run."""
+    """The connection is established and the first byte is about to be sent: from now on the call may have run."""
 
-    is_reused: bool = False  # whether the connection carried an earlier call
+    is_reused: bool = False  # whether an earlier call used the same connection
 
 
 class ResponseHeadReceived(CallEvent, frozen=True):
-    """Status and headers of an answer that is passed on while it comes: a mapping, or pairs of a forwarded request."""
+    """Status and headers of a streamed response arrived; `headers` has pairs for a forwarded request, else a mapping."""
 
     status: int
     headers: Any
 
 
 class ResponseChunkReceived(CallEvent, frozen=True):
-    """Bytes of the answer to a forwarded request."""
+    """A chunk of the response body of a forwarded request arrived."""
 
     data: bytes
 
 
 class ServerEventReceived(CallEvent, frozen=True):
-    """One event of a server-sent event stream."""
+    """One event of a server-sent event stream arrived."""
 
     event_id: str | None
     data: str
 
 
 class ResponseEnded(CallEvent, frozen=True):
-    """An answer that was passed on while it came is complete."""
+    """A streamed response is complete."""
 
 
 class ResponseReceived(CallEvent, frozen=True):
-    """A complete answer that was not passed on while it came; header names are in lower case."""
+    """A complete response arrived that was not streamed; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -132,6 +132,6 @@
 
 
 class CallFailed(CallEvent, frozen=True):
-    """A call ended without a complete answer."""
+    """An outgoing call failed before its response was complete."""
 
     failure: CallFailure
--- a/sumachook/host/machine.py
+++ b/sumachook/host/machine.py
@@ -1,4 +1,4 @@
-"""What a host needs to know of the state machine that it runs."""
+"""The interfaces of the state machines that a host runs."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -6,14 +6,14 @@
 
 
 class StateMachine(Protocol):
-    """A state machine without clock, socket or file."""
+    """A state machine without clock, socket or file access."""
 
     def take(self, event: Any, now: timedelta) -> Sequence[Any]:
-        """The effects of one event; `now` is monotonic time."""
+        """Handles one event and returns its effects; `now` is monotonic time."""
 
 
 class NodeMachine(StateMachine, Protocol):
-    """The state machine of a node: its name and its restart epoch mark what it sends."""
+    """The state machine of a node; every message that it sends contains the node's name and restart epoch."""
 
     @property
     def node(self) -> str:
@@ -21,8 +21,8 @@
 
     @property
     def restart_epoch(self) -> int:
-        """Higher at each start of the same node."""
+        """A number that increases with each start of the same node."""
 
     @property
     def tick_interval(self) -> timedelta:
-        """The longest time until the next tick."""
+        """The maximum time until the next tick."""
--- a/sumachook/runtime/__init__.py
+++ b/sumachook/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What a process runs on: its clocks, the agreed time, the supervision of its tasks, and small descriptors."""
+"""Runtime support of a process: clocks, the agreed cluster time, task supervision and small descriptors."""
--- a/sumachook/runtime/clock.py
+++ b/sumachook/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The real clocks of a process."""
+"""The monotonic clock and the wall clock of a process."""
 
 import time
 from datetime import UTC, datetime, timedelta
@@ -6,7 +6,7 @@
 
 
 class NodeClock(Protocol):
-    """The clocks that a node is given at its start."""
+    """Interface of the clocks that a node receives at startup."""
 
     def mono(self) -> timedelta:
         """Monotonic time."""
@@ -16,16 +16,16 @@
 
 
 class Clock:
-    """Monotonic time as a timedelta, wall time as an aware datetime.
+    """Monotonic time as a timedelta, wall time as a timezone-aware datetime.
 
-    Only the day of the ledger, the agreed time and the logs use the wall clock; every wait is by monotonic time, so
-    that a wall clock that jumps moves no lease and no timeout.
+    Only the day of a ledger record, the agreed cluster time and the logs use the wall clock. All waits use monotonic
+    time, so that a jump of the wall clock affects no lease and no timeout.
     """
 
     __slots__ = ()
 
     def mono(self) -> timedelta:
-        """Monotonic time, which goes on while the machine sleeps, so that a lease is over when it wakes."""
+        """Monotonic time, which advances while the machine is suspended, so that a lease expires during suspension."""
         return timedelta(seconds=time.clock_gettime(time.CLOCK_BOOTTIME))
 
     def wall(self) -> datetime:
--- a/sumachook/runtime/cluster_clock.py
+++ b/sumachook/runtime/cluster_clock.py
@@ -1,4 +1,4 @@
-"""The wall time that a majority of the nodes agrees on."""
+"""The cluster time: the wall time on which a majority of the nodes agrees."""
 
 from bisect import bisect_right
 from collections.abc import Callable
@@ -11,18 +11,18 @@
 
 
 class ClockVote(NamedTuple):
-    """What another node's wall clock was ahead of this node's monotonic time, and when that was heard."""
+    """Offset of another node's wall clock from this node's monotonic time, and the time at which it was received."""
 
     offset: timedelta
     heard_at: timedelta
 
 
 class ClusterClock:
-    """Wall time by vote: `time(now)` is what the nodes agree on at the monotonic time `now`.
+    """Wall time by majority vote: `time(now)` is the time on which the nodes agree at the monotonic time `now`.
 
-    Between votes time goes on by the monotonic clock. It moves only to what a majority of those heard lately, this
-    node among them, say within a minute of each other; a wall clock that jumps is outvoted, and where all jump apart
-    nothing moves (docs/design.md, "What time it is").
+    Between counts the cluster time advances with the monotonic clock. A count adjusts it only if the clocks of a
+    majority of the recent voters, including this node, lie within one minute of each other: a single clock that jumps
+    is outvoted, and if all clocks disagree nothing changes (docs/design.md, "What time it is").
 
     >>> second = timedelta(seconds=1)
     >>> wall = [UNIX_EPOCH + 100 * second]
@@ -36,8 +36,8 @@
 
     COUNT_INTERVAL = timedelta(seconds=0.25)
     VOTE_LIFETIME = timedelta(seconds=30)
-    AGREEMENT_WINDOW = timedelta(minutes=1)  # clocks that differ by less than this agree
-    LATE_TICK = timedelta(seconds=1)  # after a pause so long a message may have waited in a buffer
+    AGREEMENT_WINDOW = timedelta(minutes=1)  # clocks agree if they differ by no more than this
+    LATE_TICK = timedelta(seconds=1)  # after a longer pause between ticks, a message may have waited in a buffer
 
     def __init__(self, wall: Callable[[], datetime], now: timedelta):
         self._wall = wall
@@ -48,21 +48,21 @@
         self._next_count_at = now
 
     def time(self, now: timedelta) -> datetime:
-        """The agreed wall time at the monotonic time `now`."""
+        """Returns the agreed wall time at the monotonic time `now`."""
         return UNIX_EPOCH + self.offset + now
 
     @property
     def wall_clock_ms(self) -> int:
-        """This node's own wall clock, its vote: milliseconds since 1970."""
+        """This node's vote: its own wall clock in milliseconds since 1970."""
         return (self._wall() - UNIX_EPOCH) // MILLISECOND
 
     def record_vote(self, node: str, wall_clock_ms: int, now: timedelta) -> None:
-        """Notes what another node's wall clock says, unless it may have waited in a buffer of this process."""
+        """Records the wall clock of another node, unless its message may have waited in a buffer of this process."""
         if now - self._last_tick_at < self.LATE_TICK:
             self.votes[node] = ClockVote(wall_clock_ms * MILLISECOND - now, now)
 
     def on_tick(self, now: timedelta) -> None:
-        """Counts the votes from time to time."""
+        """Counts the votes every `COUNT_INTERVAL`."""
         self._last_tick_at = now
         if now >= self._next_count_at:
             self._next_count_at = now + self.COUNT_INTERVAL
@@ -77,7 +77,7 @@
             self.is_agreed = True
 
     def _largest_group(self, offsets: list[timedelta]) -> list[timedelta]:
-        """The most of these sorted offsets that lie within one window; the lowest ones where several are equal."""
+        """Returns the largest group of sorted offsets within `AGREEMENT_WINDOW`; of equal groups the lowest."""
         ranges = [
             range(start, bisect_right(offsets, lowest + self.AGREEMENT_WINDOW)) for start, lowest in enumerate(offsets)
         ]
--- a/sumachook/runtime/fast_start.py
+++ b/sumachook/runtime/fast_start.py
@@ -1,27 +1,27 @@
-"""What makes a process start with less work: after a loss of power its start is a part of the outage."""
+"""Shortens the startup of a process, since after a power loss the startup time is part of the outage."""
 
 import gc
 import sys
 
-# allocations before a young collection, and collections before the next older one; far rarer than the interpreter's
-# default (700, 10, 10)
+# Thresholds of the garbage collector: allocations before a collection of the youngest generation, and collections
+# before one of the next older generation. Collections are far rarer than with the default of (700, 10, 10).
 COLLECTION_THRESHOLDS = (20_000, 20, 20)
 
 
 def begin_start() -> None:
-    """Prepares the imports of a node's program; to be called ahead of them.
+    """Speeds up the imports of a node's program; must be called before them.
 
-    No collection runs while modules are read, since they leave nothing to collect. Nodes speak plain HTTP only, so TLS
-    is taken for missing: asyncio and aiohttp then do without it, and do not read the machine's certificates, which is a
-    fifth of the start.
+    Disables garbage collection, since imports create no garbage. Nodes use plain HTTP only, so the `ssl` module is
+    marked as missing: asyncio and aiohttp then work without TLS and do not load the system's certificates, which would
+    take a fifth of the startup time.
     """
     gc.disable()
     if "ssl" not in sys.modules:
-        sys.modules["ssl"] = None  # type: ignore[assignment]  # an import of it raises ImportError from here on
+        sys.modules["ssl"] = None  # type: ignore[assignment]  # importing it now raises ImportError
 
 
 def end_start() -> None:
-    """Ends the start, once all is imported: what there is by now is never looked at again by a collection."""
+    """Re-enables garbage collection after the imports; it never scans the objects that exist by now again."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECTION_THRESHOLDS)
--- a/sumachook/runtime/log_function.py
+++ b/sumachook/runtime/log_function.py
@@ -1,4 +1,4 @@
-"""How the parts of a process write to its log."""
+"""The type of the function with which the components of a process write to its log."""
 
 from collections.abc import Callable
 from typing import Any
--- a/sumachook/runtime/monotonic_value.py
+++ b/sumachook/runtime/monotonic_value.py
@@ -1,10 +1,10 @@
-"""A descriptor for numbers that never go back."""
+"""A descriptor for numbers that never decrease."""
 
 from typing import Any
 
 
 class MonotonicValue:
-    """An attribute whose value only rises; a lower one is ignored.
+    """An attribute whose value only increases; an assignment of a lower value is ignored.
 
     >>> class Follower:
     ...     __slots__ = ("_number",)
--- a/sumachook/runtime/supervisor.py
+++ b/sumachook/runtime/supervisor.py
@@ -1,24 +1,24 @@
-"""Supervision of a process's tasks: what fails is started again, what keeps failing ends its siblings."""
+"""Supervision of the tasks of a process: a failed task is restarted; one that keeps failing ends all others."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
 from datetime import timedelta
 from typing import Any
 
-MAX_FAILURES = 5  # of one task in short order; then the process is better started anew
-RESTART_DELAY = timedelta(seconds=0.2)  # after the first failure, and as much more after each further one
-FAILURES_FORGIVEN_AFTER = timedelta(seconds=30)  # of running without a failure
+MAX_FAILURES = 5  # consecutive failures of one task; after more, the whole process should be restarted
+RESTART_DELAY = timedelta(seconds=0.2)  # after the first failure; grows by the same amount with each further one
+FAILURES_FORGIVEN_AFTER = timedelta(seconds=30)  # run time without a failure that resets the failure count
 
 
 class Supervisor:
-    """Runs named tasks until one of them ends in good order, or fails too often.
+    """Runs named tasks until one of them returns or fails too often.
 
     Parameters
     ----------
-    children : mapping of a task's name to the function that begins it
-    on_failure : called with the task's name, its failures in short order and the exception
-    max_failures : how many failures of one task are borne
-    restart_delay : what is waited before a restart, times the number of failures
+    children : mapping of a task's name to the function that starts it
+    on_failure : called with the task's name, its number of consecutive failures and the exception
+    max_failures : number of consecutive failures after which a task is still restarted
+    restart_delay : delay before a restart, multiplied by the number of failures
     """
 
     __slots__ = ("_children", "_on_failure", "_max_failures", "_restart_delay")
@@ -36,7 +36,7 @@
         self._restart_delay = restart_delay
 
     async def run(self) -> None:
-        """Runs until one task has ended, then cancels the others; raises what the task raised that failed too often."""
+        """Runs until one task ends, then cancels the others; raises the exception of a task that failed too often."""
         tasks = [asyncio.create_task(self._supervise(name, start)) for name, start in self._children.items()]
         try:
             ended, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/sumachook/runtime/write_once.py
+++ b/sumachook/runtime/write_once.py
@@ -1,10 +1,10 @@
-"""A descriptor for values that are set once, as the time of something that happens once."""
+"""A descriptor for values that are set once, such as the time of the first token."""
 
 from typing import Any
 
 
 class WriteOnce:
-    """An attribute that is None at first and keeps the first value that it is given.
+    """An attribute that is initially None and keeps the first value assigned to it; later assignments are ignored.
 
     >>> class Request:
     ...     __slots__ = ("_first_token_at",)
