--- a/sumachook/host/effects.py
+++ b/sumachook/host/effects.py
@@ -119,7 +119,7 @@
 
 
 class RewriteRecords(Effect, frozen=True):
-    """Replace a file of the data folder by these records; `done` is passed to the state machine once they are durable."""
+    """Replace a file of the data folder by these records; `done` is passed to the machine once they are durable."""
 
     file: str
     records: tuple[Any, ...]
--- a/sumachook/host/events.py
+++ b/sumachook/host/events.py
@@ -100,7 +100,7 @@
 
 
 class ResponseHeadReceived(CallEvent, frozen=True):
-    """Status and headers of a streamed response arrived; `headers` has pairs for a forwarded request, else a mapping."""
+    """The head of a streamed response arrived; `headers` contains pairs for a forwarded request, else a mapping."""
 
     status: int
     headers: Any
--- a/sumachook/ledger/pending_record.py
+++ b/sumachook/ledger/pending_record.py
@@ -4,7 +4,7 @@
 
 from sumachook.ledger.records import Record, RecordKey, UndeliveredRecord, key_of
 
-RELAY_AFTER = timedelta(seconds=0.8)  # other edges are asked to relay; a resend and a hinted handoff finish earlier
+RELAY_AFTER = timedelta(seconds=0.8)  # then other edges relay the record; a resend and a hinted handoff need less
 
 
 class PendingRecord:
--- a/sumachook/ledger/replica_store.py
+++ b/sumachook/ledger/replica_store.py
@@ -67,7 +67,7 @@
         self.records = RecordTable(max_records)
         self.file = RecordFile(stored)
         self.voting_members: dict[str, str] = {}
-        self.away_since: dict[tuple[str, int], timedelta] = {}  # by name and restart epoch of the edge
+        self.away_since: dict[tuple[str, int], timedelta] = {}  # when an edge process disappeared, by name and restart epoch
         self.next_handoff_at = now
         self.next_sweep_at = now
         for line in stored:
@@ -129,7 +129,7 @@
         lines_by_day: dict[str, list[Record]] = {}
         for copy in copies:
             record = self.find(copy.record["request"]) or copy.record
-            day = record["openedAt"][:10]  # sent by another node and part of a file name, hence checked
+            day = record["openedAt"][:10]  # sent by another node and used in a file name, hence validated
             lines_by_day.setdefault(day if DAY.fullmatch(day) else UNKNOWN_DAY, []).append(record)
         return [AppendDayLog(f"day-{day}.jsonl", tuple(lines)) for day, lines in lines_by_day.items()]
 
--- a/sumachook/ledger/writer.py
+++ b/sumachook/ledger/writer.py
@@ -40,7 +40,7 @@
 RELAY_COUNT = 2  # edges that receive a relayed record
 
 # timeouts of a record that is sent without deferral
-HINT_AFTER = timedelta(seconds=0.15)  # then the copy of an owner that has not acknowledged goes to the third replica
+HINT_AFTER = timedelta(seconds=0.15)  # then the third replica receives the copy of an owner that has not acknowledged
 RESEND_AFTER = timedelta(seconds=0.3)
 SAFE_WAIT = timedelta(seconds=0.4)  # then a request that may run twice proceeds without its record
 UNSAFE_WAIT = timedelta(seconds=1.5)  # then any other request is refused; long enough for a change of leader
@@ -48,8 +48,8 @@
 NEVER = timedelta.max
 
 # maximum time for which a deferred record waits to be batched
-DEFER_UNFINISHED = timedelta(seconds=0.3)  # for a request that runs for long, ended late or failed
-DEFER_FINISHED = timedelta(seconds=1)  # for a request that succeeded in time
+DEFER_UNFINISHED = timedelta(seconds=0.3)  # for the record of a request that runs for long, ended late or failed
+DEFER_FINISHED = timedelta(seconds=1)  # for the record of a request that succeeded in time
 
 
 class LedgerWriter:
--- a/sumachook/storage/batches.py
+++ b/sumachook/storage/batches.py
@@ -39,8 +39,8 @@
 
     generation: int = 1  # incremented by each rewrite of the file
     number: int = 0  # number of the last complete batch
-    checksum: int = 0  # CRC-32 of its body
-    length: int = 0  # file offset of its end, in bytes
+    checksum: int = 0  # CRC-32 of the body of that batch
+    length: int = 0  # file offset of the end of that batch, in bytes
 
 
 @dataclass(frozen=True, slots=True)
--- a/sumachook/storage/day_logs.py
+++ b/sumachook/storage/day_logs.py
@@ -9,8 +9,8 @@
 from sumachook.storage.file_system import FileSystem
 
 PREFIX, SUFFIX = "day-", ".jsonl"
-SEGMENT_BYTES = 4 << 20  # small enough to open in a log viewer
-MAX_TOTAL_BYTES = 32 << 20  # for all days; keeps the files of a core far below the size of its disk
+SEGMENT_BYTES = 4 << 20  # limit of one segment, small enough to open in a log viewer
+MAX_TOTAL_BYTES = 32 << 20  # limit of all day logs; keeps the files of a core far below the size of its disk
 MAX_INHERITED_LINES = 2000  # limit of lines that an earlier process may have written without acknowledgement
 
 
--- a/sumachook/storage/file_system.py
+++ b/sumachook/storage/file_system.py
@@ -16,7 +16,7 @@
 
     @property
     def location(self) -> str:
-        """The location of the folder, for messages."""
+        """The location of the folder, for log and error messages."""
 
     def prepare(self) -> None:
         """Creates the folder durably if it does not exist."""
@@ -25,10 +25,10 @@
         """Returns the names of all files in the folder."""
 
     def size(self, name: str) -> int:
-        """The file's length in bytes."""
+        """Returns the length of the file in bytes."""
 
     def read(self, name: str) -> bytes:
-        """The whole content of a file."""
+        """Returns the whole content of a file."""
 
     def write_new(self, name: str, raw: bytes) -> None:
         """Creates or empties the file, writes `raw` and syncs it."""
@@ -81,11 +81,11 @@
         return sorted(entry.name for entry in os.scandir(self.path) if entry.is_file())
 
     def size(self, name: str) -> int:
-        """The file's length in bytes."""
+        """Returns the length of the file in bytes."""
         return os.stat(self.path / name).st_size
 
     def read(self, name: str) -> bytes:
-        """The whole content of a file."""
+        """Returns the whole content of a file."""
         return (self.path / name).read_bytes()
 
     def write_new(self, name: str, raw: bytes) -> None:
--- a/sumachook/storage/folder.py
+++ b/sumachook/storage/folder.py
@@ -9,8 +9,8 @@
 from sumachook.storage.file_system import FileSystem
 from sumachook.storage.write_queue import WriteKind, WriteStep
 
-TEMPORARY_SUFFIX = ".new"  # of the replacement file during a rewrite
-DAMAGED_SUFFIX = ".damaged"  # of a damaged file that is kept for the operator
+TEMPORARY_SUFFIX = ".new"  # suffix of the replacement file during a rewrite
+DAMAGED_SUFFIX = ".damaged"  # suffix of a damaged file that is kept for the operator
 
 
 @dataclass(frozen=True, slots=True)
--- a/sumachook/storage/write_queue.py
+++ b/sumachook/storage/write_queue.py
@@ -8,8 +8,8 @@
 from sumachook.host.effects import AppendDayLog, AppendRecords, RewriteRecords
 from sumachook.storage.events import DiskStateChanged
 
-STALLED_AFTER = timedelta(seconds=1)  # the disk counts as unavailable if a step takes longer
-MAX_WAITING_WRITES = 4096  # the disk also counts as unavailable if more writes are queued
+STALLED_AFTER = timedelta(seconds=1)  # the disk counts as unavailable if a write step takes longer than this
+MAX_WAITING_WRITES = 4096  # the disk also counts as unavailable if more writes than this are queued
 
 Write = AppendRecords | RewriteRecords | AppendDayLog
 
