--- a/sumachook/runtime/supervisor.py
+++ b/sumachook/runtime/supervisor.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 MAX_FAILURES = 5  # consecutive failures of one task; after more, the whole process should be restarted
-RESTART_DELAY = timedelta(seconds=0.2)  # delay after the first failure; grows by the same amount with each further failure
+RESTART_DELAY = timedelta(seconds=0.2)  # delay after the first failure; grows linearly with their number
 FAILURES_FORGIVEN_AFTER = timedelta(seconds=30)  # run time without a failure that resets the failure count
 
 
