--- a/harness/mutations/requests.py
+++ b/harness/mutations/requests.py
@@ -145,7 +145,7 @@
     Mutation(
         12,
         "nobody carries the records of an edge that is cut off",
-        "return [Send(address, message) for address in relays[:RELAY_COUNT]] if late else []",
+        "return [Send(address, message) for address in relays[:RELAY_COUNT]] if overdue else []",
         "return []",
         LEDGER,
         "carried",
--- a/sumachook/ledger/record_file.py
+++ b/sumachook/ledger/record_file.py
@@ -16,8 +16,8 @@
 MAX_STORED_BYTES = 12 << 20
 
 # A rewrite keeps closed records up to 1/4 of each limit, so that the file can grow for long before the next rewrite.
-CLOSED_SHARE = 4
-GROWTH = 2  # if open records alone exceed a limit, the next rewrite is due when the file has grown by this factor
+CLOSED_LIMIT_DIVISOR = 4
+GROWTH_FACTOR = 2  # if open records alone exceed a limit, the next rewrite is due after growth by this factor
 
 
 class FileSize(NamedTuple):
@@ -61,13 +61,14 @@
         self._count(open_lines)
         closed_lines = self._newest_closed(table)
         self.rewrite_above = FileSize(
-            max(MAX_STORED_RECORDS, GROWTH * self.stored_records), max(MAX_STORED_BYTES, GROWTH * self.stored_bytes)
+            max(MAX_STORED_RECORDS, GROWTH_FACTOR * self.stored_records),
+            max(MAX_STORED_BYTES, GROWTH_FACTOR * self.stored_bytes),
         )
         return [RewriteRecords(LEDGER, (*reversed(closed_lines), *open_lines), RewriteSynced())]
 
     def _newest_closed(self, table: RecordTable) -> list[Any]:
-        max_records = self.stored_records + MAX_STORED_RECORDS // CLOSED_SHARE
-        max_bytes = self.stored_bytes + MAX_STORED_BYTES // CLOSED_SHARE
+        max_records = self.stored_records + MAX_STORED_RECORDS // CLOSED_LIMIT_DIVISOR
+        max_bytes = self.stored_bytes + MAX_STORED_BYTES // CLOSED_LIMIT_DIVISOR
         lines: list[Any] = []
         for record in table.newest_closed():
             if self.stored_records >= max_records or self.stored_bytes >= max_bytes:
--- a/sumachook/ledger/record_table.py
+++ b/sumachook/ledger/record_table.py
@@ -46,10 +46,10 @@
         `owed_to`, if not None, replaces the set of voters that still have to receive the record.
         """
         request = record["request"]
-        known = self.by_request.get(request)
-        is_newer = known is None or _rank(record) > _rank(known)
+        previous = self.by_request.get(request)
+        is_newer = previous is None or _rank(record) > _rank(previous)
         if is_newer:
-            record = {**known, **record} if known else record
+            record = {**previous, **record} if previous else record
             self.by_request[request] = record
             if record["state"] == OPEN:
                 self.open[request] = record
--- a/sumachook/ledger/replica_store.py
+++ b/sumachook/ledger/replica_store.py
@@ -34,7 +34,7 @@
 DAY = re.compile(r"\d{4}-\d\d-\d\d")
 UNKNOWN_DAY = "0000-00-00"
 
-_ANSWERS = {OpenRecords: RecordsOpened, CloseRecords: RecordsClosed, HandOffRecords: RecordsHandedOff}
+_ACK_TYPES = {OpenRecords: RecordsOpened, CloseRecords: RecordsClosed, HandOffRecords: RecordsHandedOff}
 
 
 class ReplicaStore:
@@ -49,7 +49,7 @@
         "records",
         "file",
         "voting_members",
-        "away_since",
+        "absent_since",
         "next_handoff_at",
         "next_sweep_at",
     )
@@ -67,7 +67,7 @@
         self.records = RecordTable(max_records)
         self.file = RecordFile(stored)
         self.voting_members: dict[str, str] = {}
-        self.away_since: dict[tuple[str, int], timedelta] = {}  # by name and epoch of a lost edge process
+        self.absent_since: dict[tuple[str, int], timedelta] = {}  # by name and epoch of a lost edge process
         self.next_handoff_at = now
         self.next_sweep_at = now
         for line in stored:
@@ -102,21 +102,21 @@
 
     def _on_records(self, address: str, message: RecordBatch) -> list[Effect]:
         acks = []
-        fresh = []
+        changed = []
         for copy in message.records:
             record = copy.record
             request = record["request"]
             first = self.records.first_with_key(record)
             if isinstance(message, OpenRecords) and first is not None and first != request:
-                acks.append(Acknowledgement(request, AckOutcome.DUPLICATE, self._describe(first)))
+                acks.append(Acknowledgement(request, AckOutcome.DUPLICATE, self._describe_first(first)))
                 continue
             if self._merge(copy):
-                fresh.append(copy)
+                changed.append(copy)
             acks.append(Acknowledgement(request, AckOutcome.STORED, {"state": record["state"]}))
-        reply = Send(address, _ANSWERS[type(message)](tuple(acks)))
-        return self._store(fresh, reply) if fresh else [reply]
+        reply = Send(address, _ACK_TYPES[type(message)](tuple(acks)))
+        return self._store(changed, reply) if changed else [reply]
 
-    def _describe(self, request: str) -> dict[str, str]:
+    def _describe_first(self, request: str) -> dict[str, str]:
         """Describes the first request with an idempotency key, for the acknowledgement of a duplicate."""
         record = self.find(request) or {}
         return {"request": request, "state": record.get("state", OPEN), "run": record.get("run", "maybe")}
@@ -137,7 +137,7 @@
 
     def _handle_tick(self, tick: StoreTick, now: timedelta) -> list[Effect]:
         if tick.voting_members != self.voting_members:
-            self._learn_voting_members(tick.voting_members)
+            self._update_voting_members(tick.voting_members)
         effects = []
         if now >= self.next_sweep_at:
             self.next_sweep_at = now + SWEEP_INTERVAL
@@ -169,16 +169,16 @@
         """
         writer = (record["edge"], record["incarnation"])
         if live_restart_epochs.get(writer[0]) == writer[1]:
-            self.away_since.pop(writer, None)
+            self.absent_since.pop(writer, None)
             return False
-        return now - self.away_since.setdefault(writer, now) > LOST_AFTER
+        return now - self.absent_since.setdefault(writer, now) > LOST_AFTER
 
     # hinted handoff ----------------------------------------------------------------
 
     def _owners(self, record: Record, voting_members: Iterable[str]) -> tuple[str, ...]:
         return replicas_of(range_key(record), tuple(sorted(voting_members)))[:OWNER_COUNT]
 
-    def _learn_voting_members(self, voting_members: Mapping[str, str]) -> None:
+    def _update_voting_members(self, voting_members: Mapping[str, str]) -> None:
         """Applies a change of the voters, and schedules the handoff of records that a new voter owns."""
         joined = set(voting_members) - set(self.voting_members) - {self.voter}
         if self.voting_members and joined:
--- a/sumachook/ledger/spill_file.py
+++ b/sumachook/ledger/spill_file.py
@@ -23,13 +23,15 @@
 
     def save(self, pending: Mapping[RecordKey, PendingRecord], now: timedelta) -> list[Effect]:
         """Appends records that have been pending for longer than `SPILL_AFTER`, or empties a file of delivered ones."""
-        late = [each for key, each in pending.items() if key not in self.keys and now - each.started_at > SPILL_AFTER]
-        if late and self.line_count + len(late) > MAX_LINES:  # a rewrite drops delivered records
+        overdue = [
+            each for key, each in pending.items() if key not in self.keys and now - each.started_at > SPILL_AFTER
+        ]
+        if overdue and self.line_count + len(overdue) > MAX_LINES:  # a rewrite drops delivered records
             return self._rewrite(pending)
-        if late:
-            self.keys.update(each.key for each in late)
-            self.line_count += len(late)
-            return [AppendRecords(SPOOL, _lines(late))]
+        if overdue:
+            self.keys.update(each.key for each in overdue)
+            self.line_count += len(overdue)
+            return [AppendRecords(SPOOL, _lines(overdue))]
         if self.keys and self.keys.isdisjoint(pending):
             self.keys.clear()
             self.line_count = 0
--- a/sumachook/ledger/writer.py
+++ b/sumachook/ledger/writer.py
@@ -125,8 +125,8 @@
     def _max_deferral(self, record: Record) -> timedelta:
         if self.is_leaving:
             return timedelta(0)
-        has_ended_well = record["state"] == DONE and not record.get("late")
-        return DEFER_FINISHED if has_ended_well else DEFER_UNFINISHED
+        is_done_in_time = record["state"] == DONE and not record.get("late")
+        return DEFER_FINISHED if is_done_in_time else DEFER_UNFINISHED
 
     def _handle_leave(self, now: timedelta) -> None:
         self.is_leaving = True
@@ -185,13 +185,13 @@
 
     def _send_hinted(self, pending: PendingRecord, replicas: tuple[str, ...], now: timedelta) -> list[Effect]:
         """Sends the copy of an owner that is slow or unreachable to the third of three replicas (hinted handoff)."""
-        owners, stand_ins = replicas[:OWNER_COUNT], replicas[OWNER_COUNT : OWNER_COUNT + 1]
-        if len(replicas) != OWNER_COUNT + 1 or stand_ins[0] in pending.sent_to:
+        owners, fallbacks = replicas[:OWNER_COUNT], replicas[OWNER_COUNT : OWNER_COUNT + 1]
+        if len(replicas) != OWNER_COUNT + 1 or fallbacks[0] in pending.sent_to:
             return []
         missing = [owner for owner in owners if owner not in pending.acked_by]
         is_late = now - pending.started_at > HINT_AFTER
         if missing and (is_late or any(owner not in self.live_voters for owner in missing)):
-            return self._send(pending, stand_ins, owners)
+            return self._send(pending, fallbacks, owners)
         return []
 
     def _resend(self, pending: PendingRecord, replicas: tuple[str, ...], now: timedelta) -> list[Effect]:
@@ -214,12 +214,12 @@
 
     def _relay(self, relays: tuple[str, ...], now: timedelta) -> list[Effect]:
         """Sends overdue records to other edges, which deliver them if they can reach the replicas."""
-        late = [each for each in self.pending.values() if now >= each.relay_at and not each.is_deferred]
-        late = late[:MAX_RELAYED_PER_MESSAGE]
-        for pending in late:
+        overdue = [each for each in self.pending.values() if now >= each.relay_at and not each.is_deferred]
+        overdue = overdue[:MAX_RELAYED_PER_MESSAGE]
+        for pending in overdue:
             pending.relay_at = now + RELAY_INTERVAL
-        message = RelayRecords(tuple(pending.undelivered() for pending in late))
-        return [Send(address, message) for address in relays[:RELAY_COUNT]] if late else []
+        message = RelayRecords(tuple(pending.undelivered() for pending in overdue))
+        return [Send(address, message) for address in relays[:RELAY_COUNT]] if overdue else []
 
     def _on_acks(self, voter: str, message: RecordAcks) -> list[RecordingOutcome]:
         is_close = isinstance(message, RecordsClosed)
