--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -8,7 +8,7 @@
     Mutation(
         "DISK",
         "a batch does not know its number",
-        "if not (is_of_this_generation and follows):",
+        "if not (has_same_generation and continues_chain):",
         "if False:",
         STORAGE,
         "any_writes or damage or old_bytes or flipped",
@@ -75,8 +75,8 @@
     Mutation(
         "DISK",
         "a start does not sync the folder",
-        "            self._settle(name, content.position)\n        files.sync_folder()\n",
-        "            self._settle(name, content.position)\n",
+        "            self._make_durable(name, content.position)\n        files.sync_folder()\n",
+        "            self._make_durable(name, content.position)\n",
         STORAGE,
         "killed_process or any_writes or new_name",
         file="storage/folder.py",
@@ -92,7 +92,7 @@
     Mutation(
         "DISK",
         "a core without its ledger is who it was",
-        '            damaged = dict.fromkeys(given_up, f"set aside together with {lost[0]}") | damaged\n',
+        '            damaged = dict.fromkeys(discarded, f"set aside together with {lost[0]}") | damaged\n',
         "            pass\n",
         STORAGE,
         "given_up_for_good",
@@ -109,8 +109,8 @@
     Mutation(
         "DISK",
         "rows are acknowledged before the lines of the day",
-        "return (file != self.first_file, waiting.kind is not WriteKind.DAY_LOG, waiting.since)",
-        "return (file != self.first_file, waiting.since)",
+        "return (file != self.first_file, waiting.kind is not WriteKind.DAY_LOG, waiting.queued_at)",
+        "return (file != self.first_file, waiting.queued_at)",
         STORAGE,
         "lines_before",
     ),
@@ -125,7 +125,7 @@
     Mutation(
         "DISK",
         "half a line stays before the next",
-        "        if whole != raw:",
+        "        if complete != raw:",
         "        if False:",
         STORAGE,
         "day_logs_hold",
--- a/sumachook/ledger/replica_store.py
+++ b/sumachook/ledger/replica_store.py
@@ -49,7 +49,7 @@
         "records",
         "file",
         "voting_members",
-        "absent_since",
+        "away_since",
         "next_handoff_at",
         "next_sweep_at",
     )
@@ -67,7 +67,7 @@
         self.records = RecordTable(max_records)
         self.file = RecordFile(stored)
         self.voting_members: dict[str, str] = {}
-        self.absent_since: dict[tuple[str, int], timedelta] = {}  # by name and epoch of a lost edge process
+        self.away_since: dict[tuple[str, int], timedelta] = {}  # by name and epoch of a lost edge process
         self.next_handoff_at = now
         self.next_sweep_at = now
         for line in stored:
@@ -169,9 +169,9 @@
         """
         writer = (record["edge"], record["incarnation"])
         if live_restart_epochs.get(writer[0]) == writer[1]:
-            self.absent_since.pop(writer, None)
+            self.away_since.pop(writer, None)
             return False
-        return now - self.absent_since.setdefault(writer, now) > LOST_AFTER
+        return now - self.away_since.setdefault(writer, now) > LOST_AFTER
 
     # hinted handoff ----------------------------------------------------------------
 
--- a/sumachook/nodes/data_folder.py
+++ b/sumachook/nodes/data_folder.py
@@ -8,7 +8,7 @@
 from sumachook.nodes.serve import USAGE, fail
 from sumachook.runtime.log_function import LogFunction
 from sumachook.storage.file_system import RealFileSystem
-from sumachook.storage.folder import DataFolder, Opened
+from sumachook.storage.folder import DataFolder, OpenResult
 from sumachook.storage.layout import EARLIER_LOG, FILES, IDENTITY_FILES, LOG
 
 EARLIER_LOG_HELP = "the log of an earlier version cannot be taken over; see Upgrade in docs/operations.md"
@@ -27,7 +27,7 @@
     return folder, records
 
 
-def open_folder(folder: DataFolder, log: LogFunction) -> Opened:
+def open_folder(folder: DataFolder, log: LogFunction) -> OpenResult:
     """What the data folder holds.
 
     Waits for as long as the disk refuses, since nothing may be done on what could be lost again.
@@ -44,7 +44,7 @@
     return opened
 
 
-def _open_when_possible(folder: DataFolder, log: LogFunction) -> Opened:
+def _open_when_possible(folder: DataFolder, log: LogFunction) -> OpenResult:
     for tries in count():
         try:
             return folder.open(FILES, IDENTITY_FILES)
--- a/sumachook/runtime/cluster_clock.py
+++ b/sumachook/runtime/cluster_clock.py
@@ -14,7 +14,7 @@
     """Offset of another node's wall clock from this node's monotonic time, and the time at which it was received."""
 
     offset: timedelta
-    heard_at: timedelta
+    received_at: timedelta
 
 
 class ClusterClock:
@@ -69,7 +69,7 @@
             self._count_votes(now)
 
     def _count_votes(self, now: timedelta) -> None:
-        self.votes = {node: vote for node, vote in self.votes.items() if now - vote.heard_at < self.VOTE_LIFETIME}
+        self.votes = {node: vote for node, vote in self.votes.items() if now - vote.received_at < self.VOTE_LIFETIME}
         offsets = sorted([self._wall() - UNIX_EPOCH - now, *(vote.offset for vote in self.votes.values())])
         agreeing = self._largest_group(offsets)
         if len(offsets) > 1 and len(agreeing) * 2 > len(offsets):
--- a/sumachook/runtime/supervisor.py
+++ b/sumachook/runtime/supervisor.py
@@ -7,7 +7,7 @@
 
 MAX_FAILURES = 5  # consecutive failures of one task; after more, the whole process should be restarted
 RESTART_DELAY = timedelta(seconds=0.2)  # delay after the first failure; grows linearly with their number
-FAILURES_FORGIVEN_AFTER = timedelta(seconds=30)  # run time without a failure that resets the failure count
+FAILURE_RESET_AFTER = timedelta(seconds=30)  # run time without a failure that resets the failure count
 
 
 class Supervisor:
@@ -55,7 +55,7 @@
             try:
                 return await start()
             except Exception as error:
-                if loop.time() - started_at > FAILURES_FORGIVEN_AFTER.total_seconds():
+                if loop.time() - started_at > FAILURE_RESET_AFTER.total_seconds():
                     failures = 0
                 failures += 1
                 self._on_failure(name, failures, error)
--- a/sumachook/simulation/disk.py
+++ b/sumachook/simulation/disk.py
@@ -8,8 +8,8 @@
 
 from sumachook.simulation.simulated_files import ProcessEndedError, SimulatedFileSystem
 from sumachook.storage.batches import read_file
-from sumachook.storage.day_logs import whole_lines
-from sumachook.storage.folder import DataFolder, Opened
+from sumachook.storage.day_logs import complete_lines
+from sumachook.storage.folder import DataFolder, OpenResult
 from sumachook.storage.layout import FILES, IDENTITY_FILES, LEDGER, LOG
 from sumachook.storage.write_queue import Write, WriteKind, WriteQueue, WriteStep, step_of
 from sumachook.transport.codec import as_tuples
@@ -59,14 +59,14 @@
             raw = self.file_system.read(name)
             if name.startswith("day-"):
                 day = name[: len("day-2026-03-02")] + ".jsonl"  # of all its segments
-                found.setdefault(day, []).extend(as_tuples(msgspec.json.decode(line)) for line in whole_lines(raw))
+                found.setdefault(day, []).extend(as_tuples(msgspec.json.decode(line)) for line in complete_lines(raw))
             elif "." not in name:
                 found[name] = list(read_file(name, raw).records)
         return found
 
     # a process's life -----------------------------------------------------------
 
-    def open(self, now: timedelta) -> Opened:
+    def open(self, now: timedelta) -> OpenResult:
         """What a process that starts now finds; raises `OSError` while the disk refuses."""
         self._obey(now)
         self.folder, self.queue = DataFolder(self.file_system), WriteQueue(LOG)
--- a/sumachook/storage/batches.py
+++ b/sumachook/storage/batches.py
@@ -18,8 +18,8 @@
 MAGIC = b"smk2"
 # magic, file generation, batch number, body length, checksum of the previous batch's body, checksum of this body
 _FIELDS = struct.Struct(">4sQQIII")
-_HEADER_SUM = struct.Struct(">I")
-HEADER_SIZE = _FIELDS.size + _HEADER_SUM.size
+_HEADER_CHECKSUM = struct.Struct(">I")
+HEADER_SIZE = _FIELDS.size + _HEADER_CHECKSUM.size
 
 
 class _Header(NamedTuple):
@@ -61,7 +61,7 @@
     for part in parts:
         checksum = zlib.crc32(part, checksum)
     fields = _FIELDS.pack(MAGIC, position.generation, number, length, position.checksum, checksum)
-    raw = b"".join((fields, _HEADER_SUM.pack(_header_sum(name, fields)), *parts))
+    raw = b"".join((fields, _HEADER_CHECKSUM.pack(_header_checksum(name, fields)), *parts))
     return raw, replace(position, number=number, checksum=checksum, length=position.length + len(raw))
 
 
@@ -93,7 +93,7 @@
     while (batch := _batch_at(name, raw, position)) is not None:
         body, position = batch
         records.extend(as_tuples(msgspec.json.decode(body)))
-    return FileContent(tuple(records), position, _damage_at(name, raw, position))
+    return FileContent(tuple(records), position, _find_damage(name, raw, position))
 
 
 def _batch_at(name: str, raw: bytes, position: Position) -> tuple[bytes, Position] | None:
@@ -101,9 +101,9 @@
     header = _header_at(name, raw, position.length)
     if header is None:
         return None
-    is_of_this_generation = position.number == 0 or header.generation == position.generation
-    follows = (header.number, header.previous_checksum) == (position.number + 1, position.checksum)
-    if not (is_of_this_generation and follows):
+    has_same_generation = position.number == 0 or header.generation == position.generation
+    continues_chain = (header.number, header.previous_checksum) == (position.number + 1, position.checksum)
+    if not (has_same_generation and continues_chain):
         return None
     start = position.length + HEADER_SIZE
     end = start + header.length
@@ -115,20 +115,20 @@
 
 def _header_at(name: str, raw: bytes, offset: int) -> _Header | None:
     end = offset + _FIELDS.size
-    if end + _HEADER_SUM.size > len(raw):
+    if end + _HEADER_CHECKSUM.size > len(raw):
         return None
     fields = raw[offset:end]
-    if _HEADER_SUM.unpack_from(raw, end)[0] != _header_sum(name, fields):
+    if _HEADER_CHECKSUM.unpack_from(raw, end)[0] != _header_checksum(name, fields):
         return None
     header = _Header(*_FIELDS.unpack(fields))
     return header if header.magic == MAGIC else None
 
 
-def _header_sum(name: str, fields: bytes) -> int:
+def _header_checksum(name: str, fields: bytes) -> int:
     return zlib.crc32(fields, zlib.crc32(name.encode()))
 
 
-def _damage_at(name: str, raw: bytes, position: Position) -> str:
+def _find_damage(name: str, raw: bytes, position: Position) -> str:
     """Returns why the bytes after the last complete batch cannot be an unsynced tail; empty if they can."""
     if position.length == len(raw):
         return ""
--- a/sumachook/storage/day_logs.py
+++ b/sumachook/storage/day_logs.py
@@ -41,12 +41,12 @@
         """Appends the records as lines to the log of a day and syncs it."""
         is_first_write = name not in self.segments
         if is_first_write:
-            self._begin(name)
+            self._open(name)
         inherited = self.segments[name].inherited  # written but not acknowledged, hence submitted again
         lines = [line for record in records if (line := msgspec.json.encode(record)) not in inherited]
         raw = b"".join(line + b"\n" for line in lines)
         if not is_first_write and self.segments[name].length + len(raw) > self.segment_bytes:
-            self._roll(name)
+            self._rotate(name)
         segment = self.segments[name]
         if segment.is_unsynced:
             self.file_system.truncate(name, segment.length)
@@ -55,30 +55,30 @@
         segment.is_unsynced = False
         segment.length += len(raw)
 
-    def _begin(self, name: str) -> None:
+    def _open(self, name: str) -> None:
         """Opens the file that an earlier process left and drops its torn lines, or creates the file."""
         if name not in self.file_system.names():
-            self._make(name)
+            self._create(name)
             return
         raw = self.file_system.read(name)
-        lines = whole_lines(raw)
-        whole = b"".join(line + b"\n" for line in lines)
-        if whole != raw:  # a torn line was never acknowledged; a line appended to it would be lost
-            self.file_system.write_new(name + ".new", whole)
+        lines = complete_lines(raw)
+        complete = b"".join(line + b"\n" for line in lines)
+        if complete != raw:  # a torn line was never acknowledged; a line appended to it would be lost
+            self.file_system.write_new(name + ".new", complete)
             self.file_system.rename(name + ".new", name)
         else:
             self.file_system.sync(name)
         self.file_system.sync_folder()
-        self.segments[name] = _Segment(len(whole), inherited=frozenset(lines[-MAX_INHERITED_LINES:]))
+        self.segments[name] = _Segment(len(complete), inherited=frozenset(lines[-MAX_INHERITED_LINES:]))
 
-    def _make(self, name: str) -> None:
+    def _create(self, name: str) -> None:
         self.file_system.sync_folder()  # without it, a power loss could keep the new name but lose the previous rename
-        self._make_room()
+        self._remove_oldest_segments()
         self.file_system.write_new(name, b"")
         self.file_system.sync_folder()
         self.segments = dict(list(self.segments.items())[-1:]) | {name: _Segment(0)}
 
-    def _roll(self, name: str) -> None:
+    def _rotate(self, name: str) -> None:
         day = name.removesuffix(SUFFIX)
         numbers = [
             int(number) for other in self.file_system.names() if (number := _segment_number(other, day)).isdigit()
@@ -87,12 +87,12 @@
             self.file_system.truncate(name, self.segments[name].length)
         del self.segments[name]
         self.file_system.rename(name, f"{day}.{max(numbers, default=0) + 1:04d}{SUFFIX}")
-        self._make(name)
+        self._create(name)
 
-    def _make_room(self) -> None:
+    def _remove_oldest_segments(self) -> None:
         """Removes the oldest segments until another full segment fits below the limit."""
         sizes = {name: self.file_system.size(name) for name in self.file_system.names() if name.startswith(PREFIX)}
-        for name in sorted(sizes, key=_age):
+        for name in sorted(sizes, key=_age_key):
             if sum(sizes.values()) + self.segment_bytes <= self.max_bytes:
                 return
             self.file_system.remove(name)
@@ -100,26 +100,26 @@
             self.removed.append(name)
 
 
-def whole_lines(raw: bytes) -> list[bytes]:
+def complete_lines(raw: bytes) -> list[bytes]:
     """Returns the complete lines of a log; a power loss can leave a torn line, which was never acknowledged.
 
-    >>> whole_lines(b'{"a":1}\\n{"b":')
+    >>> complete_lines(b'{"a":1}\\n{"b":')
     [b'{"a":1}']
     """
-    return [line for line in raw.split(b"\n") if _is_whole(line)]
+    return [line for line in raw.split(b"\n") if _is_complete(line)]
 
 
 def _segment_number(name: str, day: str) -> str:
     return name.removeprefix(day + ".").removesuffix(SUFFIX) if name.startswith(day + ".") else ""
 
 
-def _age(name: str) -> tuple[str, int]:
+def _age_key(name: str) -> tuple[str, int]:
     """Sort key: by day, and within a day by segment number with the open segment last."""
     day, _, number = name.removesuffix(SUFFIX).partition(".")
     return (day, int(number) if number.isdigit() else 1 << 30)
 
 
-def _is_whole(line: bytes) -> bool:
+def _is_complete(line: bytes) -> bool:
     try:
         return isinstance(msgspec.json.decode(line), dict)
     except msgspec.DecodeError:
--- a/sumachook/storage/folder.py
+++ b/sumachook/storage/folder.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Damage:
+class DamagedFile:
     """A damaged file that was renamed to `kept_as`, and the reason."""
 
     name: str
@@ -23,11 +23,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class OpenResult:
     """Result of opening the folder: the records of each readable file, and the damaged files."""
 
     records: dict[str, tuple[Any, ...]]
-    damages: tuple[Damage, ...] = ()
+    damages: tuple[DamagedFile, ...] = ()
 
 
 class DataFolder:
@@ -49,7 +49,7 @@
 
     # startup --------------------------------------------------------------------
 
-    def open(self, names: Iterable[str], identity_names: Sequence[str] = ()) -> Opened:
+    def open(self, names: Iterable[str], identity_names: Sequence[str] = ()) -> OpenResult:
         """Reads the files `names`, and makes their content durable before the node acts on it.
 
         A file that lost more than an unsynced tail is renamed with the suffix ".damaged". If it is one of
@@ -57,24 +57,24 @@
         """
         files = self.file_system
         files.prepare()
-        self._remove_leftovers()
+        self._remove_temporary_files()
         present = files.names()
         contents = {name: self._read(name) for name in names if name in present}
         damaged = {name: content.damage for name, content in contents.items() if content.damage}
         if lost := [name for name in identity_names if name in damaged]:
-            given_up = [name for name in identity_names if name in contents]
-            damaged = dict.fromkeys(given_up, f"set aside together with {lost[0]}") | damaged
+            discarded = [name for name in identity_names if name in contents]
+            damaged = dict.fromkeys(discarded, f"set aside together with {lost[0]}") | damaged
         for name, reason in damaged.items():
             self._set_aside(name, reason)
-        sound = {name: content for name, content in contents.items() if name not in damaged}
-        for name, content in sound.items():
-            self._settle(name, content.position)
+        intact = {name: content for name, content in contents.items() if name not in damaged}
+        for name, content in intact.items():
+            self._make_durable(name, content.position)
         files.sync_folder()
-        records = {name: content.records for name, content in sound.items()}
-        damages = [Damage(name, reason, name + DAMAGED_SUFFIX) for name, reason in self.damages.items()]
-        return Opened(records, tuple(damages))
+        records = {name: content.records for name, content in intact.items()}
+        damages = [DamagedFile(name, reason, name + DAMAGED_SUFFIX) for name, reason in self.damages.items()]
+        return OpenResult(records, tuple(damages))
 
-    def _remove_leftovers(self) -> None:
+    def _remove_temporary_files(self) -> None:
         """Removes the temporary files of interrupted rewrites; the files that they would have replaced are intact."""
         for name in self.file_system.names():
             if name.endswith(TEMPORARY_SUFFIX):
@@ -92,7 +92,7 @@
     def _read(self, name: str) -> FileContent:
         return read_file(name, self.file_system.read(name))
 
-    def _settle(self, name: str, position: Position) -> None:
+    def _make_durable(self, name: str, position: Position) -> None:
         """Truncates an unsynced tail; syncs the file, which a killed process may have left unsynced."""
         if position.length == 0:
             self.file_system.remove(name)
@@ -120,18 +120,18 @@
         if name in self.unsynced:
             self.file_system.truncate(name, position.length)
         self.unsynced.add(name)
-        raw, after = pack_batch(name, position, records)
+        raw, next_position = pack_batch(name, position, records)
         self.file_system.append(name, raw)
         self.unsynced.discard(name)
-        self.positions[name] = after
+        self.positions[name] = next_position
 
     def _rewrite(self, name: str, records: Sequence[Any]) -> None:
         """Writes and syncs a temporary file, then renames it, so that a renamed file has a complete first batch."""
         generation = self.generations[name] = self.generations.get(name, 0) + 1  # a retry uses yet another generation
-        raw, after = pack_batch(name, Position(generation), records)
+        raw, next_position = pack_batch(name, Position(generation), records)
         temporary = name + TEMPORARY_SUFFIX
         self.file_system.write_new(temporary, raw)
         self.file_system.rename(temporary, name)
         self.file_system.sync_folder()
         self.unsynced.discard(name)
-        self.positions[name] = after
+        self.positions[name] = next_position
--- a/sumachook/storage/single_records.py
+++ b/sumachook/storage/single_records.py
@@ -43,11 +43,11 @@
 def _record_at(raw: bytes, offset: int) -> tuple[bytes, int] | None:
     if offset + _HEADER.size > len(raw):
         return None
-    magic, length, body_sum, header_sum = _HEADER.unpack_from(raw, offset)
-    if magic != MAGIC or header_sum != zlib.crc32(MAGIC + length.to_bytes(4, "big")):
+    magic, length, body_checksum, header_checksum = _HEADER.unpack_from(raw, offset)
+    if magic != MAGIC or header_checksum != zlib.crc32(MAGIC + length.to_bytes(4, "big")):
         return None
     start = offset + _HEADER.size
     body = raw[start : start + length]
-    if len(body) < length or zlib.crc32(body) != body_sum:
+    if len(body) < length or zlib.crc32(body) != body_checksum:
         return None
     return body, start + length
--- a/sumachook/storage/write_queue.py
+++ b/sumachook/storage/write_queue.py
@@ -9,7 +9,7 @@
 from sumachook.storage.events import DiskStateChanged
 
 STALLED_AFTER = timedelta(seconds=1)  # the disk counts as unavailable if a write step takes longer than this
-MAX_WAITING_WRITES = 4096  # the disk also counts as unavailable if more writes than this are queued
+MAX_QUEUED_WRITES = 4096  # the disk also counts as unavailable if more writes than this are queued
 
 Write = AppendRecords | RewriteRecords | AppendDayLog
 
@@ -30,7 +30,7 @@
     file: str
     records: tuple[Any, ...]
     followups: tuple[Any, ...]
-    begun_at: timedelta
+    started_at: timedelta
 
 
 def step_of(write: Write, now: timedelta) -> WriteStep:
@@ -46,10 +46,10 @@
 
 
 @dataclass(slots=True)
-class _WaitingWrites:
+class _QueuedWrites:
     """The queued writes of one file."""
 
-    since: timedelta
+    queued_at: timedelta
     kind: WriteKind = WriteKind.APPEND
     records: list[Any] = field(default_factory=list)
     followups: list[Any] = field(default_factory=list)
@@ -77,7 +77,7 @@
 
     def __init__(self, first_file: str = "") -> None:
         self.first_file = first_file
-        self.waiting: dict[str, _WaitingWrites] = {}
+        self.waiting: dict[str, _QueuedWrites] = {}
         self.step: WriteStep | None = None
         self.error = ""
         self.was_available = True
@@ -85,7 +85,7 @@
     def put(self, write: Write, now: timedelta) -> None:
         """Queues a write; its `done` value, if any, is returned by `finish_step` once the write is durable."""
         step = step_of(write, now)
-        waiting = self.waiting.setdefault(step.file, _WaitingWrites(now))
+        waiting = self.waiting.setdefault(step.file, _QueuedWrites(now))
         if step.kind is not WriteKind.APPEND:
             waiting.kind = step.kind
         if step.kind is WriteKind.REWRITE:
@@ -120,7 +120,7 @@
 
     def state_change(self, now: timedelta) -> DiskStateChanged | None:
         """Returns the availability of the disk if it changed since the last call, else None."""
-        reason = self.error or self._delay(now)
+        reason = self.error or self._stall_reason(now)
         is_available = not reason
         if is_available == self.was_available:
             return None
@@ -129,11 +129,11 @@
 
     def _rank(self, file: str) -> tuple[bool, bool, timedelta]:
         waiting = self.waiting[file]
-        return (file != self.first_file, waiting.kind is not WriteKind.DAY_LOG, waiting.since)
+        return (file != self.first_file, waiting.kind is not WriteKind.DAY_LOG, waiting.queued_at)
 
-    def _delay(self, now: timedelta) -> str:
-        if self.step is not None and now - self.step.begun_at > STALLED_AFTER:
+    def _stall_reason(self, now: timedelta) -> str:
+        if self.step is not None and now - self.step.started_at > STALLED_AFTER:
             return "a write takes longer than 1 s"
-        if sum(waiting.count for waiting in self.waiting.values()) > MAX_WAITING_WRITES:
+        if sum(waiting.count for waiting in self.waiting.values()) > MAX_QUEUED_WRITES:
             return "too many writes are queued"
         return ""
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -26,7 +26,7 @@
 from sumachook.storage.folder import DataFolder
 from sumachook.storage.layout import EARLIER_LOG, FILES, IDENTITY_FILES, LOG
 from sumachook.storage.single_records import pack_record
-from sumachook.storage.write_queue import MAX_WAITING_WRITES, WriteKind, WriteStep
+from sumachook.storage.write_queue import MAX_QUEUED_WRITES, WriteKind, WriteStep
 from tests.deployment_fixtures import box_of, found, invariant_checker, leader, quiet, settled
 
 SECOND = timedelta(seconds=1)
@@ -184,7 +184,7 @@
         deployment.run(0.5)
         queue = deployment.boxes["core-2"].disk.queue
         most = max(most, sum(file.count for file in queue.waiting.values()))
-    assert most < MAX_WAITING_WRITES / 8, most
+    assert most < MAX_QUEUED_WRITES / 8, most
     callers.is_on = False
     deployment.run(12)
     assert _is_whole(deployment) and invariant_checker(deployment, callers).unaccounted() == []
