--- a/harness/mutations/requests.py
+++ b/harness/mutations/requests.py
@@ -132,7 +132,7 @@
         '            record = self.find(copy.record["request"]) or copy.record\n',
         '            record = self.find(copy.record["request"]) or copy.record\n            if record["state"] == OPEN:\n                continue\n',
         LEDGER,
-        "ends_without_calm",
+        "permanent_loss",
     ),
     Mutation(
         12,
@@ -148,7 +148,7 @@
         "return [Send(address, message) for address in relays[:RELAY_COUNT]] if overdue else []",
         "return []",
         LEDGER,
-        "carried",
+        "relayed_by_other_edges",
     ),
     Mutation(
         12,
--- a/tests/ledger/test_day_logs.py
+++ b/tests/ledger/test_day_logs.py
@@ -1,4 +1,4 @@
-"""Days: midnight, wall clocks that jump, and which day's log a request stands in."""
+"""Day logs: requests around midnight, wall clocks that jump, and the day under which a record is logged."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -16,9 +16,9 @@
     }
 
 
-def test_requests_over_midnight_stand_in_the_log_of_the_day_on_which_they_came():
-    """Rule 12. Given traffic over midnight and an edge that is killed just before it, each call that was dropped is in the log of
-    the day on which it came in, though it was found lost on the next."""
+def test_requests_around_midnight_are_logged_on_the_day_on_which_they_arrived():
+    """Rule 12: an edge is killed just before midnight during traffic. Each dropped call must be in the log of the day on which
+    it arrived, although it is closed as lost on the next day."""
     deployment = settled(91, edges=4)
     deployment.dawn = datetime(2026, 3, 3, tzinfo=UTC) - deployment.now - timedelta(seconds=6)
     deployment.run(1)
@@ -33,9 +33,9 @@
     assert _days(deployment) == {"day-2026-03-02.jsonl", "day-2026-03-03.jsonl"}
 
 
-def test_a_core_and_an_edge_whose_clocks_are_a_day_off_put_nothing_in_a_wrong_day():
-    """Rule 12. Given a core and an edge whose wall clocks jump by a day, then all clocks jumping apart, rows stand in the day that
-    it is; also those of an edge that starts with a wrong clock."""
+def test_wall_clocks_that_are_a_day_off_do_not_put_records_in_the_log_of_a_wrong_day():
+    """Rule 12: the wall clocks of a core and of an edge jump by a day, an edge starts with a wrong clock, and then all clocks
+    jump to different times. All records must stay in the log of the true day."""
     deployment = settled(92, edges=4)
     callers = deployment.call_in(2.0)
     deployment.run(2)
--- a/tests/ledger/test_deferred_records.py
+++ b/tests/ledger/test_deferred_records.py
@@ -1,4 +1,4 @@
-"""Deferred records of forwarded requests: which replicas keep them, and when they go out."""
+"""Deferred records of forwarded requests: which replicas store them, and when they are sent."""
 
 from datetime import timedelta
 
@@ -14,7 +14,10 @@
 
 
 class Scene:
-    """A writer with five voters; `write` defers a record, `run` ticks and gives what is sent as (seconds, address, kind, requests)."""
+    """A ledger writer with five voters; `write` defers a record, `run` ticks and returns the sent batches.
+
+    Each batch is returned as (seconds since the start, address, message kind, request ids).
+    """
 
     def __init__(self):
         self.now = SECOND * 10
@@ -49,8 +52,8 @@
         return sent
 
 
-def test_records_of_finished_requests_go_out_together_once_a_second_to_two_replicas():
-    """Given requests that end well over eight tenths of a second, both replicas of their edge get one message with all of them."""
+def test_records_of_finished_requests_are_sent_in_one_batch_per_second_to_two_replicas():
+    """Guards against one message per record: requests that succeed within 0.8 s share one message to each replica."""
     scene = Scene()
     requests = []
     for _ in range(5):
@@ -62,10 +65,9 @@
 
 
 @pytest.mark.parametrize("state,late,is_close", [("fault", False, True), ("done", True, True), ("open", False, False)])
-def test_record_of_a_long_or_failed_request_waits_for_a_third_of_a_second_and_takes_the_rest_along(
-    state, late, is_close
-):
-    """Given a record of what ended well and, after it, one of what did not or of what is in hand for long, both go out 0.3 s after the latter."""
+def test_record_of_a_running_late_or_failed_request_sends_all_deferred_records_after_300_ms(state, late, is_close):
+    """A deferred record of a successful request must not wait longer than a later record of a running, late or failed
+    request: both are sent 0.3 s after the latter was deferred."""
     scene = Scene()
     well = scene.write()
     other = scene.write(state, late, is_close)
@@ -75,8 +77,8 @@
     assert all(at <= (begun - scene.started_at) / SECOND + 0.36 for at, _, _, _ in sent)
 
 
-def test_a_request_that_ends_before_its_opening_went_out_is_one_record():
-    """Given an opening that is still deferred when its request ends, only the closing goes out."""
+def test_closing_record_replaces_an_opening_record_that_is_still_deferred():
+    """If a request ends while its opening record is deferred, only its closing record is sent."""
     scene = Scene()
     request = scene.write("open", is_close=False)
     scene.run(0.1)
@@ -84,16 +86,16 @@
     assert {kind for _, _, kind, _ in scene.run(1.0)} == {"close"}
 
 
-def test_an_edge_sends_to_two_replicas_only():
-    """Given many requests of one edge, all their records go to the same two replicas; those of another edge may go to others."""
+def test_all_forwarded_requests_of_an_edge_use_the_same_two_replicas():
+    """The records of one edge must all be sent to the same two replicas; another edge may use different replicas."""
     scene = Scene()
     for _ in range(40):
         scene.write()
     assert len({address for _, address, _, _ in scene.run(1.1)}) == 2
 
 
-def test_a_leaving_edge_defers_nothing():
-    """Given records that are deferred when the signal to leave comes, and one that is written after it, all are out with the next tick."""
+def test_shutdown_sends_all_deferred_records_on_the_next_tick():
+    """Records that were deferred before the shutdown began, and one written after it, are all sent on the next tick."""
     scene = Scene()
     held = scene.write()
     scene.ledger_writer.take(LeaveRequested(), scene.now)
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: every request's tries, lost rows, repair, total loss."""
+"""The ledger: attempts of each request, lost records, hinted handoff, and recovery from the loss of all nodes."""
 
 from datetime import timedelta
 
@@ -18,7 +18,7 @@
 
 
 def _day_rows(deployment):
-    """{tag: [closing rows]} of the day logs on all cores' disks; one tag may stand in two cores' logs."""
+    """Returns {tag: [closing records]} from the day logs of all cores; a tag may be in the logs of two cores."""
     rows = {}
     for box in deployment.boxes.values():
         for name, records in box.disk.files.items():
@@ -29,8 +29,9 @@
     return rows
 
 
-def test_show_finds_a_request_with_its_tries_from_any_core():
-    """Given a request that moved to the understudy, each core tells of both tries, the first token and the tokens."""
+def test_any_core_shows_a_request_with_all_its_attempts():
+    """After a request failed over to its second server, each core must return both attempts, the first-token time and the
+    token count."""
     deployment = settled(51)
     callers = quiet(deployment)
     for edge in deployment.machines("edge"):
@@ -45,8 +46,8 @@
         assert row["attempt"] == 2 and row["tokens"] > 0 and row["firstToken"] > 0 and row["status"] == 200
 
 
-def test_requests_of_a_killed_edge_are_closed_as_lost_in_that_days_log():
-    """Given an edge killed with requests in hand, each is in the day's log as lost and may have run."""
+def test_open_requests_of_a_killed_edge_are_closed_as_lost_in_the_day_log():
+    """An edge is killed with requests in flight: each must be in the day log as lost, with the run status "maybe"."""
     deployment = settled(52)
     callers = deployment.call_in(4.0, edges=["edge-1"])
     deployment.run(5)
@@ -56,16 +57,17 @@
     dropped = [call for call in callers.calls if call.outcome in ("cut", "none") and call.fault_class == "reset"]
     assert dropped
     rows = _day_rows(deployment)
-    # a call that came in the same few milliseconds was not begun: nothing of it went out
+    # a call that arrived within the last few milliseconds was not started: no message of it was sent
     begun = [call for call in dropped if invariant_checker(deployment, callers).runs_of(call)]
     lost = [call for call in begun if rows[call.tag][0]["class"] == "lost"]
     assert all(row["run"] == "maybe" for call in lost for row in rows[call.tag])
-    # the rest had ended well and their closing record had gone out; only the last bytes to the caller were lost
+    # the others had succeeded and their closing record was sent; only the last bytes to the caller were lost
     assert lost and all(rows[call.tag][0]["state"] == "done" for call in begun if call not in lost)
 
 
-def test_records_kept_for_an_absent_replica_are_handed_off_once():
-    """Given a replica that is away for a while, others keep its records and hand them off; nothing is doubled or missing."""
+def test_records_stored_for_an_absent_replica_are_handed_off_once():
+    """A replica is down for 8 s: other replicas store its records and hand them off when it returns. No record may be
+    duplicated or missing."""
     deployment = settled(53)
     callers = deployment.call_in(2.0)
     deployment.run(3)
@@ -91,7 +93,7 @@
 
 
 def test_ledger_file_is_rewritten_under_load_and_survives_a_crash_at_any_step():
-    """Given small bounds, rewriting under load with power lost at each of many moments loses no acknowledged row."""
+    """With a small size limit, power is lost at many moments of a rewrite under load. No acknowledged record may be lost."""
     import sumachook.ledger.record_file as record_file
 
     bound, record_file.MAX_STORED_RECORDS = record_file.MAX_STORED_RECORDS, 200
@@ -117,9 +119,9 @@
         record_file.MAX_STORED_RECORDS = bound
 
 
-def test_total_loss_and_return():
-    """Rule 12. Given traffic, when every node of ours loses power at once, service is back within twelve seconds of their
-    return, and each request that was late or dropped is in that day's log."""
+def test_service_and_records_recover_from_a_total_loss_of_power():
+    """Rule 12: all cores and edges lose power at once during traffic. Requests must succeed again within 12 s of the restart,
+    and each request that was late or dropped must be in the day log."""
     for seed, name in ((55, "kosice"), (56, "central-java")):
         deployment = settled(seed, name, edges=None)
         callers = deployment.call_in(1.0)
@@ -141,8 +143,9 @@
         assert invariant_checker(deployment, callers).faults() == []
 
 
-def test_leader_is_not_needed_for_serving():
-    """Given all cores gone, edges go on answering safe calls from their image, only within their own area after three seconds."""
+def test_edges_serve_safe_calls_while_all_cores_are_down():
+    """With all cores down, edges must still answer safe calls from their snapshot of the control state; after three seconds
+    they use servers of their own area only."""
     deployment = settled(57, edges=6)
     callers = deployment.call_in(1.0)
     deployment.run(3)
@@ -165,8 +168,9 @@
     assert box_of(deployment, deployment.machines("edge")[0]).name.startswith("edge")
 
 
-def test_edge_with_a_disk_hands_in_after_its_return_what_it_could_not_before():
-    """Given an isolated edge that refuses and serves and is then killed, its requests are in the day's log once it is back."""
+def test_edge_with_a_disk_delivers_its_spilled_records_after_a_restart():
+    """A partitioned edge refuses and serves requests and is then killed. Its requests must be in the day log once it has
+    restarted and can reach the cores."""
     deployment = settled(58, edges=2, data="disk")
     callers = deployment.call_in(2.0, edges=["edge-1"])
     deployment.run(2)
@@ -184,8 +188,9 @@
     assert deployment.boxes["edge-1"].disk.files["spool"] == []
 
 
-def test_a_cut_of_half_a_second_does_not_cost_an_unsafe_prompt_its_record():
-    """Given the only edge cut off from every core for half a second just as an unsafe prompt comes, it is recorded and answered."""
+def test_unsafe_request_is_recorded_after_a_network_partition_of_half_a_second():
+    """The only edge is partitioned from all cores for 0.5 s while an unsafe request arrives. A resend of its opening record
+    must reach the replicas, so that the request is answered."""
     deployment = settled(87, edges=1)
     callers = quiet(deployment)
     deployment.cut(["edge-1"], ["core-1", "core-2", "core-3"])
@@ -196,9 +201,9 @@
     assert call.outcome == "ok" and invariant_checker(deployment, callers).runs_of(call) == 1
 
 
-def test_a_day_that_ends_without_calm_is_whole_on_the_disks():
-    """Rule 12. Given traffic and a crowd, when every node is lost in one instant and none returns, each call that was in hand
-    stands in that day's log, on disks alone."""
+def test_requests_in_flight_at_a_permanent_loss_of_all_nodes_are_in_the_day_logs_on_disk():
+    """Rule 12: under heavy traffic all nodes are lost at once and none returns. Each call that was in flight must be found in
+    the day logs on the disks."""
     deployment = settled(85, edges=5)
     callers = deployment.call_in(3.0)
     deployment.run(6)
@@ -211,9 +216,9 @@
     assert in_hand and check.unaccounted() == []
 
 
-def test_records_of_an_edge_cut_off_from_the_keepers_are_carried_by_others():
-    """Rule 12. Given an edge without a disk that reaches other edges but no core, serves and refuses, and then dies for good, its
-    requests are in the day's log."""
+def test_records_of_an_edge_partitioned_from_all_replicas_are_relayed_by_other_edges():
+    """Rule 12: an edge without a disk reaches other edges but no core, serves and refuses requests, and then fails
+    permanently. Its requests must still be in the day log."""
     deployment = settled(86, edges=4)
     callers = deployment.call_in(2.0, edges=["edge-1"])
     deployment.run(2)
--- a/tests/ledger/test_replica_store.py
+++ b/tests/ledger/test_replica_store.py
@@ -1,4 +1,4 @@
-"""The replica store: idempotency keys, and records of edges that are gone."""
+"""The replica store: idempotency keys, and open records of lost edges."""
 
 from datetime import timedelta
 
@@ -35,8 +35,8 @@
     return MessageReceived("e", "e:1", message_type((RecordCopy(record, ()),)))
 
 
-def test_key_is_kept_until_its_request_did_not_run():
-    """Given a key in use, a second request with it is a duplicate until the first one is closed as not run."""
+def test_idempotency_key_is_free_again_only_after_its_request_did_not_run():
+    """A second request with a key that is in use is a duplicate until the first request is closed as not run."""
     replica_store = _replica_store()
     replica_store.take(_received(OpenRecords, _record("r1", key="k")), START)
     (send,) = replica_store.take(_received(OpenRecords, _record("r2", key="k")), START)
@@ -48,8 +48,8 @@
     assert replica_store.find("r2")["state"] == OPEN
 
 
-def test_records_of_a_gone_edge_are_lost_until_it_closes_them():
-    """Given an edge that is gone, its open records are closed as lost, and set right when its own record comes after all."""
+def test_open_records_of_a_lost_edge_are_closed_as_lost_until_their_closing_record_arrives():
+    """Open records of an edge that restarted are closed as lost; a closing record that arrives later replaces that state."""
     replica_store = _replica_store()
     replica_store.take(_received(OpenRecords, _record("r1")), SECOND)
     tick = StoreTick({"e": 2}, {"a": "a:1"})
--- a/tests/runtime/test_cluster_clock.py
+++ b/tests/runtime/test_cluster_clock.py
@@ -1,4 +1,4 @@
-"""The agreed time: whose wall clock moves it."""
+"""The cluster time: which votes of wall clocks change it."""
 
 from datetime import timedelta
 
@@ -8,9 +8,9 @@
 DAY_MS = 86_400_000
 
 
-def test_one_is_outvoted_all_apart_move_nothing_and_a_majority_is_followed():
-    """Given one wall clock that is wrong, the majority's holds; given clocks that are all apart, nothing moves; a vote that
-    waited in a buffer while this node was away is not counted."""
+def test_cluster_time_follows_a_majority_and_ignores_outliers_and_buffered_votes():
+    """A single wrong wall clock is outvoted; if all clocks disagree, the cluster time does not change; and a vote that may have
+    waited in a buffer while this node was paused is not counted."""
     cluster_clock = ClusterClock(lambda: UNIX_EPOCH + timedelta(days=3), SECOND)
     true_ms = 5 * DAY_MS
     for node in "abc":
--- a/tests/runtime/test_supervisor.py
+++ b/tests/runtime/test_supervisor.py
@@ -1,4 +1,4 @@
-"""The supervision of a process's tasks."""
+"""The supervision of the tasks of a process."""
 
 import asyncio
 from datetime import timedelta
@@ -6,8 +6,8 @@
 from sumachook.runtime.supervisor import Supervisor
 
 
-def test_a_task_that_fails_is_started_again_until_it_failed_too_often():
-    """Given a task that fails each time, it is started again as often as is allowed, each failure is told, then it is raised."""
+def test_failing_task_is_restarted_until_it_exceeds_the_failure_limit():
+    """A task that fails every time is restarted up to the limit and each failure is reported; then its exception is raised."""
     failures, starts = [], []
 
     async def fail():
