--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -43,7 +43,7 @@
         "            self.file_system.truncate(name, position.length)\n        self.unsynced",
         "            pass\n        self.unsure",
         STORAGE,
-        "refused or cut_back or any_writes",
+        "refused or truncated_after_a_failed_sync or any_writes",
         file="storage/folder.py",
     ),
     Mutation(
@@ -95,7 +95,7 @@
         '            damaged = dict.fromkeys(discarded, f"set aside together with {lost[0]}") | damaged\n',
         "            pass\n",
         STORAGE,
-        "given_up_for_good",
+        "never_used_again",
     ),
     Mutation(
         "DISK",
@@ -120,7 +120,7 @@
         "        if step.kind is WriteKind.REWRITE:\n            waiting.records = []\n",
         "",
         STORAGE,
-        "each_others_place",
+        "replaces_earlier_writes",
     ),
     Mutation(
         "DISK",
@@ -128,7 +128,7 @@
         "        if complete != raw:",
         "        if False:",
         STORAGE,
-        "day_logs_hold",
+        "day_logs_keep",
     ),
     Mutation(
         "DISK",
@@ -136,7 +136,7 @@
         "        self.file_system.sync_folder()  # without it, a power loss",
         "        # without it, a power loss",
         STORAGE,
-        "day_logs_hold",
+        "day_logs_keep",
     ),
     Mutation(
         "DISK",
@@ -144,7 +144,7 @@
         "            if sum(sizes.values()) + self.segment_bytes <= self.max_bytes:",
         "            if True:",
         STORAGE,
-        "give_way or long_day",
+        "oldest_segments or long_day",
     ),
     Mutation(
         "DISK",
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -1,4 +1,4 @@
-"""Record files, day logs and the queue before them, over a simulated disk and a real folder."""
+"""Record files, day logs and the write queue, on a simulated disk and in a real folder."""
 
 import errno
 import os
@@ -36,7 +36,7 @@
 
 
 def _batches(*batches, name="log", position=START):
-    """The bytes of each batch, one after the other."""
+    """Returns the encoded bytes of each batch in order."""
     raws = []
     for records in batches:
         raw, position = pack_batch(name, position, records)
@@ -44,22 +44,23 @@
     return raws
 
 
-# what a reader makes of bytes ---------------------------------------------------------
+# decoding a file ---------------------------------------------------------------------
 
 
-def test_records_of_an_unsynced_batch_are_cut_off_wherever_it_is_torn():
-    """Given a last batch of three records of which any part was lost, nothing of it is taken, and nothing is called damage."""
+def test_torn_last_batch_is_dropped_completely_and_not_reported():
+    """An unsynced last batch of three records loses any part of its bytes: none of its records may be read, and no damage may be
+    reported."""
     first, last = _batches([["one"]], [["two"], ["three"], ["four"]])
-    spoiled = [last[:length] for length in range(len(last))]  # shorter
-    spoiled += [
+    corrupted = [last[:length] for length in range(len(last))]  # truncated
+    corrupted += [
         bytes(length) + last[length:] for length in range(1, len(last))
-    ]  # its head is zeros, good records after it
-    spoiled += [last[:place] + bytes(5) + last[place + 5 :] for place in range(len(last) - 5)]  # its middle is missing
-    spoiled += [
+    ]  # zeros at the start, valid records after them
+    corrupted += [last[:place] + bytes(5) + last[place + 5 :] for place in range(len(last) - 5)]  # zeros in the middle
+    corrupted += [
         bytes(len(last)),
         last[: len(last) // 2] + bytes(len(last) - len(last) // 2),
-    ]  # the length is set, but there are zeros
-    for tail in spoiled:
+    ]  # the file has its full length, but zeros at the end
+    for tail in corrupted:
         content = read_file("log", first + tail)
         assert content.records in ((("one",),), (("one",), ("two",), ("three",), ("four",))) and content.damage == "", (
             tail
@@ -68,7 +69,7 @@
             assert content.position.length == len(first)
 
 
-def test_each_flipped_byte_before_the_last_batch_is_damage():
+def test_each_flipped_byte_before_the_last_batch_is_reported_as_damage():
     raws = _batches([["one"]], [["two"], ["three"]], [["four"]])
     whole = b"".join(raws)
     for place in range(len(whole)):
@@ -79,30 +80,32 @@
             assert content.damage == "" and len(content.records) == 3, place
 
 
-def test_the_head_of_a_later_batch_alone_proves_that_the_one_before_it_was_synced():
+def test_header_of_a_later_batch_alone_proves_that_the_previous_batch_was_synced():
     first, second, third = _batches([["one"]], [["two"]], [["three"]])
     assert read_file("log", first + bytes(len(second)) + third[:HEADER_SIZE]).damage
     assert not read_file("log", first + bytes(len(second)) + third[: HEADER_SIZE - 1]).damage
 
 
-def test_old_bytes_of_another_generation_or_file_prove_nothing():
-    """Given bytes that lay in these blocks before, of an earlier life of the file or of another one, the torn tail is a tail."""
+def test_old_bytes_of_another_generation_or_file_do_not_count_as_synced_batches():
+    """Disk blocks can contain old batches of another generation of the file or of another file. Such bytes after a torn tail must
+    neither be read nor make the tail count as damage."""
     first, _ = _batches([["one"]], [["two"]], position=Position(generation=2))
     *_, old = _batches([["a"]], [["b"]], [["c"]], position=Position(generation=1))
-    *_, strange = _batches([["a"]], [["b"]], [["c"]], name="ledger", position=Position(generation=2))
+    *_, other_file = _batches([["a"]], [["b"]], [["c"]], name="ledger", position=Position(generation=2))
     *_, earlier = _batches([["a"]], [["b"]], position=Position(generation=1))
-    *_, unchained = _batches([["another first"]], [["b"]], position=Position(generation=2))
-    for rest in (earlier, unchained):
+    *_, other_chain = _batches([["another first"]], [["b"]], position=Position(generation=2))
+    for rest in (earlier, other_chain):
         assert read_file("log", first + rest).records == (("one",),)
-    for rest in (old, strange):
+    for rest in (old, other_file):
         content = read_file("log", first + bytes(7) + rest)
         assert content.records == (("one",),) and content.damage == ""
 
 
-def test_files_of_earlier_versions_are_read_and_grow_by_batches():
-    """Given bytes as the version before wrote them (literally, one record), they are read; what is appended follows them."""
-    landed = bytes.fromhex("736d6b310000001a4f62c9e9c2e5b96c") + b'["seat","core-1-0badcafe"]'
-    assert single_records.pack_record(["seat", "core-1-0badcafe"])[16:] == landed[16:]
+def test_files_of_earlier_versions_are_read_and_new_records_are_appended_as_batches():
+    """Guards against losing the data of an upgraded node: records in the previous format, one given as literal bytes, are read,
+    and new batches follow them."""
+    stored = bytes.fromhex("736d6b310000001a4f62c9e9c2e5b96c") + b'["seat","core-1-0badcafe"]'
+    assert single_records.pack_record(["seat", "core-1-0badcafe"])[16:] == stored[16:]
     old = single_records.pack_record(["seat", "core-1-0badcafe"]) + single_records.pack_record(["promise", [3, "a"]])
     files = SimulatedFileSystem(Random(1))
     files.write_new("log", old)
@@ -119,7 +122,7 @@
     assert _opened(files)[1].records["log"] == (("fresh",),)
 
 
-# any sequence of writes, any end -----------------------------------------------------------
+# any sequence of writes with any crash ----------------------------------------------------
 
 _WRITES = strategies.lists(
     strategies.tuples(
@@ -133,8 +136,8 @@
 )
 
 
-class _Book:
-    """What each file may hold: everything that was synced, and what was on its way or not."""
+class _ExpectedFiles:
+    """The expected content of each file: the synced records, with or without the step in progress."""
 
     def __init__(self):
         self.synced = {"log": (), "ledger": ()}
@@ -152,23 +155,23 @@
 
 @settings(derandomize=True, max_examples=600, deadline=None)
 @given(_WRITES, strategies.integers(0, 1 << 32))
-def test_any_writes_with_any_end_leave_what_was_synced_and_at_most_the_step_under_way(writes, seed):
-    """Given any appends and rewrites, refusals with the step tried again, process ends and losses of power at any operation,
-    each file holds what was synced, and beyond that all or nothing of the step under way; never is anything called damage."""
+def test_any_writes_with_any_crash_keep_synced_steps_and_all_or_nothing_of_the_step_in_progress(writes, seed):
+    """Random appends and rewrites with disk errors and retries, process crashes and power losses at any operation: each file must
+    contain all synced steps and all or nothing of the step in progress, and no damage may be reported."""
     random = Random(seed)
-    files, book = SimulatedFileSystem(random), _Book()
+    files, expected = SimulatedFileSystem(random), _ExpectedFiles()
     folder, _ = _opened(files)
-    for kind, name, count, fate in writes:
-        step = book.step(kind, name, count)
-        if fate == "refused":
+    for kind, name, count, result in writes:
+        step = expected.step(kind, name, count)
+        if result == "refused":
             files.steps_left = random.randint(0, 8)
             try:
                 folder.write(step)
-            except ProcessEndedError:  # as an error of the disk: the process goes on and tries again
+            except ProcessEndedError:  # stands for a disk error: the process continues and retries
                 files.steps_left = None
                 folder.write(step)
             files.steps_left = None
-        elif fate == "good":
+        elif result == "good":
             folder.write(step)
         else:
             files.steps_left = random.randint(0, 8)
@@ -177,22 +180,22 @@
             except ProcessEndedError:
                 pass
             files.steps_left = None
-            if fate == "power":
+            if result == "power":
                 files.lose_power()
             folder, opened = _opened(files)
             assert opened.damages == ()
             found = opened.records.get(name, ())
-            assert found in (book.synced[name], book.after(step)), (found, book.synced[name], step)
-            book.synced[name] = found
+            assert found in (expected.synced[name], expected.after(step)), (found, expected.synced[name], step)
+            expected.synced[name] = found
             other = "ledger" if name == "log" else "log"
-            assert opened.records.get(other, ()) == book.synced[other]
-            files.lose_power()  # what a start has found and acted on stays
+            assert opened.records.get(other, ()) == expected.synced[other]
+            files.lose_power()  # data that a startup has read and acted on must survive
             folder, opened = _opened(files)
             assert opened.records.get(name, ()) == found
             continue
-        book.synced[name] = book.after(step)
+        expected.synced[name] = expected.after(step)
     files.lose_power()
-    assert {name: _opened(files)[1].records.get(name, ()) for name in book.synced} == book.synced
+    assert {name: _opened(files)[1].records.get(name, ()) for name in expected.synced} == expected.synced
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -204,14 +207,15 @@
     ),
     strategies.integers(0, 1 << 32),
 )
-def test_day_logs_hold_every_synced_line_and_only_whole_ones_after_the_next_append(lines, seed):
-    """Given lines with refusals, ends and losses of power at any operation, every synced line is there, and all parse."""
+def test_day_logs_keep_every_synced_line_and_only_complete_lines_after_the_next_append(lines, seed):
+    """Lines are appended with disk errors, process crashes and power losses at any operation: each synced line must be present
+    exactly once, and all lines must parse."""
     import msgspec
 
     random = Random(seed)
     files, number, synced, begun = SimulatedFileSystem(random), 0, set(), set()
     folder, _ = _opened(files)
-    for count, fate in lines:
+    for count, result in lines:
         step = _step(
             WriteKind.DAY_LOG,
             "day-2026-03-02.jsonl",
@@ -221,19 +225,19 @@
         number += count
         begun |= numbers
         folder.day_logs.segment_bytes = 300
-        if fate != "good":
+        if result != "good":
             files.steps_left = random.randint(0, 9)
         try:
             folder.write(step)
             synced |= numbers
         except ProcessEndedError:
             files.steps_left = None
-            if fate == "refused":
+            if result == "refused":
                 folder.write(step)
                 synced |= numbers
         files.steps_left = None
-        if fate in ("ends", "power"):
-            if fate == "power":
+        if result in ("ends", "power"):
+            if result == "power":
                 files.lose_power()
             folder, _ = _opened(files)
     folder.write(_step(WriteKind.DAY_LOG, "day-2026-03-02.jsonl", {"row": number}))
@@ -241,11 +245,12 @@
     assert synced <= set(found) <= begun | {number} and len(found) == len(set(found))
 
 
-# the folder --------------------------------------------------------------------------------
+# the data folder ---------------------------------------------------------------------------
 
 
-def test_what_a_killed_process_left_unsynced_is_durable_before_the_next_one_acts_on_it():
-    """Given a process killed between write and sync, and power lost after the next start: what that start read is still there."""
+def test_bytes_that_a_killed_process_left_unsynced_are_durable_before_the_next_one_uses_them():
+    """A process is killed between write and sync, and power is lost after the next startup: the records which that startup read
+    must not disappear."""
     for steps in range(9):
         for seed in range(40):
             files = SimulatedFileSystem(Random(seed))
@@ -262,20 +267,20 @@
             assert _opened(files)[1].records["log"] == read, (steps, seed)
 
 
-def test_damage_gives_the_identity_up_and_keeps_the_file_for_the_operator():
-    """Given bytes changed in the middle of the log, the node has neither log nor ledger any more; other files stay."""
+def test_damage_of_the_log_discards_the_identity_files_and_keeps_the_damaged_file_for_the_operator():
+    """A byte changes in the middle of the log: the node must lose both log and ledger, and keep its other files."""
     files = SimulatedFileSystem(Random(1))
     folder, _ = _opened(files)
     for name in NAMES:
         for number in range(3):
             folder.write(_step(WriteKind.APPEND, name, [name, number]))
     raw = files.read("log")
-    spoiled = raw[:60] + b"?" + raw[61:]
-    files.write_new("log", spoiled)
+    corrupted = raw[:60] + b"?" + raw[61:]
+    files.write_new("log", corrupted)
     folder, opened = _opened(files)
     assert set(opened.records) == {"image"}
     assert [damage.name for damage in opened.damages] == ["log", "ledger"] and "follows it" in opened.damages[0].reason
-    assert files.read("log.damaged") == spoiled
+    assert files.read("log.damaged") == corrupted
     folder.write(_step(WriteKind.APPEND, "log", ["new identity"]))
     files.lose_power()
     assert _opened(files)[1].records == {
@@ -284,7 +289,7 @@
     }
 
 
-def test_damage_of_a_file_that_bears_no_identity_costs_that_file_only():
+def test_damage_of_a_file_without_identity_discards_that_file_only():
     files = SimulatedFileSystem(Random(1))
     folder, _ = _opened(files)
     for name in NAMES:
@@ -295,9 +300,9 @@
     assert set(opened.records) == {"log", "ledger"} and [damage.name for damage in opened.damages] == ["image"]
 
 
-def test_an_identity_is_given_up_for_good_wherever_the_start_is_cut_short():
-    """Given damage of the ledger, and a start that ends or loses power at any operation: the log is never taken again
-    together with a ledger that is gone."""
+def test_discarded_identity_is_never_used_again_wherever_a_startup_is_interrupted():
+    """The ledger is damaged, and the startup crashes or loses power at any operation: the next startup must never use the log
+    without the discarded ledger."""
     for steps in range(12):
         for seed in range(30):
             files = SimulatedFileSystem(Random(seed))
@@ -319,7 +324,7 @@
             assert "log" not in records, (steps, seed)
 
 
-def test_leftovers_of_a_rewrite_are_removed_and_never_read():
+def test_temporary_files_of_an_interrupted_rewrite_are_removed_and_never_read():
     files = SimulatedFileSystem(Random(1))
     folder, _ = _opened(files)
     folder.write(_step(WriteKind.APPEND, "log", ["one"]))
@@ -327,13 +332,14 @@
     assert _opened(files)[1].records == {"log": (("one",),)} and files.names() == ["log"]
 
 
-# a real folder, each call to the system failing once --------------------------------------------
+# a real folder in which each system call fails once ----------------------------------------------
 
 
 @pytest.mark.parametrize("call", ("open", "write", "fsync", "ftruncate", "replace"))
 @pytest.mark.parametrize("kind", (WriteKind.APPEND, WriteKind.REWRITE, WriteKind.DAY_LOG))
-def test_a_refused_call_to_the_system_is_made_good_by_the_next_try(tmp_path, monkeypatch, call, kind):
-    """Given a disk that refuses the n-th call of a step and then takes it, the file holds the step once, and the next one after it."""
+def test_refused_system_call_is_recovered_by_a_retry_of_the_step(tmp_path, monkeypatch, call, kind):
+    """The n-th system call of a step fails once: after a retry the file must contain the step exactly once, followed by the next
+    step."""
     name = "day-2026-03-02.jsonl" if kind == WriteKind.DAY_LOG else "log"
     for nth in range(6):
         place = tmp_path / f"{nth}"
@@ -362,11 +368,11 @@
             assert again.records["log"] == (*before, {"row": "step"}, {"row": "after"}) and again.damages == (), nth
         if not refused:
             return
-    raise AssertionError("the call was made more often than was tried")
+    raise AssertionError("the system call was made more often than the 6 attempts that fail")
 
 
 def _refuse_nth(patch, call, nth, refused):
-    """The n-th call fails; a write that fails has written a half before."""
+    """Makes the n-th system call fail with EIO; a failing write first writes half of its bytes."""
     real, calls = getattr(os, call), []
 
     def refuse(*arguments, **more):
@@ -381,8 +387,9 @@
     patch.setattr(os, call, refuse)
 
 
-def test_after_a_failed_sync_the_file_is_cut_back_before_anything_is_appended(tmp_path, monkeypatch):
-    """Given a sync that fails once and would succeed when asked again, it is not just asked again: the bytes are written anew."""
+def test_file_is_truncated_after_a_failed_sync_before_bytes_are_appended(tmp_path, monkeypatch):
+    """A second fsync can succeed although the bytes were lost. After a failed sync the file must be truncated and the bytes
+    written again."""
     folder = DataFolder(RealFileSystem(tmp_path))
     folder.open(NAMES, IDENTITY)
     folder.write(_step(WriteKind.APPEND, "log", ["before"]))
@@ -400,8 +407,9 @@
     assert [call[0] for call in calls] == ["ftruncate", "fsync", "write", "fsync"] and calls[0][1] == length
 
 
-def test_each_new_name_is_synced_in_its_folder_and_a_new_folder_in_its_parent(tmp_path, monkeypatch):
-    """Given a data folder whose parent is missing as well, each folder's entry is synced where it stands; so is each file's."""
+def test_each_new_name_is_synced_in_its_folder_and_each_new_folder_in_its_parent(tmp_path, monkeypatch):
+    """A power loss can remove a name whose folder was not synced. The parent of each new folder and the folder of each new file
+    must be synced, also if several parents are missing."""
     synced, real = [], os.fsync
     monkeypatch.setattr(
         os, "fsync", lambda handle: (synced.append(os.readlink(f"/proc/self/fd/{handle}")), real(handle))[1]
@@ -420,11 +428,12 @@
     assert synced == [str(place), line, str(place), line, str(place / "log")]
 
 
-# day logs, bounded -----------------------------------------------------------------------------
+# size limits of the day logs -------------------------------------------------------------------
 
 
-def test_day_logs_are_cut_into_segments_and_the_oldest_give_way():
-    """Given more lines than the bound holds, over two days, the newest are kept, in whole segments, and the removed are named."""
+def test_day_logs_are_split_into_segments_and_the_oldest_segments_are_removed():
+    """More lines than the total size limit allows, over two days: the newest segments are kept, and the names of removed ones are
+    reported."""
     files = SimulatedFileSystem(Random(1))
     logs = DayLogs(files, segment_bytes=1000, max_bytes=5000)
     for number in range(200):
@@ -439,10 +448,10 @@
     assert "day-2026-03-01.0001.jsonl" in logs.removed and "day-2026-03-02.jsonl" in files.names()
 
 
-# the queue -------------------------------------------------------------------------------------
+# the write queue -------------------------------------------------------------------------------
 
 
-def test_the_queue_gives_lines_before_the_rows_that_depend_on_them_and_the_first_file_before_all():
+def test_queue_orders_the_first_file_then_day_log_lines_before_the_records_that_depend_on_them():
     queue = WriteQueue("log")
     for number in range(2):
         queue.put(AppendDayLog(f"day-{number}", ([number],)), ZERO)
@@ -454,7 +463,7 @@
     assert order == [("log", ("promised",)), ("day-0", ()), ("day-1", ()), ("ledger", ("row 0", "row 1"))]
 
 
-def test_the_queue_tells_once_that_the_disk_refuses_or_stalls_and_once_that_it_takes_records_again():
+def test_queue_reports_each_disk_failure_or_stall_and_each_recovery_once():
     queue, second = WriteQueue(), timedelta(seconds=1)
     assert queue.state_change(ZERO) is None
     queue.put(AppendRecords("log", (["one"],), "one"), ZERO)
@@ -465,7 +474,7 @@
     assert queue.state_change(second) is None
     assert queue.finish_step() == ("one",) and queue.state_change(second).is_available
     queue.put(AppendRecords("log", (["two"],), "two"), second)
-    assert queue.state_change(second * 9) is None  # nobody has begun to write it
+    assert queue.state_change(second * 9) is None  # its step has not been started
     queue.begin_step(second * 10)
     assert queue.state_change(second * 11) is None
     assert queue.state_change(second * 11.1).is_available is False
@@ -473,7 +482,7 @@
     assert queue.state_change(second * 3).is_available
 
 
-def test_rewrites_that_wait_take_each_others_place():
+def test_queued_rewrite_replaces_earlier_writes_of_its_file():
     queue = WriteQueue()
     for number in range(1000):
         queue.put(RewriteRecords("image", (["image", number],)), ZERO)
@@ -486,12 +495,12 @@
     assert steps == [("image", (["image", 999],)), ("spool", ())]
 
 
-# all files together, over a long day ---------------------------------------------------------------
+# total size of all files over a long day -----------------------------------------------------------
 
 
-def test_all_files_of_a_core_stay_well_below_its_disk_over_a_long_day():
-    """Given 30,000 requests with long tags at one keeper, opened and closed, ledger and day logs stay within their bounds at
-    every moment, with what is written beside; open rows are all kept, and of the closed ones the newest."""
+def test_all_files_of_a_core_stay_within_their_size_limits_over_a_long_day():
+    """One replica stores the opening and closing records of 30,000 requests with long tags. Ledger and day logs, including
+    temporary files, must stay within their limits at all times; all open records and the newest closed ones are kept."""
     from sumachook.host.events import MessageReceived
     from sumachook.ledger.messages import CloseRecords, OpenRecords
     from sumachook.ledger.record_file import MAX_STORED_BYTES
@@ -540,8 +549,8 @@
     assert all(found[f"r{place}"] == "open" for place in range(number - 5000, number, 100))
 
 
-def test_a_simulated_disk_keeps_just_the_first_writes_if_told_so():
-    """Given three writes on their way, of two files, and a loss of power that keeps two, the third is gone."""
+def test_simulated_disk_keeps_only_the_given_number_of_writes_after_a_power_loss():
+    """Four writes to two files are in progress, and a power loss keeps the first three: the fourth must be lost."""
     disk = Disk()
     disk.begin(AppendRecords("log", (("a", 1),)), ZERO)
     disk.finish()
@@ -553,8 +562,8 @@
     assert disk.files == {"log": [("a", 1), ("a", 2), ("a", 3)], "image": [("b", 2)]} and disk.unfinished == []
 
 
-def test_files_are_for_their_owner_alone(tmp_path):
-    """Given files that are made new, appended to and written in the place of others, nobody but their owner may read or write them."""
+def test_files_are_readable_and_writable_by_their_owner_only(tmp_path):
+    """Stored configuration contains client keys: a file that was created or replaced must have the mode 0600."""
     files = RealFileSystem(tmp_path)
     files.write_new("log", b"a")
     files.write_new("log.new", b"b")
