--- a/harness/mutations/requests.py
+++ b/harness/mutations/requests.py
@@ -120,7 +120,7 @@
     ),
     Mutation(
         12,
-        "open rows of a lost edge stay open",
+        "open records of a lost edge stay open",
         "        if not lost:\n            return []\n        ended_at = ",
         "        if True:\n            return []\n        ended_at = ",
         LEDGER,
@@ -128,7 +128,7 @@
     ),
     Mutation(
         12,
-        "only closings are in the day's log",
+        "only closing records are written to the day log",
         '            record = self.find(copy.record["request"]) or copy.record\n',
         '            record = self.find(copy.record["request"]) or copy.record\n            if record["state"] == OPEN:\n                continue\n',
         LEDGER,
@@ -144,7 +144,7 @@
     ),
     Mutation(
         12,
-        "nobody carries the records of an edge that is cut off",
+        "records of a partitioned edge are not relayed",
         "return [Send(address, message) for address in relays[:RELAY_COUNT]] if overdue else []",
         "return []",
         LEDGER,
@@ -152,7 +152,7 @@
     ),
     Mutation(
         12,
-        "each node believes its own wall clock",
+        "each node uses its own wall clock as the cluster time",
         "            self.offset = median_low(agreeing)",
         "            self.offset = self._wall() - UNIX_EPOCH - now",
         DAYS,
@@ -160,7 +160,7 @@
     ),
     Mutation(
         12,
-        "a retry is sent for the keepers only once",
+        "an unacknowledged record is not resent to its replicas",
         "        if now - pending.sent_at > RESEND_AFTER:",
         "        if False:",
         LEDGER,
--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -1,4 +1,4 @@
-"""Guards of files on disk, one at a time, for `python -m harness breaches`."""
+"""Mutations of the storage: each removes one safeguard of the files on disk, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -7,7 +7,7 @@
 STORAGE_MUTATIONS = (
     Mutation(
         "DISK",
-        "a batch does not know its number",
+        "the number and the previous checksum of a batch are not checked",
         "if not (has_same_generation and continues_chain):",
         "if False:",
         STORAGE,
@@ -15,7 +15,7 @@
     ),
     Mutation(
         "DISK",
-        "a batch of an earlier life of the file proves damage",
+        "a batch of an earlier generation of the file counts as proof of damage",
         "if header is not None and (position.number == 0 or header.generation == position.generation):",
         "if header is not None:",
         STORAGE,
@@ -23,7 +23,7 @@
     ),
     Mutation(
         "DISK",
-        "the end of an unsynced batch is kept",
+        "the checksum of a batch body is not checked",
         "if len(body) < header.length or zlib.crc32(body) != header.checksum:",
         "if len(body) < header.length:",
         STORAGE,
@@ -31,7 +31,7 @@
     ),
     Mutation(
         "DISK",
-        "a later batch proves nothing",
+        "a later batch does not prove that the previous one was synced",
         "if header.number > position.number + 1 or (position.number == 0 and offset > position.length):",
         "if False:",
         STORAGE,
@@ -39,7 +39,7 @@
     ),
     Mutation(
         "DISK",
-        "after a refusal it goes on where the bytes end",
+        "partially written bytes are not truncated before a retry",
         "            self.file_system.truncate(name, position.length)\n        self.unsynced",
         "            pass\n        self.unsure",
         STORAGE,
@@ -48,7 +48,7 @@
     ),
     Mutation(
         "DISK",
-        "a file is made under its own name",
+        "a new file is written under its own name instead of a temporary one",
         "if step.kind is WriteKind.REWRITE or step.file not in self.positions:",
         "if step.kind is WriteKind.REWRITE:",
         STORAGE,
@@ -57,7 +57,7 @@
     ),
     Mutation(
         "DISK",
-        "a renamed file's folder is not synced",
+        "the folder is not synced after a rename",
         "        self.file_system.rename(temporary, name)\n        self.file_system.sync_folder()\n",
         "        self.file_system.rename(temporary, name)\n",
         STORAGE,
@@ -65,7 +65,7 @@
     ),
     Mutation(
         "DISK",
-        "what a killed process left is not synced",
+        "bytes that a killed process left unsynced are not synced at startup",
         "            self.file_system.sync(name)",
         "            pass",
         STORAGE,
@@ -74,7 +74,7 @@
     ),
     Mutation(
         "DISK",
-        "a start does not sync the folder",
+        "the folder is not synced at startup",
         "            self._make_durable(name, content.position)\n        files.sync_folder()\n",
         "            self._make_durable(name, content.position)\n",
         STORAGE,
@@ -83,7 +83,7 @@
     ),
     Mutation(
         "DISK",
-        "a new folder's parent is not synced",
+        "the parent of a new folder is not synced",
         "            _sync_folder(folder.parent)",
         "            pass",
         STORAGE,
@@ -91,7 +91,7 @@
     ),
     Mutation(
         "DISK",
-        "a core without its ledger is who it was",
+        "a core without its ledger keeps its identity",
         '            damaged = dict.fromkeys(discarded, f"set aside together with {lost[0]}") | damaged\n',
         "            pass\n",
         STORAGE,
@@ -99,7 +99,7 @@
     ),
     Mutation(
         "DISK",
-        "a damaged file is read as far as it goes",
+        "a damaged file is read up to the damage",
         "for name, content in contents.items() if content.damage}",
         "for name, content in contents.items() if False}",
         "tests/nodes/test_disk_faults.py",
@@ -108,7 +108,7 @@
     ),
     Mutation(
         "DISK",
-        "rows are acknowledged before the lines of the day",
+        "records are acknowledged before their day log lines are durable",
         "return (file != self.first_file, waiting.kind is not WriteKind.DAY_LOG, waiting.queued_at)",
         "return (file != self.first_file, waiting.queued_at)",
         STORAGE,
@@ -116,7 +116,7 @@
     ),
     Mutation(
         "DISK",
-        "what waits for a rewrite is kept too",
+        "a rewrite does not replace the queued writes of its file",
         "        if step.kind is WriteKind.REWRITE:\n            waiting.records = []\n",
         "",
         STORAGE,
@@ -124,7 +124,7 @@
     ),
     Mutation(
         "DISK",
-        "half a line stays before the next",
+        "a torn line of a day log is not removed before the next append",
         "        if complete != raw:",
         "        if False:",
         STORAGE,
@@ -132,7 +132,7 @@
     ),
     Mutation(
         "DISK",
-        "a day's file is made before the one before it has its name",
+        "a new segment is created before the rename of the previous one is synced",
         "        self.file_system.sync_folder()  # without it, a power loss",
         "        # without it, a power loss",
         STORAGE,
@@ -140,7 +140,7 @@
     ),
     Mutation(
         "DISK",
-        "day logs grow without bound",
+        "the total size of the day logs is not limited",
         "            if sum(sizes.values()) + self.segment_bytes <= self.max_bytes:",
         "            if True:",
         STORAGE,
@@ -148,7 +148,7 @@
     ),
     Mutation(
         "DISK",
-        "the ledger is bounded by rows only",
+        "the ledger file is limited by its number of records only",
         "self.stored_records <= self.rewrite_above.records and self.stored_bytes <= self.rewrite_above.bytes",
         "self.stored_records <= self.rewrite_above.records",
         STORAGE,
@@ -156,7 +156,7 @@
     ),
     Mutation(
         "DISK",
-        "a core whose disk is full goes on as if it were not",
+        "a core whose disk accepts no writes still counts it as available",
         "        self.is_disk_taking = False\n        return effects",
         "        return effects",
         "tests/nodes/test_disk_faults.py",
@@ -164,7 +164,7 @@
     ),
     Mutation(
         "DISK",
-        "a duty that was given back is held again",
+        "a released lease is acquired again",
         "return fence <= self.released.get(role, 0)",
         "return False",
         "tests/nodes/test_disk_faults.py",
@@ -172,7 +172,7 @@
     ),
     Mutation(
         "DISK",
-        "a core whose disk is full keeps its duties",
+        "a core whose disk accepts no writes keeps its leases",
         "        released = self.leases.take(lease_events.Quit(), now)\n        effects",
         "        released = []\n        effects",
         "tests/nodes/test_disk_faults.py",
@@ -180,7 +180,7 @@
     ),
     Mutation(
         "DISK",
-        "a refused write ends the disk's task",
+        "a failed write ends the disk writer task",
         "            except OSError as error:\n                self.queue.fail_step(str(error))\n                self.check_state()\n",
         "            except ValueError:\n                pass\n",
         "tests/nodes/test_disk_faults.py",
@@ -188,7 +188,7 @@
     ),
     Mutation(
         "DISK",
-        "a process waits for its hanging disk",
+        "a stalled write blocks the event loop",
         "await worker.call(self.folder.write, step)",
         "self.folder.write(step)",
         "tests/nodes/test_disk_faults.py",
@@ -197,7 +197,7 @@
     ),
     Mutation(
         "DISK",
-        "an image changes with the state",
+        "a snapshot shares mutable data with the live state",
         '"duties": {role: tuple(holder) for role, holder in state.duties.items()}',
         '"duties": state.duties',
         "tests/control_state",
