--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -41,7 +41,7 @@
         "DISK",
         "partially written bytes are not truncated before a retry",
         "            self.file_system.truncate(name, position.length)\n        self.unsynced",
-        "            pass\n        self.unsure",
+        "            pass\n        self.unsynced",
         STORAGE,
         "refused or truncated_after_a_failed_sync or any_writes",
         file="storage/folder.py",
