--- a/sumachook/runtime/supervisor.py
+++ b/sumachook/runtime/supervisor.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 MAX_FAILURES = 5  # consecutive failures of one task; after more, the whole process should be restarted
-RESTART_DELAY = timedelta(seconds=0.2)  # delay after the first failure; grows linearly with their number
+RESTART_DELAY = timedelta(seconds=0.2)  # delay before a restart, multiplied by the number of failures
 FAILURE_RESET_AFTER = timedelta(seconds=30)  # run time without a failure that resets the failure count
 
 
