--- a/harness/mutations/answers.py
+++ b/harness/mutations/answers.py
@@ -300,8 +300,8 @@
     Mutation(
         "ORDER",
         "a whole body is appended to a resumed stream",
-        '        if request.reached_client:\n            return self.resend.take(request, FailureKind.CUT.because("the resumed response',
-        '        if False:\n            return self.resend.take(request, FailureKind.CUT.because("the resumed response',
+        '        if request.reached_client:\n            return self.resend.take(request, FailureKind.CUT.because("no stream',
+        '        if False:\n            return self.resend.take(request, FailureKind.CUT.because("no stream',
         STREAMS,
         "no_server_resumes",
     ),
--- a/sumachook/control_state/configurations.py
+++ b/sumachook/control_state/configurations.py
@@ -94,7 +94,7 @@
         return verdict
     if change.issues:
         return with_issues(Outcome.REJECTED, change.issues)
-    return unknown("version", "its base version came into force after the core had checked it")
+    return unknown("version", "its base came into force meanwhile")
 
 
 def configure_by_difference(
@@ -108,9 +108,9 @@
     try:
         target = apply_difference(state.checked, change.difference)
     except DifferenceError as error:
-        return unknown("$", f"the difference does not apply to the version in force: {error}")
+        return unknown("$", f"not a difference from the version in force: {error}")
     if document_digest(target) != change.document_digest:
-        return unknown("$", "the difference does not give the document that the core proposed")
+        return unknown("$", "not a difference from the document in force")
     return _accept(state, target, identity)
 
 
@@ -120,11 +120,11 @@
     if state.accepted_versions.contains(version, identity.digest):
         return accepted(state.generation)
     if state.accepted_versions.may_be_forgotten(base_version, version):
-        return unknown("version", f"{version} is too old a version to know whether it was accepted")
+        return unknown("version", f"{version} is too long ago to tell")
     if base_version != state.version:
         return stale("version", f"{STALE_VERSION}: it is {state.version}, not {base_version}")
     if is_overtaken(seen, state.version_changed_at):
-        return unknown("version", f"{base_version} came into force after this request arrived")
+        return unknown("version", f"{base_version} came into force after this call")
     return None
 
 
--- a/sumachook/control_state/evacuations.py
+++ b/sumachook/control_state/evacuations.py
@@ -26,7 +26,7 @@
     if (zone in state.evacuated) == is_evacuated:
         return accepted(state.generation)
     if is_overtaken(seen, state.evacuation_changed_at.get(zone, 0)):
-        return unknown("area", f"{zone!r} was evacuated or restored after this request arrived")
+        return unknown("area", f"{zone!r} was turned after this call came")
     others = tuple(other for other in state.evacuated if other != zone)
     state.evacuated = tuple(sorted((*others, zone))) if is_evacuated else others
     state.evacuation_changed_at[zone] = state.number
--- a/sumachook/control_state/requests.py
+++ b/sumachook/control_state/requests.py
@@ -20,7 +20,7 @@
     completed = state.requests.get(request)
     if completed is not None:
         is_repeat = completed.content_digest == content_digest
-        return completed.result if is_repeat else rejected("request", "request id already used with other content")
+        return completed.result if is_repeat else rejected("request", "this id belongs to another order")
     result = apply_change()
     if result.outcome is not Outcome.UNKNOWN:
         state.requests[request] = CompletedRequest(content_digest, result.truncated())
--- a/sumachook/control_state/roles.py
+++ b/sumachook/control_state/roles.py
@@ -11,7 +11,7 @@
     if holder:
         return rejected("duty", "not vacant")
     if change.fencing_token != last + 1:
-        return rejected("duty", f"fencing token {change.fencing_token} does not follow {last}")
+        return rejected("duty", f"fence {change.fencing_token} after {last}")
     state.role_holders[change.role] = RoleHolder(change.holder, change.fencing_token)
     return accepted()
 
@@ -20,7 +20,7 @@
     """Makes a role vacant if it is still held with the given fencing token."""
     holder, last = state.role_holders[change.role]
     if not holder or change.fencing_token != last:
-        return rejected("duty", "not held with this fencing token")
+        return rejected("duty", "not that fence")
     state.role_holders[change.role] = RoleHolder("", last)
     return accepted()
 
--- a/sumachook/control_state/servers.py
+++ b/sumachook/control_state/servers.py
@@ -9,9 +9,7 @@
 def update_servers(state: StateFields, change: changes.UpdateServers) -> ChangeResult:
     """Replaces the server list, unless the proposing core compared it with an older list than the current one."""
     if change.basis != state.servers_changed_at:
-        return rejected(
-            "basis", f"the server list is that of change {state.servers_changed_at}, not of change {change.basis}"
-        )
+        return rejected("basis", f"the list is of change {state.servers_changed_at}, not {change.basis}")
     state.servers = dict(change.servers)
     state.servers_changed_at = state.number
     state.model_statuses = {
@@ -41,4 +39,4 @@
 
 
 def _rejected_as_older_placer() -> ChangeResult:
-    return rejected("fence", "the fencing token is not that of the current placer")
+    return rejected("fence", "an older placer")
--- a/sumachook/forwarding/access.py
+++ b/sumachook/forwarding/access.py
@@ -47,17 +47,15 @@
         if not self.requires_key:
             return AccessDecision(self.owner_by_route.get(route.name))
         if len(credentials) > 1:
-            return AccessDecision(
-                failure=FailureKind.UNKNOWN_CALLER.because("the request carries more than one API key")
-            )
+            return AccessDecision(failure=FailureKind.UNKNOWN_CALLER.because("more than one key"))
         if credentials:
             tenant = self.tenant_by_digest.get(credentials[0].digest(self.secret))
             if tenant is None:
-                return AccessDecision(failure=FailureKind.UNKNOWN_CALLER.because("unknown API key"))
+                return AccessDecision(failure=FailureKind.UNKNOWN_CALLER.because("the key is not known"))
             return AccessDecision(tenant)
         owner = self.owner_by_route.get(route.name)
         if owner is None and not route.public:
-            return AccessDecision(failure=FailureKind.UNKNOWN_CALLER.because("this route requires an API key"))
+            return AccessDecision(failure=FailureKind.UNKNOWN_CALLER.because("a key is needed"))
         return AccessDecision(owner)
 
     def priority_of(self, tenant: Tenant | None) -> int:
--- a/sumachook/forwarding/admit.py
+++ b/sumachook/forwarding/admit.py
@@ -74,34 +74,28 @@
         table = self.table
         trust = table.follower.trust(now)
         if metadata.repeated_headers:
-            failure = FailureKind.MALFORMED.because(f"repeated headers: {', '.join(metadata.repeated_headers)}")
+            failure = FailureKind.MALFORMED.because(f"stated twice: {', '.join(metadata.repeated_headers)}")
             return self._refuse(event, metadata, failure.status, failure, None)
         if table.is_closed:
-            failure = FailureKind.DRAINING.because("this node is shutting down")
+            failure = FailureKind.DRAINING.because("this node is leaving")
             return self._refuse(event, metadata, 503, failure, RETRY_AFTER_DRAINING_S)
         if trust is Trust.EMPTY:
-            return self._park(event, metadata, FailureKind.NOT_READY.because("no catalogue received"), now, arrived_at)
+            return self._park(event, metadata, FailureKind.NOT_READY.because("no catalogue yet"), now, arrived_at)
         table.refresh()
         route = table.routes.find(metadata.host, event.raw_path)
         if route is None:
             if trust is not Trust.FRESH:  # just restarted or cut off: routes may be outdated, a 404 is final
-                return self._park(
-                    event, metadata, FailureKind.NOT_READY.because("not connected to a core"), now, arrived_at
-                )
+                return self._park(event, metadata, FailureKind.NOT_READY.because("not in touch"), now, arrived_at)
             return self._refuse(event, metadata, 404, FailureKind.NOT_FOUND.because("no route"), None)
         access = table.access.rules.check(route, metadata.credentials)
         if access.failure is not None:
             if trust is not Trust.FRESH:  # the key may have been added since, and a 401 is final
-                return self._park(
-                    event, metadata, FailureKind.NOT_READY.because("not connected to a core"), now, arrived_at
-                )
+                return self._park(event, metadata, FailureKind.NOT_READY.because("not in touch"), now, arrived_at)
             return self._refuse(event, metadata, access.failure.status, access.failure, None)
         if access.tenant is not None and metadata.credentials and table.has_stale_credentials(now):
-            return self._park(
-                event, metadata, FailureKind.NOT_READY.because("not connected to a core"), now, arrived_at
-            )
+            return self._park(event, metadata, FailureKind.NOT_READY.because("not in touch"), now, arrived_at)
         if len(table.requests) >= MAX_REQUESTS:
-            failure = FailureKind.OVERLOAD.because(f"{MAX_REQUESTS} requests are in flight")
+            failure = FailureKind.OVERLOAD.because(f"{MAX_REQUESTS} requests in hand")
             return self._refuse(event, metadata, 503, failure, RETRY_AFTER_FULL_S)
         return self._admit(event, metadata, route, access.tenant, trust, now, arrived_at)
 
--- a/sumachook/forwarding/pipeline.py
+++ b/sumachook/forwarding/pipeline.py
@@ -132,7 +132,7 @@
     def _finish_all(self, now: timedelta) -> list[Any]:
         """Gives every request still in flight its final response, because the node shuts down."""
         effects = self._retry_parked(now)
-        failure = FailureKind.DRAINING.because("this node is shutting down")
+        failure = FailureKind.DRAINING.because("this node is leaving")
         for request in list(self.table.requests.values()):
             effects += self.settle.take(request, failure, now)
         return effects
--- a/sumachook/forwarding/response_relay.py
+++ b/sumachook/forwarding/response_relay.py
@@ -79,13 +79,11 @@
             return self.resend.take(request, failure, now)
         names = {name.lower(): value for name, value in headers}
         if status < 300 and (not response.is_sealed or names.get("content-encoding", "identity") != "identity"):
-            failure = FailureKind.UPSTREAM.because("the response is not marked as the server's own, or is encoded")
+            failure = FailureKind.UPSTREAM.because("bytes that are not the server's answer")
             return self.resend.take(request, failure, now)
         request.is_event_stream = status < 300 and names.get("content-type", "").startswith("text/event-stream")
         if status >= 300 and request.reached_client:
-            return self.resend.take(
-                request, FailureKind.CUT.because(f"the server refused to resume the stream: status {status}"), now
-            )
+            return self.resend.take(request, FailureKind.CUT.because(f"no resume, status {status}"), now)
         return []
 
     def _head_failure(
@@ -94,14 +92,14 @@
         """Returns why the response must not be relayed, judged by request id, headers and status; None if it may be."""
         has_id = not request.metadata.request_id or response.request_id == request.metadata.request_id
         if not has_id and (response.request_id or request.is_reused):
-            return FailureKind.RESET.because("the response belongs to another request")
+            return FailureKind.RESET.because("an answer to another request")
         if response.is_not_run:
             request.run_history.note_not_run()
             return _not_run_failure_kind(status).because()
         if status in NOT_RUN_STATUSES:  # the client would take it to mean that the request did not run
-            return FailureKind.UPSTREAM.because(f"{status} without the not-run header")
+            return FailureKind.UPSTREAM.because(f"{status} without the mark")
         if not has_id or status < 200:
-            return FailureKind.UPSTREAM.because("no request id in the response, or a status below 200")
+            return FailureKind.UPSTREAM.because("bytes that are no answer to this request")
         return None
 
     def _handle_chunk(self, request: ForwardedRequest, event: Any, now: timedelta) -> list[Any]:
@@ -116,9 +114,7 @@
             request.events += sum(events.count(mark) for mark in EVENT_TERMINATORS)
         if request.first_token_at is None:
             if request.reached_client and not _continues(request.last_event_id or "", events):
-                return self.resend.take(
-                    request, FailureKind.CUT.because("the resumed stream does not continue after the last event"), now
-                )
+                return self.resend.take(request, FailureKind.CUT.because("the resume does not go on"), now)
             self._note_first_token(request, now)
         for line in events.split(b"\n"):
             if line.startswith(b"id:"):
@@ -148,11 +144,11 @@
             self.table.server_window(request.server).note_kept_connection(now)
         if request.is_event_stream:
             if request.buffer or not request.reached_client:
-                return self.resend.take(request, FailureKind.CUT.because("the stream ended within an event"), now)
+                return self.resend.take(request, FailureKind.CUT.because("ended within an event"), now)
             return self.finish.take(request, [EndResponse(request.call_id)], "done", now)
         if request.reached_client:
-            return self.resend.take(request, FailureKind.CUT.because("the resumed response is no event stream"), now)
-        failure = FailureKind.UPSTREAM.because(f"server error {request.status}") if request.status >= 500 else None
+            return self.resend.take(request, FailureKind.CUT.because("no stream on resuming"), now)
+        failure = FailureKind.UPSTREAM.because(f"the server said {request.status}") if request.status >= 500 else None
         if failure is not None and request.is_repeatable and request.attempt < request.route.tries:
             return self.resend.take(request, failure, now)
         reply = Reply(request.call_id, request.status, self._headers(request.response_headers), request.buffer)
--- a/sumachook/forwarding/server_selection.py
+++ b/sumachook/forwarding/server_selection.py
@@ -102,9 +102,9 @@
         """
         table = self.table
         if request.needs_recheck and not self._has_same_route(request):
-            return FailureKind.NOT_READY.because("the route changed after admission")
+            return FailureKind.NOT_READY.because("its route changed while this node was away")
         if request.metadata.credentials and request.tenant is not None and table.has_stale_credentials(now):
-            return FailureKind.NOT_READY.because("not connected to a core")
+            return FailureKind.NOT_READY.because("not in touch")
         if request.checked_generation == table.generation:
             return None
         request.checked_generation = table.generation
@@ -112,7 +112,7 @@
         if access.failure is not None:
             return access.failure
         tenant = access.tenant.name if access.tenant is not None else None
-        return None if tenant == request.tenant else FailureKind.NOT_READY.because("the API key changed its tenant")
+        return None if tenant == request.tenant else FailureKind.NOT_READY.because("its key is of another tenant now")
 
     def _has_same_route(self, request: ForwardedRequest) -> bool:
         """Returns whether the current catalogue still has the route under which the request was admitted."""
@@ -123,7 +123,7 @@
         table = self.table
         needs_placement = request.service in table.models and request.metadata.model
         if needs_placement and request.metadata.model not in table.models[request.service]:
-            failure = FailureKind.NO_MODEL.because(f"unknown model {request.metadata.model[:80]!r}")
+            failure = FailureKind.NO_MODEL.because(f"no model {request.metadata.model[:80]!r}")
             return self.settle.take(request, failure, now)
         usable = _within_tries(request, usable)
         if not usable:
@@ -280,4 +280,4 @@
 
 def _last_failure(request: ForwardedRequest) -> RequestFailure:
     """Returns the failure of the last attempt, or an overload failure if there was none."""
-    return request.last_failure or FailureKind.OVERLOAD.because("no server had capacity in time")
+    return request.last_failure or FailureKind.OVERLOAD.because("no place in time")
--- a/sumachook/inference/admit.py
+++ b/sumachook/inference/admit.py
@@ -82,7 +82,7 @@
         if event.path != PROMPT_PATH and not is_lookup:
             return FailureKind.NOT_FOUND.because("POST /v1/chat/completions or GET /records/ID")
         if event.method != ("GET" if is_lookup else "POST"):
-            return FailureKind.MALFORMED.because(f"unsupported method {event.method}")
+            return FailureKind.MALFORMED.because(f"method {event.method}")
         failure = self._node_failure(now)
         if failure is not None:
             return failure
@@ -90,7 +90,7 @@
         if caller is None:
             return FailureKind.UNKNOWN_CALLER.because("Authorization: Bearer KEY")
         if len(self.table.requests) >= MAX_REQUESTS:
-            return FailureKind.OVERLOAD.because("too many requests in flight at this node")
+            return FailureKind.OVERLOAD.because("the table is full")
         request_id = self._next_request_id()
         if is_lookup:
             return self._admit_lookup(request_id, event, caller, now)
@@ -100,13 +100,11 @@
         """Returns the failure for which this node refuses all requests at present, or None."""
         table = self.table
         if table.is_draining:
-            return FailureKind.DRAINING.because("this node is shutting down")
+            return FailureKind.DRAINING.because("this node is leaving")
         if table.follower.trust(now) is Trust.EMPTY or not table.knows_time:
-            return FailureKind.NOT_READY.because("this node has no catalogue yet")
+            return FailureKind.NOT_READY.because("no catalogue yet")
         if not table.state.is_open(table.zone):
-            return FailureKind.EVACUATED.because(
-                f"area {table.zone} is evacuated, send the request to a node of another area"
-            )
+            return FailureKind.EVACUATED.because(f"area {table.zone} is evacuated, use another area's node")
         return None
 
     def _caller(self, headers: Any) -> Any:
@@ -121,7 +119,7 @@
         self, request_id: str, event: HttpRequestReceived, caller: Any, now: timedelta
     ) -> InferenceRequest | RequestFailure:
         if not caller.lookups:
-            return FailureKind.FORBIDDEN.because("this caller is not allowed to send lookups")
+            return FailureKind.FORBIDDEN.because("this caller may not look up")
         patience = timedelta(seconds=caller.lookup_patience)
         request = InferenceRequest(request_id, event.call_id, LOOKUP, caller, now, patience)
         request.path = event.path
@@ -134,21 +132,19 @@
         try:
             document = msgspec.json.decode(event.body)
         except (msgspec.DecodeError, RecursionError):
-            return FailureKind.MALFORMED.because("the body is not valid JSON")
+            return FailureKind.MALFORMED.because("the body is no JSON")
         error = _prompt_error(document)
         if error:
             return FailureKind.MALFORMED.because(error)
         target = self.table.targets.get(document["model"])
         if target is None:
             name = document["model"][:MAX_SHOWN_NAME_LENGTH]
-            return FailureKind.NO_MODEL.because(f"no model, adapter or route is named {name!r}")
+            return FailureKind.NO_MODEL.because(f"no model, adapter or route {name!r}")
         request = InferenceRequest(request_id, event.call_id, PROMPT, caller, now, caller.wait)
         request.model, request.adapter = target
         max_tokens = document.get("max_tokens", request.model.max_tokens)
         if max_tokens > request.model.max_tokens:
-            return FailureKind.MALFORMED.because(
-                f"max_tokens: {max_tokens} exceeds the maximum of {request.model.max_tokens}"
-            )
+            return FailureKind.MALFORMED.because(f"max_tokens: {max_tokens}, at most {request.model.max_tokens}")
         request.idempotency_key = event.headers.get("idempotency-key", "")[:MAX_IDEMPOTENCY_KEY_LENGTH]
         request.is_safe = caller.safe and not request.idempotency_key
         request.is_stream = document.get("stream", False)
@@ -242,18 +238,18 @@
     """Returns what is wrong with the JSON body of a prompt, or None if it is valid.
 
     >>> _prompt_error({"model": "m", "messages": [{"role": "user", "content": "x"}]}), _prompt_error({"model": 3})
-    (None, 'model: a non-empty string is required')
+    (None, 'model: a text is needed')
     """
     if not isinstance(doc, dict):
-        return "the body is not a JSON object"
+        return "the body is no object"
     if not isinstance(doc.get("model"), str) or not doc["model"]:
-        return "model: a non-empty string is required"
+        return "model: a text is needed"
     messages = doc.get("messages")
     if not isinstance(messages, list) or not messages or not all(isinstance(item, dict) for item in messages):
-        return "messages: a non-empty list of objects is required"
+        return "messages: a list of objects is needed"
     if not isinstance(doc.get("stream", False), bool):
-        return "stream: must be true or false"
+        return "stream: true or false"
     wanted = doc.get("max_tokens", 1)
     if not isinstance(wanted, int) or isinstance(wanted, bool) or wanted < 1:
-        return "max_tokens: must be an integer above 0"
+        return "max_tokens: a whole number above 0"
     return None
--- a/sumachook/inference/deadlines.py
+++ b/sumachook/inference/deadlines.py
@@ -29,11 +29,11 @@
             if request.is_at_server:
                 effects += self._check_attempt(request, now)
             elif request.needs_credit and now >= request.credit_by:
-                failure = request.last_failure.kind.because("no credit in the retry budget")
+                failure = request.last_failure.kind.because("no credit for a resend")
                 effects += self.settle.take(request, failure, now)
             elif now >= request.deadline:
                 patience = request.deadline - request.arrived_at
-                failure = FailureKind.DEADLINE.because(f"no answer within {patience}, the request was still waiting")
+                failure = FailureKind.DEADLINE.because(f"nothing within {patience}, last: waiting")
                 effects += self.settle.take(request, failure, now)
         return effects
 
--- a/sumachook/inference/enqueue.py
+++ b/sumachook/inference/enqueue.py
@@ -32,9 +32,7 @@
             case Unrecorded(reason=reason):
                 failure = FailureKind.UNRECORDED.because(reason.value)
             case DuplicateKey(first=first):
-                text = (
-                    f"request {first['request']} with the same idempotency key is {first['state']}, run: {first['run']}"
-                )
+                text = f"request {first['request']} is {first['state']}, run {first['run']}"
                 failure = FailureKind.DUPLICATE.because(text)
             case _:
                 raise TypeError(f"unexpected recording outcome: {outcome!r}")
@@ -50,12 +48,10 @@
         waiting = self.table.queues.length(request.queue)
         may_wait = self._may_wait_by_policy(request, waiting, bound)
         if waiting >= bound or (waiting and not may_wait):
-            failure = FailureKind.OVERLOAD.because(f"{waiting} requests already wait in queue {request.queue}")
+            failure = FailureKind.OVERLOAD.because(f"{waiting} wait in line {request.queue}")
             return self.settle.take(request, failure, now)
         if self._expected_wait(request) > (request.deadline - now).total_seconds():
-            return self.settle.take(
-                request, FailureKind.OVERLOAD.because("the expected wait exceeds the time until the deadline"), now
-            )
+            return self.settle.take(request, FailureKind.OVERLOAD.because("the cutoff cannot be met"), now)
         self.table.add_to_queue(request)
         return []
 
--- a/sumachook/inference/pipeline.py
+++ b/sumachook/inference/pipeline.py
@@ -127,7 +127,7 @@
     def _finish_all(self, now: timedelta) -> list[Any]:
         """Ends every request that is still in flight when the drain time of a shutdown is over."""
         effects = []
-        failure = FailureKind.DRAINING.because("this node is shutting down")
+        failure = FailureKind.DRAINING.because("this node is leaving")
         for request in list(self.table.requests.values()):
             end = self.cancel if request.attempt_id is not None else self.settle
             effects += end.take(request, failure, now)
--- a/sumachook/inference/response_relay.py
+++ b/sumachook/inference/response_relay.py
@@ -85,9 +85,7 @@
         if event.status == 200 and event.headers.get("content-type", "").startswith("text/event-stream"):
             return []
         if request.resume_from is not None:
-            return self.resend.take(
-                request, FailureKind.CUT.because(f"the server did not resume the stream, status {event.status}"), now
-            )
+            return self.resend.take(request, FailureKind.CUT.because(f"no resume, status {event.status}"), now)
         return self.resend.take(request, _failure_of_status(event, request), now)
 
     def _handle_response(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:
@@ -105,25 +103,19 @@
         return [reply, *self.close.take(request, "done", event.status, failure_name, now)]
 
     def _handle_end(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:
-        return self.resend.take(request, FailureKind.CUT.because("the response stream ended early"), now)
+        return self.resend.take(request, FailureKind.CUT.because("the stream ended early"), now)
 
     def _handle_event(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:
         if event.data == END_OF_STREAM:
             if request.finish_reason is None:
-                return self.resend.take(
-                    request, FailureKind.CUT.because("the response stream ended without a finish reason"), now
-                )
+                return self.resend.take(request, FailureKind.CUT.because("ended without a finish reason"), now)
             return self._finish(request, now)
         delta = self.table.port.read_event(event.data)
         if delta is None:
-            return self.resend.take(
-                request, FailureKind.CUT.because("the server sent an event that cannot be parsed"), now
-            )
+            return self.resend.take(request, FailureKind.CUT.because("an event that cannot be read"), now)
         if request.resume_from is not None:
             if not event.event_id or next_id(request.resume_from) != event.event_id:
-                return self.resend.take(
-                    request, FailureKind.CUT.because("the resumed stream does not continue at the next event id"), now
-                )
+                return self.resend.take(request, FailureKind.CUT.because("the resume does not continue"), now)
             request.resume_from = None
         self._note_delta(request, delta, event.event_id, now)
         if not request.is_stream:
@@ -193,7 +185,7 @@
 
 def _failure_of_status(event: Any, request: InferenceRequest) -> RequestFailure:
     """Maps an error status to a failure; sets `retry_after` from the Retry-After header of an overloaded server."""
-    reason = f"the server answered with status {event.status}"
+    reason = f"the server said {event.status}"
     if event.status in (429, 503):
         stated = event.headers.get("retry-after", "")
         request.retry_after = min(MAX_RETRY_AFTER_S, float(stated)) if stated.isdigit() else None
--- a/sumachook/inference/server_selection.py
+++ b/sumachook/inference/server_selection.py
@@ -46,9 +46,7 @@
                 request.needs_recheck = False
             return []
         effects = []
-        failure = FailureKind.EVACUATED.because(
-            f"area {table.zone} is evacuated, send the request to a node of another area"
-        )
+        failure = FailureKind.EVACUATED.because(f"area {table.zone} is evacuated, use another area's node")
         for request in self._waiting_requests():
             if request.needs_recheck:
                 request.needs_recheck = False
@@ -131,7 +129,7 @@
         if not ready:
             soonest = min(table.server_window(name).breaker_open_until for name in open_breakers)
             request.retry_after = max(MIN_RETRY_AFTER_S, (soonest - now).total_seconds())
-            return FailureKind.UNREACHABLE.because("the circuit breakers of all servers of the model are open")
+            return FailureKind.UNREACHABLE.because("the breaker is open")
         ready.sort(key=lambda item: (_failure_rank(request, item[0]), table.server_window(item[0]).is_overloaded(now)))
         return next((name for name, is_warming in ready if self._has_free_slot(request, name, is_warming, now)), None)
 
@@ -158,7 +156,7 @@
         if now < request.model_ready_by:
             return None
         if request.wake_retries:
-            return FailureKind.WAKE_TIMEOUT.because(f"{request.name} was not loaded by any server in time")
+            return FailureKind.WAKE_TIMEOUT.because(f"{request.name} was not ready in time")
         request.wake_retries = 1
         request.finished_attempts.append({"server": "", "class": FailureKind.WAKE_TIMEOUT.value})
         request.not_before = now + self.table.retry_delay(request)
--- a/sumachook/placement/placement_status.py
+++ b/sumachook/placement/placement_status.py
@@ -56,7 +56,7 @@
         return "leaving or in an evacuated area"
     if server.is_unreachable:
         return "does not answer"
-    return "open" if server.is_known else "waiting for its report"
+    return "open" if server.is_known else "being read"
 
 
 def _order_status(order: Order | None) -> str:
@@ -103,4 +103,4 @@
     asked = f"{rate:.1f} a second, {running} running"
     if desired > replicas:
         return f"{asked}; should have {desired} places, has {replicas}"
-    return f"{asked}; it keeps {replicas}" if desired else f"{asked}; too few requests to keep a replica"
+    return f"{asked}; it keeps {replicas}" if desired else f"{asked}; too rarely to keep a place for"
--- a/sumachook/policies/policy.py
+++ b/sumachook/policies/policy.py
@@ -154,7 +154,7 @@
         while position < len(codes):
             steps += 1
             if steps > STEP_LIMIT:
-                raise StepLimitError(f"{steps} steps exceed the limit of {STEP_LIMIT}")
+                raise StepLimitError(f"{steps} steps, at most {STEP_LIMIT}")
             code, operand = codes[position]
             position += 1
             if code is Code.PUSH:
@@ -214,7 +214,7 @@
     if not text.strip():
         return Program(role, text, (Instruction(Code.PUSH, ROLES[role].default),))
     if len(text) > MAX_CHARACTERS:
-        raise InvalidPolicyError(f"line 1, column 1: {len(text)} characters exceed the limit of {MAX_CHARACTERS}")
+        raise InvalidPolicyError(f"line 1, column 1: {len(text)} characters, at most {MAX_CHARACTERS}")
     try:
         tree = ast.parse(f"(\n{text}\n)", mode="eval").body  # parentheses allow an expression to span several lines
         return Program(role, text, Compiler(role).compile(tree))
@@ -245,7 +245,7 @@
         if actual != expected:
             _reject(tree, f"gives {actual}, a {self.role} policy gives {expected}")
         if len(self.codes) > STEP_LIMIT:
-            _reject(tree, f"{len(self.codes)} steps exceed the limit of {STEP_LIMIT}")
+            _reject(tree, f"{len(self.codes)} steps, at most {STEP_LIMIT}")
         return tuple(self.codes)
 
     def _emit(self, node: ast.expr) -> ValueType:
@@ -270,7 +270,7 @@
                 return self._emit_compare(node)
             case ast.Call():
                 return self._emit_call(node)
-        _reject(node, f"{type(node).__name__} is not part of the policy language")
+        _reject(node, f"{type(node).__name__} is not part of the language")
 
     def _require_type(self, node: ast.expr, expected: ValueType) -> None:
         actual = self._emit(node)
@@ -285,7 +285,7 @@
             return NUMBER
         if isinstance(node.value, str):
             return TEXT
-        _reject(node, "a constant must be a number, a text, True or False")
+        _reject(node, "constants are numbers, texts, True or False")
 
     def _emit_name(self, node: ast.Name) -> ValueType:
         if node.id not in self.names:
@@ -335,7 +335,7 @@
         if isinstance(operation, ast.In | ast.NotIn):
             return self._emit_membership(operation, right)
         if type(operation) not in _COMPARISONS:
-            _reject(node, "this comparison operator is not part of the policy language")
+            _reject(node, "this comparison is not part of the language")
         right_type = self._emit(right)
         if left_type != right_type:
             _reject(node, f"{left_type} and {right_type} cannot be compared")
@@ -344,10 +344,10 @@
 
     def _emit_membership(self, operation: ast.In | ast.NotIn, values: ast.expr) -> ValueType:
         if not isinstance(values, ast.Tuple | ast.List):
-            _reject(values, "the right side of in must be a list of constants")
+            _reject(values, "in needs a list of constants")
         constants = [item.value for item in values.elts if isinstance(item, ast.Constant)]
         if len(constants) < len(values.elts):
-            _reject(values, "the right side of in must be a list of constants")
+            _reject(values, "in needs a list of constants")
         self.codes.append(Instruction(Code.AMONG, frozenset(constants)))
         if isinstance(operation, ast.NotIn):
             self.codes.append(Instruction(Code.NOT))
@@ -358,7 +358,7 @@
             _reject(node, "only min, max and abs can be called")
         function, argument_count = _FUNCTIONS[node.func.id]
         if len(node.args) != argument_count:
-            _reject(node, f"{node.func.id} has the wrong number of arguments, expected {argument_count}")
+            _reject(node, f"{node.func.id} takes {argument_count}")
         for argument in node.args:
             self._require_type(argument, NUMBER)
         self.codes.append(Instruction(Code.CALL, (function, argument_count)))
