--- a/sumachook/configuration/difference.py
+++ b/sumachook/configuration/difference.py
@@ -46,7 +46,7 @@
     Raises DifferenceError if the difference does not match `base`.
     """
     if base is None:
-        raise DifferenceError("no document is in force to which the difference applies")
+        raise DifferenceError("no document is in force")
     try:
         document = {field: value for field, value in base.document.items() if field not in difference[ABSENT]}
         document.update(difference[FIELDS])
@@ -87,6 +87,6 @@
             continue
         start, count = run
         if start < 0 or count < 1 or start + count > len(current):
-            raise DifferenceError(f"a run exceeds the list in force: items {start} to {start + count}")
+            raise DifferenceError(f"no items {start} to {start + count}")
         joined += current[start : start + count]
     return joined
--- a/sumachook/configuration/part.py
+++ b/sumachook/configuration/part.py
@@ -14,18 +14,18 @@
     >>> removal_issues({"services": ["a"]})
     ()
     >>> for issue in removal_issues({"services": "a", "areas": ["b"], "extra": {"c": 1}}): print(*issue, sep=": ")
-    removals.services: a list of names is required
-    removals.areas: items of this field are not named
-    removals.extra.c: a list of names is required
+    removals.services: a list of names is needed
+    removals.areas: nothing here has a name
+    removals.extra.c: a list of names is needed
     """
     if not isinstance(removals, dict):
-        return (ConfigurationIssue("removals", "an object is required"),)
+        return (ConfigurationIssue("removals", "an object is needed"),)
     issues = []
     for field, names in removals.items():
         if field == EXTRA and isinstance(names, dict):
             issues += [_names_required(f"removals.{EXTRA}.{name}") for name in names if not _are_names(names[name])]
         elif field not in NAMED_LISTS:
-            issues.append(ConfigurationIssue(f"removals.{field}", "items of this field are not named"))
+            issues.append(ConfigurationIssue(f"removals.{field}", "nothing here has a name"))
         elif not _are_names(names):
             issues.append(_names_required(f"removals.{field}"))
     return tuple(issues)
@@ -36,7 +36,7 @@
 
 
 def _names_required(path: str) -> ConfigurationIssue:
-    return ConfigurationIssue(path, "a list of names is required")
+    return ConfigurationIssue(path, "a list of names is needed")
 
 
 def replace_named(
--- a/sumachook/configuration/references.py
+++ b/sumachook/configuration/references.py
@@ -78,7 +78,7 @@
     zones = document.get("areas")
     if isinstance(zones, (list, tuple)):
         if not zones:
-            yield ConfigurationIssue("areas", "at least one area is required")
+            yield ConfigurationIssue("areas", "at least one is needed")
         for index, zone in enumerate(zones):
             if zone in zones[:index]:
                 yield ConfigurationIssue(f"areas[{index}]", f"duplicate name {zone!r}")
@@ -88,9 +88,9 @@
     models = names_of(document, "models")
     for index, adapter in items_of(document, "adapters"):
         if isinstance(adapter.get("model"), str) and adapter["model"] not in models:
-            yield ConfigurationIssue(f"adapters[{index}].model", f"no model named {adapter['model']!r}")
+            yield ConfigurationIssue(f"adapters[{index}].model", f"no model {adapter['model']!r}")
         if isinstance(adapter.get("name"), str) and adapter["name"] in models:
-            yield ConfigurationIssue(f"adapters[{index}].name", f"{adapter['name']!r} is already the name of a model")
+            yield ConfigurationIssue(f"adapters[{index}].name", f"{adapter['name']!r} is a model's name")
 
 
 def _caller_issues(document: Document) -> Iterator[ConfigurationIssue]:
@@ -98,11 +98,11 @@
     keys: dict[str, int] = {}
     for index, caller in items_of(document, "callers"):
         if isinstance(caller.get("line"), str) and caller["line"] not in lines:
-            yield ConfigurationIssue(f"callers[{index}].line", f"no line named {caller['line']!r}")
+            yield ConfigurationIssue(f"callers[{index}].line", f"no line {caller['line']!r}")
         key = caller.get("key")
         if isinstance(key, str):
             if key in keys:
-                yield ConfigurationIssue(f"callers[{index}].key", f"same key as callers[{keys[key]}]")
+                yield ConfigurationIssue(f"callers[{index}].key", f"the key of callers[{keys[key]}]")
             keys.setdefault(key, index)
 
 
@@ -113,7 +113,7 @@
         if isinstance(target, str) and target not in targets:
             yield ConfigurationIssue(f"routes[{index}].target", f"no model or adapter {target!r}")
         if isinstance(name, str) and name in targets:
-            yield ConfigurationIssue(f"routes[{index}].name", f"{name!r} is already the name of a model or adapter")
+            yield ConfigurationIssue(f"routes[{index}].name", f"{name!r} is taken by a model or adapter")
 
 
 def _service_list_issues(document: Document) -> Iterator[ConfigurationIssue]:
@@ -139,8 +139,7 @@
     for index, model in items_of(document, "models"):
         if is_number(model.get("memory")) and is_number(burst) and model["memory"] > burst:
             yield ConfigurationIssue(
-                f"models[{index}].memory",
-                f"{model['memory']} GB exceeds store.burst, {burst} GB that may start at once",
+                f"models[{index}].memory", f"{model['memory']} is more than store.burst, {burst}, lets begin at once"
             )
 
 
--- a/sumachook/configuration/tenancy.py
+++ b/sumachook/configuration/tenancy.py
@@ -18,7 +18,7 @@
 
     >>> tenants = [{"name": "t", "callers": ["a", "b"], "requestsPerS": 4}]
     >>> list(tenancy_issues({"callers": [{"name": "a"}], "tenants": tenants}))
-    [ConfigurationIssue(path='tenants[0].callers[1]', reason="no caller named 'b'")]
+    [ConfigurationIssue(path='tenants[0].callers[1]', reason="no caller 'b'")]
     """
     tenants = items_of(document, "tenants")
     for part, noun in OWNED_LISTS:
@@ -38,9 +38,9 @@
                 continue
             path = f"tenants[{index}].{part}[{position}]"
             if name not in names:
-                yield ConfigurationIssue(path, f"no {noun} named {name!r}")
+                yield ConfigurationIssue(path, f"no {noun} {name!r}")
             elif name in owners:
-                yield ConfigurationIssue(path, f"{noun} {name!r} already belongs to tenants[{owners[name]}]")
+                yield ConfigurationIssue(path, f"{noun} {name!r} is of tenants[{owners[name]}]")
             owners.setdefault(name, index)
 
 
@@ -51,16 +51,14 @@
         listed = tenant.get("keys", ())
         for position, key in enumerate(listed if isinstance(listed, (list, tuple)) else ()):
             if isinstance(key, str) and holders.setdefault(key, index) != index:
-                yield ConfigurationIssue(
-                    f"tenants[{index}].keys[{position}]", f"key already belongs to tenants[{holders[key]}]"
-                )
+                yield ConfigurationIssue(f"tenants[{index}].keys[{position}]", f"a key of tenants[{holders[key]}]")
 
 
 def _rate_issues(tenants: Items) -> Iterator[ConfigurationIssue]:
     """Yields issues of rates: a tenant without `keys` and without any rate, or a floor above the ceiling."""
     for index, tenant in tenants:
         if "keys" not in tenant and all(tenant.get(rate_field) is None for rate_field in RATE_FIELDS):
-            yield ConfigurationIssue(f"tenants[{index}]", "requestsPerS or tokensPerS is required")
+            yield ConfigurationIssue(f"tenants[{index}]", "requestsPerS or tokensPerS is needed")
         floor, ceiling = tenant.get("floor", FLOOR), tenant.get("ceiling", CEILING)
         if is_number(floor) and is_number(ceiling) and floor > ceiling:
             yield ConfigurationIssue(f"tenants[{index}].floor", f"{floor} is above the ceiling, {ceiling}")
@@ -78,5 +76,5 @@
             if is_number(tenant.get(rate_field)) and is_number(tenant.get("floor", FLOOR))
         ]
         if is_number(capacity.get(rate_field)) and sum(floors) > capacity[rate_field]:
-            reason = f"the tenants' floors sum to {sum(floors):g}, the capacity is {capacity[rate_field]:g}"
+            reason = f"the tenants' floors sum to {sum(floors):g}, it is {capacity[rate_field]:g}"
             yield ConfigurationIssue(f"capacity.{rate_field}", reason)
--- a/sumachook/quotas/rate_limiter.py
+++ b/sumachook/quotas/rate_limiter.py
@@ -200,7 +200,7 @@
             "allowance": quota.terms.describe_ceiling(),
             "used": {"requestsPerS": used_requests, "tokensPerS": used_tokens},
         }
-        reason = f"tenant {quota.terms.name} has exceeded its quota"
+        reason = f"tenant {quota.terms.name} is over its allowance"
         return [AdmissionDenied(key, reason, max(MIN_RETRY_AFTER_S, quota.retry_after_s), record_fields)]
 
     def _admit_pending(self, quota: TenantQuota, spend: Callable[[int], bool]) -> list[Output]:
--- a/tests/configuration/test_tenancy.py
+++ b/tests/configuration/test_tenancy.py
@@ -66,6 +66,6 @@
     ]
     low = {**doc, "capacity": {"requestsPerS": 11.9, "tokensPerS": 899.0}}
     assert read_catalogue(low)[1] == (
-        ("capacity.requestsPerS", "the tenants' floors sum to 12, the capacity is 11.9"),
-        ("capacity.tokensPerS", "the tenants' floors sum to 900, the capacity is 899"),
+        ("capacity.requestsPerS", "the tenants' floors sum to 12, it is 11.9"),
+        ("capacity.tokensPerS", "the tenants' floors sum to 900, it is 899"),
     )
