--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -1,7 +1,7 @@
-"""Three replicas that agree on the order of changes, with nothing but the coordination parts.
+"""Embeds the consensus module alone: three replicas agree on the order of changes.
 
-`Replica` is a pure machine: you bring the clock, the wire and the disk. Here all three are a few lines; in a program of
-yours they would be sockets and a `storage.folder.DataFolder`.
+`Replica` is a state machine without I/O: the embedding program supplies the clock, the network and the disk. Here each
+of them takes a few lines; a real program would use sockets and a `storage.folder.DataFolder`.
 
 >>> for number, texts in sorted(main().items()):
 ...     print(number, texts)
@@ -22,7 +22,7 @@
 
 
 class Node:
-    """One replica with a disk that is a list, and what was delivered to it."""
+    """One replica with a list as its disk, and the entries that it has delivered."""
 
     __slots__ = ("address", "replica", "disk", "delivered")
 
@@ -32,7 +32,7 @@
         self.replica = Replica(f"node-{address[0]}", address, ADDRESSES, Random(address), snapshot)
 
     def handle(self, event, now):
-        """Hands one event to the replica; gives the messages for others as (address, message)."""
+        """Passes an event to the replica; returns the messages to send as (address, message)."""
         sent, work = [], [event]
         while work:
             for effect in self.replica.take(work.pop(0), now):
@@ -41,7 +41,7 @@
                         sent.append((address, message))
                     case AppendRecords(_, records, done):
                         self.disk += records
-                        work.append(done)  # it is on the disk now
+                        work.append(done)  # the write has completed
                     case RewriteRecords(_, records, done):
                         self.disk = list(records)
                         work += [done] if done else []
@@ -51,7 +51,7 @@
 
 
 def main():
-    """Founds a roster, orders two changes from two nodes, and gives {number: texts as each node has them}."""
+    """Forms a cluster, commits one change from each of two nodes and returns {entry number: delivered texts}."""
     nodes, now = {address: Node(address) for address in ADDRESSES}, timedelta(0)
     wanted = [("a:1", "plums"), ("b:1", "pears")]
     for step in range(80):
--- a/sumachook/__main__.py
+++ b/sumachook/__main__.py
@@ -1,4 +1,4 @@
-"""python -m sumachook"""
+"""Runs the command line as `python -m sumachook`."""
 
 from sumachook.main import run
 
--- a/sumachook/cli/__init__.py
+++ b/sumachook/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The subcommands of the program, by whom they are for (docs/design/processes.md)."""
+"""Subcommands of the sumachook program: nodes, operators, policies and stand-ins (docs/design/processes.md)."""
--- a/sumachook/cli/files.py
+++ b/sumachook/cli/files.py
@@ -1,4 +1,4 @@
-"""Reading the files that a command names."""
+"""Reads the JSON files that are passed to a command."""
 
 from pathlib import Path
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 def read_json(file: str) -> Any:
-    """The JSON document in `file`; ends the command with USAGE if it cannot be read."""
+    """Returns the JSON document in `file`; ends the command with USAGE if it is unreadable or not JSON."""
     try:
         return msgspec.json.decode(Path(file).read_bytes())
     except OSError as error:
--- a/sumachook/cli/operator.py
+++ b/sumachook/cli/operator.py
@@ -1,4 +1,4 @@
-"""Commands that operators send to a core, and `check`, which needs none."""
+"""Operator commands: all send a request to a core, except `check`, which runs locally."""
 
 import os
 from dataclasses import dataclass, field
@@ -17,15 +17,15 @@
 
 @dataclass(slots=True)
 class OperatorFlags:
-    """Where operators' commands go."""
+    """The cores to send an operator command to, and the operator key."""
 
-    core: Annotated[list[str], cappa.Arg(long=True, help="IP:PORT of a core's HTTP door; or SUMACHOOK_CORES")] = field(
-        default_factory=list
+    core: Annotated[list[str], cappa.Arg(long=True, help="IP:PORT of a core's HTTP API; default: SUMACHOOK_CORES")] = (
+        field(default_factory=list)
     )
-    key: Annotated[str | None, cappa.Arg(long=True, help="operator key; or SUMACHOOK_KEY")] = None
+    key: Annotated[str | None, cappa.Arg(long=True, help="operator key; default: SUMACHOOK_KEY")] = None
 
     def ask(self, method: str, path: str, document: Any = None) -> Answer:
-        """The answer of the first core that has one; ends the command where none has."""
+        """Sends a request to the cores in turn and returns the first response; exits with UNREACHED if all fail."""
         cores = self.core or [core for core in os.environ.get("SUMACHOOK_CORES", "").split(",") if core]
         try:
             return Client(cores, self.key or os.environ.get("SUMACHOOK_KEY")).ask(method, path, document)
@@ -34,7 +34,7 @@
 
 
 def _show(answer: Answer, file: str = "") -> None:
-    """Prints the answer; a refusal names file, field and reason and exits 1."""
+    """Prints a response; for a rejected request, prints file, field and reason of each error and exits with code 1."""
     document = answer.document
     if answer.status == 200:
         print(msgspec.json.format(msgspec.json.encode(document), indent=2).decode())
@@ -44,7 +44,7 @@
 
 
 def send_apply(command: "Apply") -> None:
-    """Sends a configuration."""
+    """Sends a catalogue to a core, as a whole or as a partial update."""
     doc = read_json(command.file)
     order = {
         "request": command.request or new_request(),
@@ -55,19 +55,19 @@
     _show(command.control_client.ask("POST", "/operator/apply", order), command.file)
 
 
-@cappa.command(name="apply", invoke=send_apply, help="Apply a whole or partial catalogue.")
+@cappa.command(name="apply", invoke=send_apply, help="Apply a whole or partial catalogue to the cluster.")
 @dataclass(slots=True)
 class Apply:
-    """A configuration to be applied."""
+    """Arguments of the `apply` command."""
 
     file: Annotated[str, cappa.Arg(help="catalogue file (JSON)")]
     control_client: Annotated[OperatorFlags, cappa.Arg(destructure=True)]
-    part: Annotated[bool, cappa.Arg(long=True, help="merge by name into what stands")] = False
+    part: Annotated[bool, cappa.Arg(long=True, help="merge items by name into the current catalogue")] = False
     if_generation: Annotated[
-        int | None, cappa.Arg(long=True, help="refuse unless the catalogue is at this generation")
+        int | None, cappa.Arg(long=True, help="reject unless the current catalogue has this generation")
     ] = None
     request: Annotated[
-        str | None, cappa.Arg(long=True, help="id of the order, for repeating one whose answer was lost")
+        str | None, cappa.Arg(long=True, help="request id, to repeat a request whose response was lost")
     ] = None
 
 
@@ -77,29 +77,29 @@
 
 
 def send_evacuate(command: "Evacuate") -> None:
-    """Closes an area."""
+    """Evacuates an area: edges stop routing requests into it."""
     _send_turn("/operator/evacuate", command)
 
 
 def send_restore(command: "Restore") -> None:
-    """Opens an area again."""
+    """Ends the evacuation of an area."""
     _send_turn("/operator/restore", command)
 
 
-@cappa.command(name="evacuate", invoke=send_evacuate, help="Let no request into an area.")
+@cappa.command(name="evacuate", invoke=send_evacuate, help="Evacuate an area: stop routing requests into it.")
 @dataclass(slots=True)
 class Evacuate:
-    """An area to be closed."""
+    """Arguments of the `evacuate` command."""
 
     area: str
     control_client: Annotated[OperatorFlags, cappa.Arg(destructure=True)]
     request: Text = None
 
 
-@cappa.command(name="restore", invoke=send_restore, help="Open an evacuated area again.")
+@cappa.command(name="restore", invoke=send_restore, help="Route requests into an evacuated area again.")
 @dataclass(slots=True)
 class Restore:
-    """An area to be opened again."""
+    """Arguments of the `restore` command."""
 
     area: str
     control_client: Annotated[OperatorFlags, cappa.Arg(destructure=True)]
@@ -107,10 +107,10 @@
 
 
 def send_show(command: "Show") -> None:
-    """Prints one view of the state."""
+    """Prints one view of a core's state, or the ledger records of a request."""
     path = f"/ledger/{command.request}" if command.what == "ledger" else f"/show/{command.what}"
     if command.what == "ledger" and not command.request:
-        fail(USAGE, "show ledger: the request's id is needed")
+        fail(USAGE, "show ledger: the request id is missing")
     _show(command.control_client.ask("GET", path))
 
 
@@ -121,7 +121,7 @@
 )
 @dataclass(slots=True)
 class Show:
-    """A view of the state to be shown."""
+    """Arguments of the `show` command."""
 
     what: Annotated[
         str,
@@ -130,19 +130,19 @@
         ),
     ]
     control_client: Annotated[OperatorFlags, cappa.Arg(destructure=True)]
-    request: Annotated[str | None, cappa.Arg(help="request id, for ledger")] = None
+    request: Annotated[str | None, cappa.Arg(help="request id, required for ledger")] = None
 
 
 def send_plan(command: "Plan") -> None:
-    """Prints what a configuration would move."""
+    """Prints the placement changes that a catalogue would cause."""
     document = {"doc": read_json(command.file), "part": command.part}
     _show(command.control_client.ask("POST", "/plan", document), command.file)
 
 
-@cappa.command(name="plan", invoke=send_plan, help="Show what a catalogue would move; changes nothing.")
+@cappa.command(name="plan", invoke=send_plan, help="Show the placement changes of a catalogue without applying it.")
 @dataclass(slots=True)
 class Plan:
-    """A configuration to be weighed."""
+    """Arguments of the `plan` command."""
 
     file: str
     control_client: Annotated[OperatorFlags, cappa.Arg(destructure=True)]
@@ -150,19 +150,19 @@
 
 
 def check_file(command: "Check") -> None:
-    """Checks a configuration without a core."""
+    """Validates a whole catalogue file locally, without a core."""
     catalogue, found = read_catalogue(read_json(command.file))
     if catalogue is None:
         fail(REFUSED, *(f"{command.file}: {path}: {reason}" for path, reason in found))
     counts = ", ".join(
         f"{len(getattr(catalogue, part))} {part}" for part in ("models", "adapters", "callers", "routes")
     )
-    print(f"{command.file}: good ({counts})")
+    print(f"{command.file}: valid ({counts})")
 
 
-@cappa.command(name="check", invoke=check_file, help="Check a whole catalogue file without a core.")
+@cappa.command(name="check", invoke=check_file, help="Validate a whole catalogue file locally, without a core.")
 @dataclass(slots=True)
 class Check:
-    """A configuration to be checked."""
+    """Arguments of the `check` command."""
 
     file: str
--- a/sumachook/cli/policy.py
+++ b/sumachook/cli/policy.py
@@ -1,4 +1,4 @@
-"""Commands that check and try policy programs."""
+"""Commands that check and evaluate policy programs."""
 
 from dataclasses import dataclass, field
 from typing import Annotated
@@ -25,50 +25,52 @@
 
 
 def check_policy(command: "PolicyCheck") -> None:
-    """Says how many steps a policy has, or what is wrong with it."""
-    print(f"good, {len(_compile(command).codes)} steps")
+    """Compiles a policy; prints its number of steps, or the compile error."""
+    print(f"valid, {len(_compile(command).codes)} steps")
 
 
 def try_policy(command: "PolicyTry") -> None:
-    """Prints the result of a policy for given values."""
+    """Evaluates a policy with the given input values and prints the result."""
     program = _compile(command)
     names = {name: INITIAL_VALUES[value_type] for name, value_type in ROLES[command.role].names.items()}
     for item in command.set:
         name, _, value = item.partition("=")
         if name not in names:
-            fail(USAGE, f"--set {item}: no name {name!r}; there are {', '.join(sorted(names))}")
+            fail(USAGE, f"--set {item}: unknown name {name!r}; valid names: {', '.join(sorted(names))}")
         try:
             names[name] = value if isinstance(names[name], str) else msgspec.json.decode(value.encode())
         except msgspec.DecodeError:
-            fail(USAGE, f"--set {item}: a number, true or false is needed")
+            fail(USAGE, f"--set {item}: expected a number, true or false")
     try:
         print(program.run(names))
     except PolicyError as error:
         fail(REFUSED, str(error))
 
 
-@cappa.command(name="check", invoke=check_policy, help="Check a policy program.")
+@cappa.command(name="check", invoke=check_policy, help="Compile a policy program and report errors.")
 @dataclass(slots=True)
 class PolicyCheck:
-    """A policy to be checked."""
+    """Arguments of the `policy check` command."""
 
     role: Annotated[str, cappa.Arg(choices=list(ROLES))]
     text: str
 
 
-@cappa.command(name="try", invoke=try_policy, help="Work out a policy with given values.")
+@cappa.command(name="try", invoke=try_policy, help="Evaluate a policy program with given values.")
 @dataclass(slots=True)
 class PolicyTry:
-    """A policy to be worked out."""
+    """Arguments of the `policy try` command."""
 
     role: Annotated[str, cappa.Arg(choices=list(ROLES))]
     text: str
-    set: Annotated[list[str], cappa.Arg(long=True, help="NAME=VALUE")] = field(default_factory=list)
+    set: Annotated[list[str], cappa.Arg(long=True, help="input value, NAME=VALUE; repeatable")] = field(
+        default_factory=list
+    )
 
 
-@cappa.command(name="policy", help="Check or try a policy program.")
+@cappa.command(name="policy", help="Check or evaluate a policy program.")
 @dataclass(slots=True)
 class Policy:
-    """The commands about policies."""
+    """Subcommands of the `policy` command."""
 
     command: cappa.Subcommands[PolicyCheck | PolicyTry]
--- a/sumachook/cli/stand_in.py
+++ b/sumachook/cli/stand_in.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what is outside the system, as commands."""
+"""Commands that run simulated external systems: model servers, the platform, the records service and callers."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -24,11 +24,11 @@
     for server in read_json(file)["servers"]:
         if server["name"] == name:
             return dict(server)
-    fail(USAGE, f"{file}: no server {name!r}")
+    fail(USAGE, f"{file}: unknown server {name!r}")
 
 
 def serve_model(command: "StandInModel") -> None:
-    """Runs a fake model server."""
+    """Runs a simulated model server."""
     from sumachook.simulation.model import ModelServer
 
     listed = _listed(command.servers, command.name)
@@ -37,21 +37,21 @@
 
 
 def serve_records(command: "StandInRecords") -> None:
-    """Runs a fake server of the records service."""
+    """Runs a simulated server of the records service."""
     from sumachook.simulation.records import RecordsServer
 
     _serve_stand_in(RecordsServer(command.name), command.name, _listed(command.servers, command.name)["address"])
 
 
 def serve_platform(command: "StandInPlatform") -> None:
-    """Runs a fake platform."""
+    """Runs a simulated platform that serves the list of servers."""
     from sumachook.simulation.platform import Platform
 
     _serve_stand_in(Platform(read_json(command.servers)["servers"]), "platform", command.door)
 
 
 def serve_callers(command: "StandInCallers") -> None:
-    """Runs callers, and prints what each class of request met."""
+    """Runs simulated callers; at the end, prints the outcomes of each request class."""
     from sumachook.simulation.callers import Callers
     from sumachook.simulation.report import report_calls
 
@@ -61,7 +61,7 @@
     clock, name = (
         Clock(),
         "callers" if command.draw == 1 else f"callers-{command.draw}",
-    )  # tags of two at once must differ
+    )  # request tags of two caller processes must differ
     machine = Callers(
         edges,
         read_json(command.traffic)["groups"],
@@ -79,55 +79,55 @@
         print(report_calls(machine.calls, command.calls))
 
 
-@cappa.command(name="model", invoke=serve_model, help="A model server.")
+@cappa.command(name="model", invoke=serve_model, help="Run a simulated model server.")
 @dataclass(slots=True)
 class StandInModel:
-    """A model server to be run."""
+    """Arguments of the `stand-in model` command."""
 
     name: str
-    servers: Annotated[str, cappa.Arg(long=True, help="servers.json of a city")]
-    catalogue: Annotated[str, cappa.Arg(long=True, help="catalogue.json of a city")]
-    load_rate: Annotated[float, cappa.Arg(long=True, help="gigabytes a second it loads at")] = 40.0
+    servers: Annotated[str, cappa.Arg(long=True, help="server list (JSON)")]
+    catalogue: Annotated[str, cappa.Arg(long=True, help="catalogue file (JSON)")]
+    load_rate: Annotated[float, cappa.Arg(long=True, help="model load rate in gigabytes per second")] = 40.0
 
 
-@cappa.command(name="records", invoke=serve_records, help="A server of the records service.")
+@cappa.command(name="records", invoke=serve_records, help="Run a simulated server of the records service.")
 @dataclass(slots=True)
 class StandInRecords:
-    """A server of the records service to be run."""
+    """Arguments of the `stand-in records` command."""
 
     name: str
     servers: Annotated[str, cappa.Arg(long=True)]
 
 
-@cappa.command(name="platform", invoke=serve_platform, help="The platform's list of servers.")
+@cappa.command(name="platform", invoke=serve_platform, help="Run a simulated platform that serves the list of servers.")
 @dataclass(slots=True)
 class StandInPlatform:
-    """A platform to be run."""
+    """Arguments of the `stand-in platform` command."""
 
     servers: Annotated[str, cappa.Arg(long=True)]
     door: Annotated[str, cappa.Arg(long=True)]
 
 
-@cappa.command(name="callers", invoke=serve_callers, help="Callers at a city's rates; prints each class's outcomes.")
+@cappa.command(name="callers", invoke=serve_callers, help="Run simulated callers; prints outcomes by request class.")
 @dataclass(slots=True)
 class StandInCallers:
-    """Callers to be run."""
+    """Arguments of the `stand-in callers` command."""
 
     catalogue: Annotated[str, cappa.Arg(long=True)]
     traffic: Annotated[str, cappa.Arg(long=True)]
-    door: Annotated[str, cappa.Arg(long=True, help="IP:PORT of its own, for its condition")]
+    door: Annotated[str, cappa.Arg(long=True, help="IP:PORT where the process serves its own status")]
     edge: Annotated[list[str], cappa.Arg(long=True, help="AREA/IP:PORT of an edge, or IP:PORT")] = field(
         default_factory=list
     )
     seconds: Annotated[float, cappa.Arg(long=True)] = 30.0
-    pace: Annotated[float, cappa.Arg(long=True, help="times the city's rates")] = 1.0
-    draw: Annotated[int, cappa.Arg(long=True, help="seed of its random draw")] = 1
+    pace: Annotated[float, cappa.Arg(long=True, help="factor applied to the request rates of the traffic file")] = 1.0
+    draw: Annotated[int, cappa.Arg(long=True, help="random seed")] = 1
     calls: Annotated[str | None, cappa.Arg(long=True, help="write each call to this file (JSON lines)")] = None
 
 
-@cappa.command(name="stand-in", help="What stands outside the system, for trying and proving it.")
+@cappa.command(name="stand-in", help="Run a simulated external system for tests.")
 @dataclass(slots=True)
 class StandIn:
-    """The fakes that can be run."""
+    """Subcommands of the `stand-in` command."""
 
     command: cappa.Subcommands[StandInModel | StandInRecords | StandInPlatform | StandInCallers]
--- a/sumachook/main.py
+++ b/sumachook/main.py
@@ -1,4 +1,4 @@
-"""The command line: one program, roles are subcommands (docs/design/processes.md)."""
+"""Entry point of the command line; each node role is a subcommand (docs/design/processes.md)."""
 
 from dataclasses import dataclass
 
@@ -11,16 +11,16 @@
 from sumachook.cli.stand_in import StandIn
 
 
-@cappa.command(name="sumachook", help="A router and placer for many language models.")
+@cappa.command(name="sumachook", help="Routes requests to language models and places the models on servers.")
 @dataclass(slots=True)
 class Sumachook:
-    """The program; its subcommands are the roles, the operators' commands and the stand-ins."""
+    """Top-level command, with subcommands for node roles, operators, policies and stand-ins."""
 
     command: cappa.Subcommands[Core | Edge | Apply | Evacuate | Restore | Show | Plan | Check | Policy | StandIn]
 
 
 def run():
-    """Runs the command that the process was started with."""
+    """Parses the process's arguments and runs the command."""
     cappa.invoke(Sumachook, version=cappa.Arg(VERSION, long=True), completion=False)
 
 
--- a/tests/platform_adapters/test_platform_settings.py
+++ b/tests/platform_adapters/test_platform_settings.py
@@ -331,7 +331,11 @@
     warnings = []
     for turn in range(3):
         effects = adapter.take(Tick(), timedelta(seconds=100 + turn))
-        warnings += [effect for effect in effects if isinstance(effect, Log) and "Rules are in force" in effect.text]
+        warnings += [
+            effect
+            for effect in effects
+            if isinstance(effect, Log) and "contracts that are not implemented" in effect.text
+        ]
     (warning,) = warnings
     assert warning.fields == {"contracts": ("owners", "of-later")}
 
