--- a/sumachook/cli/node.py
+++ b/sumachook/cli/node.py
@@ -11,7 +11,7 @@
 from sumachook.host.machine import NodeMachine
 from sumachook.nodes.serve import USAGE, NodeStart, fail, serve
 
-Text = Annotated[str | None, cappa.Arg(long=True)]
+OptionalText = Annotated[str | None, cappa.Arg(long=True)]
 
 
 @dataclass(slots=True)
@@ -52,10 +52,10 @@
             "logLevel": self.log_level,
         }
         doc |= {name: value for name, value in flags.items() if value is not None}
-        params, found = read_node_settings(doc, role)
-        if params is None:
-            fail(USAGE, *(f"{self.params or 'flags'}: {path}: {reason}" for path, reason in found))
-        return params
+        settings, issues = read_node_settings(doc, role)
+        if settings is None:
+            fail(USAGE, *(f"{self.params or 'flags'}: {path}: {reason}" for path, reason in issues))
+        return settings
 
 
 def serve_node(flags: NodeFlags, role: str, make: Callable[[NodeStart], NodeMachine]) -> None:
--- a/sumachook/cli/operator.py
+++ b/sumachook/cli/operator.py
@@ -12,7 +12,7 @@
 from sumachook.nodes.client import Answer, Client, UnreachableError, new_request
 from sumachook.nodes.serve import REFUSED, UNREACHED, USAGE, fail
 
-Text = Annotated[str | None, cappa.Arg(long=True)]
+OptionalText = Annotated[str | None, cappa.Arg(long=True)]
 
 
 @dataclass(slots=True)
@@ -24,7 +24,7 @@
     )
     key: Annotated[str | None, cappa.Arg(long=True, help="operator key; default: SUMACHOOK_KEY")] = None
 
-    def ask(self, method: str, path: str, document: Any = None) -> Answer:
+    def send(self, method: str, path: str, document: Any = None) -> Answer:
         """Sends a request to the cores in turn and returns the first response; exits with UNREACHED if all fail."""
         cores = self.core or [core for core in os.environ.get("SUMACHOOK_CORES", "").split(",") if core]
         try:
@@ -33,7 +33,7 @@
             fail(UNREACHED, str(error))
 
 
-def _show(answer: Answer, file: str = "") -> None:
+def _print_response(answer: Answer, file: str = "") -> None:
     """Prints a response; for a rejected request, prints file, field and reason of each error and exits with code 1."""
     document = answer.document
     if answer.status == 200:
@@ -45,14 +45,14 @@
 
 def send_apply(command: "Apply") -> None:
     """Sends a catalogue to a core, as a whole or as a partial update."""
-    doc = read_json(command.file)
-    order = {
+    catalogue = read_json(command.file)
+    body = {
         "request": command.request or new_request(),
-        "doc": doc,
+        "doc": catalogue,
         "part": command.part,
         "ifGeneration": command.if_generation,
     }
-    _show(command.control_client.ask("POST", "/operator/apply", order), command.file)
+    _print_response(command.control_client.send("POST", "/operator/apply", body), command.file)
 
 
 @cappa.command(name="apply", invoke=send_apply, help="Apply a whole or partial catalogue to the cluster.")
@@ -71,19 +71,19 @@
     ] = None
 
 
-def _send_turn(path: str, command: "Evacuate | Restore") -> None:
-    order = {"request": command.request or new_request(), "area": command.area}
-    _show(command.control_client.ask("POST", path, order))
+def _send_area_command(path: str, command: "Evacuate | Restore") -> None:
+    body = {"request": command.request or new_request(), "area": command.area}
+    _print_response(command.control_client.send("POST", path, body))
 
 
 def send_evacuate(command: "Evacuate") -> None:
     """Evacuates an area: edges stop routing requests into it."""
-    _send_turn("/operator/evacuate", command)
+    _send_area_command("/operator/evacuate", command)
 
 
 def send_restore(command: "Restore") -> None:
     """Ends the evacuation of an area."""
-    _send_turn("/operator/restore", command)
+    _send_area_command("/operator/restore", command)
 
 
 @cappa.command(name="evacuate", invoke=send_evacuate, help="Evacuate an area: stop routing requests into it.")
@@ -93,7 +93,7 @@
 
     area: str
     control_client: Annotated[OperatorFlags, cappa.Arg(destructure=True)]
-    request: Text = None
+    request: OptionalText = None
 
 
 @cappa.command(name="restore", invoke=send_restore, help="Route requests into an evacuated area again.")
@@ -103,7 +103,7 @@
 
     area: str
     control_client: Annotated[OperatorFlags, cappa.Arg(destructure=True)]
-    request: Text = None
+    request: OptionalText = None
 
 
 def send_show(command: "Show") -> None:
@@ -111,7 +111,7 @@
     path = f"/ledger/{command.request}" if command.what == "ledger" else f"/show/{command.what}"
     if command.what == "ledger" and not command.request:
         fail(USAGE, "show ledger: the request id is missing")
-    _show(command.control_client.ask("GET", path))
+    _print_response(command.control_client.send("GET", path))
 
 
 @cappa.command(
@@ -136,7 +136,7 @@
 def send_plan(command: "Plan") -> None:
     """Prints the placement changes that a catalogue would cause."""
     document = {"doc": read_json(command.file), "part": command.part}
-    _show(command.control_client.ask("POST", "/plan", document), command.file)
+    _print_response(command.control_client.send("POST", "/plan", document), command.file)
 
 
 @cappa.command(name="plan", invoke=send_plan, help="Show the placement changes of a catalogue without applying it.")
@@ -151,9 +151,9 @@
 
 def check_file(command: "Check") -> None:
     """Validates a whole catalogue file locally, without a core."""
-    catalogue, found = read_catalogue(read_json(command.file))
+    catalogue, issues = read_catalogue(read_json(command.file))
     if catalogue is None:
-        fail(REFUSED, *(f"{command.file}: {path}: {reason}" for path, reason in found))
+        fail(REFUSED, *(f"{command.file}: {path}: {reason}" for path, reason in issues))
     counts = ", ".join(
         f"{len(getattr(catalogue, part))} {part}" for part in ("models", "adapters", "callers", "routes")
     )
--- a/sumachook/cli/stand_in.py
+++ b/sumachook/cli/stand_in.py
@@ -15,12 +15,12 @@
 from sumachook.runtime.clock import Clock
 
 
-def _serve_stand_in(machine: StateMachine, name: str, door: str) -> None:
+def _serve_stand_in(machine: StateMachine, name: str, http_address: str) -> None:
     logs = Logs(name, "info")
-    run_daemon(Daemon(machine, Clock(), logs.log, door))
+    run_daemon(Daemon(machine, Clock(), logs.log, http_address))
 
 
-def _listed(file: str, name: str) -> dict[str, Any]:
+def _find_server(file: str, name: str) -> dict[str, Any]:
     for server in read_json(file)["servers"]:
         if server["name"] == name:
             return dict(server)
@@ -31,16 +31,16 @@
     """Runs a simulated model server."""
     from sumachook.simulation.model import ModelServer
 
-    listed = _listed(command.servers, command.name)
-    machine = ModelServer(listed, read_json(command.catalogue), (), command.load_rate)
-    _serve_stand_in(machine, command.name, listed["address"])
+    server = _find_server(command.servers, command.name)
+    machine = ModelServer(server, read_json(command.catalogue), (), command.load_rate)
+    _serve_stand_in(machine, command.name, server["address"])
 
 
 def serve_records(command: "StandInRecords") -> None:
     """Runs a simulated server of the records service."""
     from sumachook.simulation.records import RecordsServer
 
-    _serve_stand_in(RecordsServer(command.name), command.name, _listed(command.servers, command.name)["address"])
+    _serve_stand_in(RecordsServer(command.name), command.name, _find_server(command.servers, command.name)["address"])
 
 
 def serve_platform(command: "StandInPlatform") -> None:
@@ -55,10 +55,10 @@
     from sumachook.simulation.callers import Callers
     from sumachook.simulation.report import report_calls
 
-    given = {f"edge-{place}": door.rpartition("/") for place, door in enumerate(command.edge, 1)}
-    edges = {edge: door for edge, (_, _, door) in given.items()}
-    zones = {edge: zone for edge, (zone, _, _) in given.items() if zone}
-    clock, name = (
+    zones_and_addresses = {f"edge-{number}": address.rpartition("/") for number, address in enumerate(command.edge, 1)}
+    edges = {edge: address for edge, (_, _, address) in zones_and_addresses.items()}
+    zones = {edge: zone for edge, (zone, _, _) in zones_and_addresses.items() if zone}
+    clock, callers_name = (
         Clock(),
         "callers" if command.draw == 1 else f"callers-{command.draw}",
     )  # request tags of two caller processes must differ
@@ -70,7 +70,7 @@
         clock.mono(),
         command.pace,
         timedelta(seconds=command.seconds),
-        name,
+        callers_name,
         zones,
     )
     try:
--- a/tests/platform_adapters/test_platform_names.py
+++ b/tests/platform_adapters/test_platform_names.py
@@ -64,7 +64,13 @@
         '"draining"' + ":",
         "tolerated-losses",
     }
-    tables = (documents.ROUTE, documents.SERVICE, documents.ENGINE, documents.MODEL, documents.LIMITS)
+    tables = (
+        documents.ROUTE_FIELDS,
+        documents.SERVICE_FIELDS,
+        documents.ENGINE_FIELDS,
+        documents.MODEL_FIELDS,
+        documents.LIMIT_FIELDS,
+    )
     names |= {f'"{name}"' for table in tables for name in table if "-" in name}
     for file in (ROOT / "sumachook").rglob("*.py"):
         text = file.read_text().lower()
--- a/tests/platform_adapters/test_platform_settings.py
+++ b/tests/platform_adapters/test_platform_settings.py
@@ -146,31 +146,31 @@
 )
 def test_what_is_missing_or_impossible_is_named(old, new, field):
     """Given one field of the sample gone or bent, the reason begins with that field's own name in the file."""
-    from node import read_node
+    from node import load_settings
 
-    settings, _, reasons = read_node(_changed(SETTINGS, old, new).encode(), "edge")
+    settings, _, reasons = load_settings(_changed(SETTINGS, old, new).encode(), "edge")
     assert settings is None and len(reasons) >= 1 and all(reason.startswith(field) for reason in reasons), reasons
 
 
 def test_a_core_needs_its_folder_and_its_own_address_to_be_called_at():
     """Given a core's settings without data folder or control address, or an edge's settings for a core, the field is named."""
-    from node import read_node
+    from node import load_settings
 
     for text, field in (
         (CORE.replace('data-directory = "/data/my-core"\n', ""), "data-directory"),
         (CORE.replace("control =", "other ="), "listen-addresses.control"),
         (SETTINGS, "listen-addresses.control"),
     ):
-        settings, _, reasons = read_node(text.encode(), "core")
+        settings, _, reasons = load_settings(text.encode(), "core")
         assert settings is None and any(reason.startswith(field) for reason in reasons), reasons
-    assert read_node(CORE.encode(), "edge")[2][0].startswith("listen-addresses.")
-    assert read_node(CORE.encode(), "core")[2] == () and read_node(SETTINGS.encode(), "edge")[2] == ()
+    assert load_settings(CORE.encode(), "edge")[2][0].startswith("listen-addresses.")
+    assert load_settings(CORE.encode(), "core")[2] == () and load_settings(SETTINGS.encode(), "edge")[2] == ()
 
 
 def test_a_settings_file_that_is_being_written_as_a_node_starts_is_read_again(tmp_path):
     """Given a file of which nothing, then a half is there when a node starts, and then all, the node has its settings; one that stays so
     is refused with its reason. Seen by the soak: seeds are written while a process starts, which then ended by itself."""
-    from node import READ_ATTEMPTS, read_node_file
+    from node import READ_ATTEMPTS, load_settings_file
 
     file, pauses = tmp_path / "settings.toml", []
     texts = [SETTINGS[: len(SETTINGS) // 2], SETTINGS]
@@ -181,10 +181,10 @@
             file.write_text(texts.pop(0))
 
     file.write_text("")
-    settings, _, reasons = read_node_file(str(file), "edge", write_on)
+    settings, _, reasons = load_settings_file(str(file), "edge", write_on)
     assert settings is not None and reasons == () and len(pauses) == 2
     file.write_text("")
-    settings, _, reasons = read_node_file(str(file), "edge", pauses.append)
+    settings, _, reasons = load_settings_file(str(file), "edge", pauses.append)
     assert settings is None and reasons == ("node-name: missing",) and len(pauses) == 2 + READ_ATTEMPTS - 1
 
 
