--- a/harness/mutations/model_checker.py
+++ b/harness/mutations/model_checker.py
@@ -14,7 +14,7 @@
         "leaders",
         "who acknowledged a round promises a view to anybody",
         "consensus/lease.py",
-        "if self.until is None or now >= self.until or (run and run == self.run):",
+        "if self.bound_until is None or now >= self.bound_until or (run_number and run_number == self.run_number):",
         "if True:",
         "no_deviation and started_anew",
     ),
@@ -45,10 +45,10 @@
         "durable",
         "a change is committed when the leader alone has it on its disk",
         "consensus/leader.py",
-        "reached = min(self.progress.acked.get(name, 0) for name in state.members)\n"
-        "        if reached <= state.committed:\n            return []\n        if not self._is_held_by_quorum(reached):",
-        "reached = max(self.progress.acked.get(name, 0) for name in state.members)\n"
-        "        if reached <= state.committed:\n            return []\n        if False:",
+        "acked_end = min(self.progress.acked.get(name, 0) for name in state.members)\n"
+        "        if acked_end <= state.committed:\n            return []\n        if not self._is_held_by_quorum(acked_end):",
+        "acked_end = max(self.progress.acked.get(name, 0) for name in state.members)\n"
+        "        if acked_end <= state.committed:\n            return []\n        if False:",
         "no_deviation and disks_stalled",
     ),
     _mutation(
@@ -70,15 +70,15 @@
         "no-change",
         "a replica that hears no leader never stands",
         "consensus/candidate.py",
-        "if not state.hears_no_leader(now) or not state.is_voter:",
+        "if not state.leader_timed_out(now) or not state.is_voter:",
         "if True:",
     ),
     _mutation(
         "catch-up",
         "who is out of the view stays out",
         "consensus/view_maintenance.py",
-        "return self._is_new(name) or self.progress.healthy_for(name, now) > REJOIN_AFTER",
-        "return self._is_new(name)",
+        "return self._is_new_voter(name) or self.progress.healthy_for(name, now) > REJOIN_AFTER",
+        "return self._is_new_voter(name)",
     ),
     _mutation(
         "stale-read",
@@ -90,30 +90,30 @@
     ),
     _mutation(
         "two-acknowledged",
-        "any content under a version that was taken is a repeat",
+        "any content with an accepted version counts as a repeat",
         "control_state/configurations.py",
         "if state.accepted_versions.contains(version, identity.digest):\n        return accepted",
         "if version <= state.version:\n        return accepted",
     ),
     _mutation(
         "wrong-refusal",
-        "a change on the current version is refused",
+        "a change on the version in force is rejected",
         "control_state/configurations.py",
         "    if base_version != state.version:\n        return stale",
         "    if state.version > 3:\n        return stale",
     ),
     _mutation(
         "refused-resend",
-        "a configuration that was taken is not known again",
+        "an accepted configuration is not recognized when repeated",
         "control_state/configurations.py",
         "state.accepted_versions.record(identity.version, identity.digest)",
         "pass",
     ),
     _mutation(
         "fence",
-        "a voter votes for a successor while a lease that it helped to prolong may stand",
+        "a voter votes for a successor while a lease that it acknowledged may be valid",
         "leases/voting.py",
-        "return not was_ever_held or now - self.answered_at.get(role, self.started_at) > self.timing.vacant_after",
+        "return not was_ever_held or now - self.last_renewal_at.get(role, self.started_at) > self.timing.vacant_after",
         "return True",
         "lease_walks",
     ),
--- a/harness/mutations/tenants.py
+++ b/harness/mutations/tenants.py
@@ -75,8 +75,8 @@
     Mutation(
         "CONFIG",
         "a stale node refuses unknown keys at once",
-        "if trust is not Trust.FRESH:  # a key may be new",
-        "if False:  # a key may be new",
+        "if trust is not Trust.FRESH:  # the key may have been added",
+        "if False:  # the key may have been added",
         REVOKED,
         "stale_node",
     ),
--- a/sumachook/consensus/replica.py
+++ b/sumachook/consensus/replica.py
@@ -1,4 +1,4 @@
-"""One replica: hands every event to the part that it is for."""
+"""One replica of the consensus group: dispatches each event to the component that handles it."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -7,13 +7,13 @@
 
 from sumachook.consensus import events, messages
 from sumachook.consensus.candidate import Candidate
-from sumachook.consensus.departure import Departure, note_leaving
+from sumachook.consensus.departure import Departure, record_leaving
 from sumachook.consensus.follower import Follower
 from sumachook.consensus.founding import Founding
 from sumachook.consensus.installer import Installer
 from sumachook.consensus.leader import Leader
 from sumachook.consensus.learners import Learners
-from sumachook.consensus.log import Log, state_of
+from sumachook.consensus.log import Log, decode_state
 from sumachook.consensus.log_server import LogServer
 from sumachook.consensus.membership import Membership
 from sumachook.consensus.options import Options
@@ -23,7 +23,7 @@
 from sumachook.consensus.slow_members import SlowMembers
 from sumachook.consensus.state import ReplicaState
 from sumachook.consensus.storage import Record
-from sumachook.consensus.timing import MAX_TICK_GAP, SILENCE
+from sumachook.consensus.timing import MAX_TICK_GAP, SILENCE_TIMEOUT
 from sumachook.consensus.view_maintenance import ViewMaintenance
 from sumachook.consensus.views import Role, ViewId
 from sumachook.consensus.voter import Voter
@@ -34,7 +34,7 @@
 
 
 class Replica:
-    """A pure machine: `take` gets an event and the time, and gives the effects that its host carries out."""
+    """A replica as a state machine without I/O: `take` handles an event at a time and returns effects for the host."""
 
     __slots__ = (
         "state",
@@ -81,69 +81,69 @@
         self.proposals = Proposals(state, self.leader)
         self.last_tick = now
 
-    # what others may see
+    # public state
 
     @property
     def role(self) -> Role:
-        """What this replica is doing."""
+        """The current role of this replica."""
         return self.state.role
 
     @property
     def view(self) -> ViewId:
-        """The view that was installed last."""
+        """The view that this replica installed last."""
         return self.state.view
 
     @property
     def members(self) -> tuple[str, ...]:
-        """The members of that view."""
+        """The names of the members of the last installed view."""
         return self.state.members
 
     @property
     def leader_name(self) -> str | None:
-        """The leader that was heard last, if any."""
+        """The name of the leader that was heard last, or None."""
         return self.state.leader
 
     @property
     def log(self) -> Log:
-        """The log."""
+        """The replicated log as stored by this replica."""
         return self.state.log
 
     @property
     def voting_members(self) -> dict[str, str]:
-        """The voters by name with their addresses."""
+        """The addresses of the voters, by name."""
         return self.state.voting_members.addresses
 
     @property
     def is_blank(self) -> bool:
-        """Whether it knows of no voting members."""
+        """Whether this replica has no log and no view, and therefore knows no voting members."""
         return self.state.is_blank
 
     def snapshot(self) -> tuple[int, Any]:
-        """What a start gives the state before anything is heard: the number and state of the snapshot."""
-        return self.log.base, state_of(self.log.snapshot)
+        """Returns the number and state of the log's snapshot, from which the program restores its state at startup."""
+        return self.log.base, decode_state(self.log.snapshot)
 
     def is_fresh(self, now: timedelta) -> bool:
-        """Whether the state holds all that was acknowledged before a short while ago.
+        """Whether the state contains every change acknowledged more than `FRESH_FOR` ago.
 
-        A leader's holds all, under its lease. A member learns from the leader as of when its state was complete, and
-        that stays true through a change of the view.
+        A leader's state is complete while it holds its lease. A member learns from the leader as of when its own state
+        was complete, and that remains valid across a view change.
         """
         if now - self.last_tick > MAX_TICK_GAP:
             return False
         return self.leader.has_lease(now) or self.state.freshness.is_fresh(now)
 
-    # events
+    # dispatch of events
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Takes an event; gives what the host must do, in order."""
-        self._notice_gap(now)
+        """Handles an event and returns the effects that the host must carry out in order."""
+        self._handle_tick_gap(now)
         match event:
             case events.Tick(cores):
                 out = self._tick(cores, now)
             case MessageReceived(sender, _, _) if sender == self.state.name:
-                return []  # its own message, sent to one that had its address before
+                return []  # this replica's own message, sent to a replica that had the same address before
             case MessageReceived(sender, address, message):
-                self.candidate.suspected.discard(sender)  # whoever speaks is not suspected any longer
+                self.candidate.suspected.discard(sender)  # a replica that sends a message is no longer suspected
                 out = self._receive(sender, address, message, now)
             case events.ProposalMade(change):
                 out = self.proposals.propose(change, now)
@@ -153,7 +153,7 @@
                 return self.reads.request(token, now)
             case events.StepBackRequested():
                 out = (
-                    self.leader.step_back("The disk takes nothing, stepping back.", now)
+                    self.leader.step_down("Disk is not writable, leader is stepping down.", now)
                     if self.role is Role.LEADING
                     else []
                 )
@@ -161,15 +161,15 @@
                 out = self.departure.begin(now)
             case _:
                 out = self._on_synced(event, now)
-        return out + self.proposals.settle(now) + self.reads.settle(now)
+        return out + self.proposals.process_pending(now) + self.reads.process_waiting(now)
 
-    def _notice_gap(self, now: timedelta) -> None:
-        """After a pause nothing counts that was proved before it; what was begun is for others by now."""
+    def _handle_tick_gap(self, now: timedelta) -> None:
+        """Drops leases and freshness after a pause of the process; a long pause also ends leadership or an election."""
         gap = now - self.last_tick
         if gap > MAX_TICK_GAP:
-            self.leader.lease.forget()
-            self.state.freshness.forget()
-        if gap > SILENCE and self.role in LEADER_ROLES:
+            self.leader.lease.invalidate()
+            self.state.freshness.invalidate()
+        if gap > SILENCE_TIMEOUT and self.role in LEADER_ROLES:
             self.state.back_off(now)
 
     def _tick(self, cores: tuple[str, ...], now: timedelta) -> list[Effect]:
@@ -182,7 +182,7 @@
                 return out + self.candidate.tick_preparing(now)
             case Role.INSTALLING:
                 return out + self._tick_installing(now)
-        if self.state.is_blank and self.state.hears_no_leader(now):
+        if self.state.is_blank and self.state.leader_timed_out(now):
             return out + self.founding.tick(cores, now)
         self.follower.tick(now)
         return out + self.learners.tick(cores, now) + self.candidate.tick_idle(now)
@@ -210,7 +210,7 @@
                 return self.follower.followed.on_entries_synced(event)
         return []
 
-    # messages
+    # dispatch of messages
 
     def _receive(self, sender: str, address: str, message: messages.Message, now: timedelta) -> list[Effect]:
         match message:
@@ -233,9 +233,9 @@
                 return self.follower.catch_up.on_entry_part(message, now) + self.follower.finish_joining()
             case messages.SnapshotPart():
                 return self.follower.catch_up.on_snapshot_part(message, now) + self.follower.finish_joining()
-        return self._receive_about_views(sender, address, message, now)
+        return self._receive_view_message(sender, address, message, now)
 
-    def _receive_about_views(
+    def _receive_view_message(
         self, sender: str, address: str, message: messages.Message, now: timedelta
     ) -> list[Effect]:
         match message:
@@ -248,7 +248,7 @@
             case messages.Promise():
                 return self.candidate.on_promise(sender, message, now)
             case messages.TakeOver():
-                self.learners.note_all(message.learners, now)
+                self.learners.record_all(message.learners, now)
                 return self.voter.on_take_over(sender, message, now)
             case messages.Yield():
                 return self.voter.on_yield(sender, message, now)
@@ -256,9 +256,9 @@
                 return self.follower.on_install(sender, address, message, now)
             case messages.Installed():
                 return self.installer.on_installed(sender, message, now)
-        return self._receive_about_voting_members(sender, address, message, now)
+        return self._receive_membership_message(sender, address, message, now)
 
-    def _receive_about_voting_members(
+    def _receive_membership_message(
         self, sender: str, address: str, message: messages.Message, now: timedelta
     ) -> list[Effect]:
         match message:
@@ -268,7 +268,7 @@
                 return self.learners.on_announcement(sender, message, now)
             case messages.ReplicaLeaving():
                 has_replacement = self.view_maintenance.may_replace(now)
-                return note_leaving(self.state, message, address, has_replacement, now)
+                return record_leaving(self.state, message, address, has_replacement, now)
             case messages.LeavingNoted():
                 return self.departure.on_leaving_noted(message)
             case messages.ReadIndex():
--- a/sumachook/control_state/snapshots.py
+++ b/sumachook/control_state/snapshots.py
@@ -1,4 +1,4 @@
-"""The state as it is stored and sent, and back."""
+"""Converts the replicated state to the plain data of a snapshot, and back."""
 
 from typing import Any
 
@@ -9,22 +9,22 @@
 
 
 def snapshot_of(state: StateFields) -> dict[str, Any]:
-    """The state as it is now; what is applied later changes nothing in it, also when another thread writes it then."""
+    """Returns the present state as plain data that later changes leave alone, so that another thread can write it."""
     return {
         "number": state.number,
         "generation": state.generation,
         "doc": state.doc,
         "evacuated": state.evacuated,
         "servers": state.servers,
-        "duties": {role: tuple(holder) for role, holder in state.duties.items()},
+        "duties": {role: tuple(holder) for role, holder in state.role_holders.items()},
         "pairs": state.pairs,
-        "held": dict(state.held),
+        "held": dict(state.model_statuses),
         "roster": state.voting_members,
         "requests": tuple(
             (request, (completed.content_digest, completed.result.stored()))
             for request, completed in state.requests.items()
         ),
-        "listedAt": state.listed_at,
+        "listedAt": state.servers_changed_at,
         "taken": state.accepted_versions.snapshot(),
         "versionAt": state.version_changed_at,
         "turnedAt": dict(state.evacuation_changed_at),
@@ -32,23 +32,23 @@
 
 
 def restore_snapshot(state: StateFields, snapshot: dict[str, Any]) -> None:
-    """Puts the state of a snapshot in the place of the present one.
+    """Replaces the whole state with that of a snapshot.
 
-    Snapshots of the first versions have neither "taken" nor what follows it.
+    Snapshots written by the first releases lack "taken" and the keys after it.
     """
     state.number = snapshot["number"]
     _restore_configuration(state, snapshot)
     state.evacuated = tuple(snapshot["evacuated"])
     state.servers = dict(snapshot["servers"])
-    state.duties = {role: RoleHolder(*holder) for role, holder in snapshot["duties"].items()}
+    state.role_holders = {role: RoleHolder(*holder) for role, holder in snapshot["duties"].items()}
     state.pairs = dict(snapshot["pairs"])
-    state.held = {server: dict(models) for server, models in snapshot["held"].items()}
+    state.model_statuses = {server: dict(models) for server, models in snapshot["held"].items()}
     state.voting_members = dict(snapshot["roster"])
     state.requests = {
         request: CompletedRequest(content_digest, read_result(result))
         for request, (content_digest, result) in snapshot["requests"]
     }
-    state.listed_at = snapshot["listedAt"]
+    state.servers_changed_at = snapshot["listedAt"]
     state.accepted_versions = AcceptedVersions.from_snapshot(snapshot.get("taken"), state.version)
     state.version_changed_at = snapshot.get("versionAt", state.number)
     state.evacuation_changed_at = dict(snapshot.get("turnedAt", ()))
--- a/tests/deployment_fixtures.py
+++ b/tests/deployment_fixtures.py
@@ -6,12 +6,12 @@
 
 from msgspec.structs import replace
 
-from sumachook.retry_budget.budget import own_key
+from sumachook.retry_budget.budget import inference_key
 from sumachook.simulation.deployment import Deployment, DeploymentSpec
 from sumachook.simulation.invariant_checker import InvariantChecker
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
-PROMPTS, LOOKUPS = OWN_KEYS = (own_key("prompt"), own_key("lookup"))
+PROMPTS, LOOKUPS = OWN_KEYS = (inference_key("prompt"), inference_key("lookup"))
 
 
 def spec(name="kosice") -> DeploymentSpec:
@@ -62,7 +62,9 @@
     if core is None or not core.state.pairs:
         return False
     wanted = [(model, server) for model, pair in core.state.pairs.items() for server in pair if server]
-    return bool(wanted) and all(core.state.held.get(server, {}).get(model) == "ready" for model, server in wanted)
+    return bool(wanted) and all(
+        core.state.model_statuses.get(server, {}).get(model) == "ready" for model, server in wanted
+    )
 
 
 def others(deployment, name):
--- a/tests/platform_adapters/test_revoked_keys.py
+++ b/tests/platform_adapters/test_revoked_keys.py
@@ -98,8 +98,8 @@
     server_event(scene, whole, "end")
     server_event(scene, cut, "fault", "reset")
     scene.run(0.3)
-    assert [effect[0] for effect in scene.told(whole)][-1] == "end"
-    assert [effect[0] for effect in scene.told(cut)][-1] == "drop" and len(scene.forwarded_headers(cut)) == 1
+    assert [effect[0] for effect in scene.client_effects(whole)][-1] == "end"
+    assert [effect[0] for effect in scene.client_effects(cut)][-1] == "drop" and len(scene.forwarded_headers(cut)) == 1
 
 
 def test_queued_request_is_refused_when_key_moves_to_another_tenant():
@@ -149,12 +149,12 @@
     scene = TenantScene(trust=trust)
     late, soon = scene.call("never-held"), scene.call("a-new-key")
     scene.run(0.3)
-    assert not scene.told(late) and not scene.told(soon)
-    scene.trust.word = Trust.FRESH
+    assert not scene.client_effects(late) and not scene.client_effects(soon)
+    scene.trust.level = Trust.FRESH
     scene.set_tenants(EAST, {**WEST, "api-keys": ["a-new-key"]})
     scene.run(0.1)
     assert scene.was_forwarded(soon) and scene.status(late) == 401
-    scene.trust.word = trust
+    scene.trust.level = trust
     never = scene.call("never-held")
     scene.run(1.6)
     assert scene.status(never) == 503 and not scene.was_forwarded(never)
