--- a/harness/mutations/configuration.py
+++ b/harness/mutations/configuration.py
@@ -121,8 +121,8 @@
     Mutation(
         "CONFIG",
         "an order is proposed though its caller hung up",
-        "            self.remove(order)\n\n    # the proposal",
-        "            pass\n\n    # the proposal",
+        "            self.remove(order)\n\n    # proposals",
+        "            pass\n\n    # proposals",
         ORDERS,
         "went_away",
     ),
--- a/sumachook/nodes/__init__.py
+++ b/sumachook/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""The two kinds of node, made of the machines, and the daemon that hosts them."""
+"""Cores and edges, the two kinds of node, assembled from their components, and the daemon that runs them."""
--- a/sumachook/nodes/change_request.py
+++ b/sumachook/nodes/change_request.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP requests for a change of the replicated state."""
+"""Parses and validates operators' HTTP requests that change the replicated state."""
 
 from collections.abc import Callable, Mapping
 from enum import StrEnum
@@ -17,19 +17,19 @@
 
 KINDS = ("apply", "configure", "evacuate", "restore")
 PATHS = {f"/operator/{kind}": kind for kind in KINDS}
-MAX_DEPTH = 40  # objects and lists within each other; a document of the catalogue has nine
+MAX_DEPTH = 40  # levels of nested objects and lists; a catalogue document has nine
 MAX_REQUEST_ID_LENGTH = 100
 
 
 class ChangeProblem(StrEnum):
-    """What is wrong with a request for a change; the values are the classes that its caller reads."""
+    """Why a change request is invalid; the values are the fault classes in the HTTP response."""
 
     NOT_JSON = "not JSON"
     REFUSED = "refused"
 
 
 class InvalidChangeError(SumachookError):
-    """A request for a change that is wrong whatever the state is."""
+    """Raised for a change request that is invalid in any control state, e.g. one that is not a JSON object."""
 
     def __init__(self, problem: ChangeProblem, reason: str) -> None:
         super().__init__(reason)
@@ -42,7 +42,7 @@
 
 
 def read_change_request(path: str, body: bytes) -> OperatorChange:
-    """The change that a request asks for; raises `InvalidChangeError`."""
+    """Parses the body of a POST to one of `PATHS` into a change; raises `InvalidChangeError`."""
     try:
         document = msgspec.json.decode(body)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -59,7 +59,7 @@
 
 
 def is_deeper(value: Any, depth: int) -> bool:
-    """Whether a document has more levels than that; no stack is used up in finding out.
+    """Returns whether a document is nested deeper than `depth` levels, without recursion that deep input could exhaust.
 
     >>> is_deeper({"a": [1]}, 2), is_deeper({"a": [[1]]}, 2)
     (False, True)
--- a/sumachook/nodes/client.py
+++ b/sumachook/nodes/client.py
@@ -1,4 +1,4 @@
-"""The operator's side of the control interface: one request, tried at one core after the other."""
+"""HTTP client of the control API for operators: tries each core in turn until one answers."""
 
 import asyncio
 import uuid
@@ -13,24 +13,24 @@
 
 CALL_TIMEOUT = timedelta(seconds=10)
 CONNECT_TIMEOUT = timedelta(seconds=2)
-MAX_ROUNDS = 8  # over all cores: longer than a change of the leader takes
+MAX_ROUNDS = 8  # over all cores; together they last longer than a leader election
 ROUND_DELAY = timedelta(seconds=0.5)
 SERVICE_UNAVAILABLE = 503
 
 
 class UnreachableError(SumachookError):
-    """No core answered; the message says why the last one did not."""
+    """Raised when no core answered; the message contains the reason of the last failed attempt."""
 
 
 class Answer(NamedTuple):
-    """What a core answered: the status, and the JSON document."""
+    """A core's response: the HTTP status and the decoded JSON document."""
 
     status: int
     document: Any
 
 
 class Client:
-    """`ask` gives the answer of the first core that has one; a repeat bears the same request id.
+    """Sends a request to one core after the other; a retry repeats the body and so has the same request id.
 
     See docs/design/control-state.md.
     """
@@ -42,7 +42,7 @@
         self.key = key
 
     def ask(self, method: str, path: str, document: Any = None) -> Answer:
-        """The answer of a core; raises `UnreachableError` where none has one."""
+        """Returns the first response other than 503; raises `UnreachableError` after `MAX_ROUNDS` rounds without one."""
         return asyncio.run(self._ask(method, path, document))
 
     async def _ask(self, method: str, path: str, document: Any) -> Answer:
@@ -51,7 +51,7 @@
             total=CALL_TIMEOUT.total_seconds(), sock_connect=CONNECT_TIMEOUT.total_seconds()
         )
         data = msgspec.json.encode(document) if document is not None else None
-        reason = "no core is named: --core or SUMACHOOK_CORES"
+        reason = "no core address given: use --core or SUMACHOOK_CORES"
         async with aiohttp.ClientSession(timeout=timeout, headers=headers) as session:
             for _ in range(MAX_ROUNDS):
                 for core in self.cores:
@@ -72,5 +72,5 @@
 
 
 def new_request() -> str:
-    """A new id of an operator's request."""
+    """Generates a unique id for an operator's request, by which cores recognize a retry of the same change."""
     return uuid.uuid4().hex
--- a/sumachook/nodes/configuration_changes.py
+++ b/sumachook/nodes/configuration_changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes at a core, from the call to its answer."""
+"""Operators' changes at a core, from the HTTP request through the proposal to the response."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -17,12 +17,12 @@
 from sumachook.nodes.replies import fault_reply, reply
 
 STATUS = {Outcome.ACCEPTED: 200, Outcome.REJECTED: 422, Outcome.STALE: 409}
-FIRST_RESEND_DELAY = timedelta(seconds=0.4)  # of a proposal; doubled each time
+FIRST_RESEND_DELAY = timedelta(seconds=0.4)  # before a proposal is sent again; doubled each time
 READ_RETRY_DELAY = timedelta(seconds=0.2)
-MIN_TIME_FOR_RETRY = timedelta(seconds=2)  # that must be left for a read to be asked for again
-CALLER_TIMEOUT = timedelta(seconds=1)  # after so much silence a caller sends its change to another core
+MIN_TIME_FOR_RETRY = timedelta(seconds=2)  # a failed read is retried only if this much time remains
+CALLER_TIMEOUT = timedelta(seconds=1)  # a caller without a response for so long sends its change to another core
 MAX_READ_TIME = timedelta(seconds=0.5)
-REVERSIBLE = (Evacuate, Restore)  # changes that a later one takes back
+REVERSIBLE = (Evacuate, Restore)  # changes that a later change may undo
 MAX_ORDERS = 128
 RETRY_AFTER_UNCLEAR_S = 0.2
 RETRY_AFTER_OVERLOAD_S = 2
@@ -31,32 +31,33 @@
 
 @dataclass(slots=True)
 class Order:
-    """One call of an operator and how far it has come."""
+    """An operator's change request and its progress from the linearizable read to the delivery of its entry."""
 
     call_id: CallId
     number: int
     change: OperatorChange
     started_at: timedelta
     answer_by: timedelta
-    read_at: timedelta | None = None  # when to ask for the read again
-    seen: int | None = None  # the last delivered entry when the linearizable read came back; None before
-    entry: OperatorCall | None = None  # what is proposed
+    read_at: timedelta | None = None  # when to retry the linearizable read
+    seen: int | None = None  # number of the last delivered entry when the linearizable read completed; None before
+    entry: OperatorCall | None = None  # the proposed log entry
     propose_at: timedelta | None = None
     resend_delay: timedelta = FIRST_RESEND_DELAY
     was_proposed: bool = False
     delivered_as: int = 0
     result: ChangeResult | None = None
     version: int = 0
-    delivered_at: timedelta = timedelta(0)  # of the entry that decided
+    delivered_at: timedelta = timedelta(0)  # when the entry that decided the result was delivered
 
 
 @dataclass(slots=True)
 class ConfigurationChanges:
-    """Takes operators' calls; gives `ReadRequested`, `ProposeChange` and the `Reply` to each call.
+    """Accepts operators' change requests; returns `ReadRequested`, `ProposeChange` and a `Reply` to each request.
 
-    A linearizable read comes first: only once that came back, and its caller is still there, is a change proposed, with
-    the number of the last entry that was delivered by then (`Attempt.seen`). It is answered by the delivery of its own
-    entry, and by nothing else. This core alone proposes it, and not after its answer, nor after its caller went away.
+    A linearizable read comes first: a change is proposed only after the read has completed and while its caller is
+    still connected, with the number of the last entry delivered by then (`Attempt.seen`). Only the delivery of its own
+    entry decides the response. No other core proposes it, and this core stops once it has responded or its caller has
+    disconnected.
     """
 
     origin: str
@@ -66,10 +67,10 @@
     orders: dict[int, Order] = field(default_factory=dict)
     last_number: int = 0
 
-    # the call ---------------------------------------------------------------------
+    # the request ------------------------------------------------------------------
 
     def accept(self, call_id: CallId, change: OperatorChange, now: timedelta) -> Sequence[ReadRequested | Reply]:
-        """A call that is well-formed; what it asks for is judged at delivery."""
+        """Starts a syntactically valid change with a linearizable read; it is checked against the state at delivery."""
         if len(self.orders) >= MAX_ORDERS:
             reason = f"{MAX_ORDERS} orders wait"
             return [fault_reply(call_id, 503, "too-many", reason, RETRY_AFTER_OVERLOAD_S, applied="no")]
@@ -79,17 +80,17 @@
         return [ReadRequested(self.token(order))]
 
     def token(self, order: Order) -> str:
-        """The name of the read that an order waits for."""
+        """Returns the token of the linearizable read that precedes the proposal of a change."""
         return f"order-{order.number}"
 
     def order_of(self, token: str) -> Order | None:
-        """The order that waits for this read, or None."""
+        """Returns the change that waits for the read with this token, or None."""
         name, _, number = token.partition("-")
         order = self.orders.get(int(number)) if name == "order" else None
         return order if order is not None and order.seen is None else None
 
     def read_again(self, order: Order, now: timedelta) -> bool:
-        """Whether it waits for the next leader; not where its caller would do better to ask another core."""
+        """Schedules a retry of a failed read; returns False if the caller should rather ask another core."""
         has_time = order.answer_by - now > MIN_TIME_FOR_RETRY
         read_by = now + READ_RETRY_DELAY + MAX_READ_TIME
         may_wait = not isinstance(order.change, REVERSIBLE) or not self._is_late(order, read_by)
@@ -97,22 +98,22 @@
         return order.read_at is not None
 
     def _is_late(self, order: Order, now: timedelta) -> bool:
-        """Whether its caller may have been answered elsewhere by now, and may have ordered the opposite since."""
+        """Returns whether another core may have answered the caller, who may have requested the opposite since."""
         return isinstance(order.change, REVERSIBLE) and now - order.started_at > CALLER_TIMEOUT
 
     def remove(self, order: Order) -> None:
-        """Forgets an order that was answered."""
+        """Drops a change that has been answered."""
         self.orders.pop(order.number, None)
 
     def handle_disconnect(self, call_id: CallId) -> None:
-        """The caller went away: its change is not proposed any more."""
+        """Drops the changes of a caller that disconnected; they are not proposed any more."""
         for order in [order for order in self.orders.values() if order.call_id == call_id]:
             self.remove(order)
 
-    # the proposal -----------------------------------------------------------------
+    # proposals -------------------------------------------------------------------
 
     def readable(self, token: str, now: timedelta) -> None:
-        """The state holds all that was acknowledged before the call came; the change is proposed at the next tick."""
+        """Handles a completed read: the state is current as of the request, so the change is proposed at the next tick."""
         order = self.order_of(token)
         if order is None:
             return
@@ -121,11 +122,11 @@
             return
         order.seen = self.state.number
         order.entry = OperatorCall(self.origin, order.number, order.seen, self._content(order.change))
-        # by the next tick it is known whether the caller hung up while its call lay in a buffer
+        # by the next tick, a disconnect of the caller while its request lay in a buffer has been noticed
         order.propose_at = now
 
     def _content(self, change: OperatorChange) -> OperatorChange:
-        """What goes into the log: of a configuration whose verdict can be told from its digest, the digest."""
+        """Returns the change for the log entry; for a configuration that can be checked by its digest, the digest."""
         return self.state.compact_form(change) if isinstance(change, Configure) else change
 
     def _propose(self, order: Order, now: timedelta) -> ProposeChange:
@@ -135,7 +136,7 @@
         return ProposeChange(order.entry)
 
     def delivered(self, number: int, attempt: Attempt, result: ChangeResult, version: int, now: timedelta) -> None:
-        """The entry of an attempt was delivered; the first delivery decides, copies change nothing."""
+        """Records the result of a delivered entry; the first delivery decides, later copies are ignored."""
         order = self.orders.get(attempt.number) if attempt.origin == self.origin else None
         if order is not None and order.result is None:
             order.delivered_as = number
@@ -143,12 +144,12 @@
             order.version = version
             order.delivered_at = now
 
-    # the answer -------------------------------------------------------------------
+    # responses --------------------------------------------------------------------
 
     def tick(
         self, live: Sequence[str], confirmed: Mapping[str, int], now: timedelta
     ) -> list[ReadRequested | ProposeChange | Reply]:
-        """Answers, reads and proposals that are due; `live` are the live edges by name."""
+        """Returns the responses, reads and proposals that are due; `live` contains the names of the live edges."""
         effects: list[ReadRequested | ProposeChange | Reply] = [*self.settle(live, confirmed, now)]
         for order in list(self.orders.values()):
             if order.result is not None:
@@ -164,12 +165,12 @@
         return effects
 
     def close(self) -> list[Reply]:
-        """Answers all orders as unclear: this core ends before it can learn how they went."""
+        """Answers all pending changes as unacknowledged: this core shuts down before it can learn their results."""
         orders, self.orders = list(self.orders.values()), {}
         return [self._answer_unclear(order) for order in orders]
 
     def settle(self, live: Sequence[str], confirmed: Mapping[str, int], now: timedelta) -> list[Reply]:
-        """Answers what all live edges have confirmed, what was not taken, and what waited long enough for the edges."""
+        """Answers changes that all live edges have confirmed, that were rejected, or that waited `confirm_within`."""
         replies = []
         reached = min((confirmed.get(node, 0) for node in live), default=None)
         for order in list(self.orders.values()):
@@ -207,7 +208,7 @@
         return reply(order.call_id, STATUS[result.outcome], body)
 
     def _answer_unclear(self, order: Order) -> Reply:
-        """It may be delivered yet, if it was proposed; to send it again is safe."""
+        """Answers a change without a result; if proposed, it may still be delivered, and sending it again is safe."""
         reason = "no working view acknowledged it; repeat it to learn or finish it"
         return fault_reply(
             order.call_id,
--- a/sumachook/nodes/control_api.py
+++ b/sumachook/nodes/control_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a core: operators' changes and reads, its condition, its metrics."""
+"""The HTTP API of a core: operators' changes and reads, the readiness check and metrics."""
 
 from collections.abc import Mapping, Sequence
 from datetime import timedelta
@@ -24,15 +24,15 @@
 if TYPE_CHECKING:
     from sumachook.nodes.core import Core
 
-# Word that comes later means that the leader did not answer: its caller is better off with another core.
+# A read that fails later than this had no response from the leader: its caller should ask another core instead.
 REDIRECT_WITHIN = timedelta(seconds=0.25)
-# Of a change that a member hands to its leader; the caller of a longer one is redirected instead.
+# Longest request body of a change that a follower forwards to its leader; the caller of a longer one is redirected.
 MAX_FORWARDED_BYTES = 256 << 10
 RETRY_AFTER_S = 0.2
 
 
 def starting(call_id: CallId) -> Reply:
-    """The answer of a core whose identity is not on its disk yet."""
+    """Returns the 503 response of a core whose identity is not durable yet."""
     reason = "this core has just started; ask another"
     return fault_reply(call_id, 503, "starting", reason, RETRY_AFTER_S, applied="no")
 
@@ -43,11 +43,11 @@
 
 
 class ControlApi:
-    """Answers the HTTP calls of one core.
+    """Answers HTTP requests to one core.
 
-    Reads of the configuration, and changes before they are proposed, ask the consensus layer for a linearizable read:
-    `ReadRequested` goes out, `Readable` or `Unreadable` comes back. A core that cannot read redirects the caller to its
-    leader, or answers 503.
+    Reads of the configuration, and changes before they are proposed, need a linearizable read: `ReadRequested` asks the
+    consensus layer for it, which answers with `Readable` or `Unreadable`. A core that cannot read redirects the caller
+    to its leader or answers 503.
     """
 
     __slots__ = ("core", "configuration_changes", "reads", "searches", "is_closed")
@@ -65,10 +65,10 @@
             timedelta(seconds=settings.order_within),
         )
 
-    # calls ------------------------------------------------------------------------
+    # requests ---------------------------------------------------------------------
 
     def http(self, event: HttpRequestReceived, now: timedelta) -> Sequence[Any]:
-        """The effects of one call."""
+        """Routes one HTTP request; all but /condition and /metrics need the operator key, if one is configured."""
         if event.path == "/condition":
             return [self._condition(event.call_id, now)]
         if event.path == "/metrics":
@@ -104,27 +104,27 @@
         return [_not_found(event)]
 
     def handle_disconnect(self, event: ClientDisconnected, now: timedelta) -> list[Any]:
-        """The caller went away."""
+        """Drops the changes, reads and ledger searches of a caller that disconnected."""
         self.configuration_changes.handle_disconnect(event.call_id)
         self.reads.handle_disconnect(event.call_id)
         self.searches.handle_disconnect(event.call_id)
         return []
 
     def close(self) -> list[Reply]:
-        """The core ends now: whoever waits here for an answer is told to ask another one, and so is who comes later."""
+        """Answers all waiting callers, and all later requests, that this core is leaving and another should be asked."""
         self.is_closed = True
         waiting = [read.call_id for read in self.reads.close()] + self.searches.close()
         return [*self.configuration_changes.close(), *map(_leaving, waiting)]
 
     def tick(self, live: Sequence[str], confirmed: Mapping[str, int], now: timedelta) -> list[Effect | Any]:
-        """What is due now; `live` are the live edges, `confirmed` how far each has followed the change feed."""
+        """Returns due responses and proposals; `confirmed` maps edges to the last change feed number they confirmed."""
         effects: list[Any] = [*self.configuration_changes.tick(live, confirmed, now), *self.searches.tick(now)]
         return effects + [self._no_view(read.call_id) for read in self.reads.overdue(now)]
 
     # linearizable reads -----------------------------------------------------------
 
     def handle_readable(self, effect: Readable, now: timedelta) -> list[Any]:
-        """The state may answer this read."""
+        """Handles a completed linearizable read: answers a read of the catalogue or lets a change proceed."""
         read = self.reads.finish(effect.token)
         if read is not None:
             return [reply(read.call_id, 200, show.show(show.CATALOGUE, self.core, now))]
@@ -132,7 +132,7 @@
         return []
 
     def handle_unreadable(self, effect: Unreadable, now: timedelta) -> list[Any]:
-        """This core cannot vouch for its state; the address is that of a core that may."""
+        """Handles a failed linearizable read: retries it, redirects the caller to the leader or answers 503."""
         read = self.reads.finish(effect.token)
         if read is not None:
             leader = effect.address if now - read.started_at < REDIRECT_WITHIN else None
@@ -153,7 +153,7 @@
         return redirect(call_id, http_address, path) if http_address else self._no_view(call_id)
 
     def _http_address_of(self, leader: str | None) -> str:
-        """The leader's HTTP address, if known and alive: a caller sent to a dead one would lose a second."""
+        """Returns the leader's HTTP address, or "" if unknown or not alive: a redirect to a dead one costs a second."""
         alive = (
             member.http_address
             for member in self.core.membership.live
@@ -165,7 +165,7 @@
         reason = "this core is in no working view; ask another"
         return fault_reply(call_id, 503, "no-view", reason, RETRY_AFTER_S, applied="no")
 
-    # changes and questions --------------------------------------------------------
+    # changes, views of the state and forecasts --------------------------------------
 
     def _change(self, event: HttpRequestReceived, now: timedelta) -> Sequence[Any]:
         try:
@@ -189,7 +189,7 @@
         return [reply(call_id, 200, document)]
 
     def _forecast(self, event: HttpRequestReceived) -> Reply:
-        """Says what a configuration would do, or what is wrong with it; changes nothing."""
+        """Returns which moves a configuration would cause, or its faults, without applying it."""
         state = self.core.state
         try:
             request = msgspec.json.decode(event.body)
@@ -205,7 +205,7 @@
             return reply(event.call_id, 200, {"result": "ok"})
         return reply(event.call_id, 200, forecast_moves(catalogue, state, self.core.placer.demand))
 
-    # the node itself --------------------------------------------------------------
+    # readiness and metrics --------------------------------------------------------
 
     def _condition(self, call_id: CallId, now: timedelta) -> Reply:
         core = self.core
--- a/sumachook/nodes/core.py
+++ b/sumachook/nodes/core.py
@@ -1,4 +1,4 @@
-"""A core: a replica of the control state, with the singleton roles, the change feed and the ledger that build on it."""
+"""A core: a replica of the control state, with the singleton roles, the change feed and the ledger built on it."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from datetime import timedelta
@@ -44,36 +44,36 @@
 from sumachook.storage.events import DiskStateChanged
 
 Records = Mapping[str, Sequence[Any]]
-VOTER_RECORD = "seat"  # the kind of the record that names the voter a data folder belongs to
+VOTER_RECORD = "seat"  # kind of the log record that names the voter a data folder belongs to
 
 
 class IdentityStored(Event, frozen=True):
-    """The name of this voter is durable: from now on the core may promise something."""
+    """The name of this voter is durable: from now on the core may send promises and acknowledgements."""
 
 
 def voter_of(records: Mapping[str, Iterable[Sequence[Any]]]) -> str:
-    """The name of the voter that a data folder belongs to, or "" for a blank one."""
+    """Returns the name of the voter that a data folder belongs to, or "" for a blank folder."""
     return next((str(record[1]) for record in records.get(LOG_FILE, ()) if record[0] == VOTER_RECORD), "")
 
 
 class Core:
-    """The state machine of a core: `take` gets an event and the time, and gives the effects that its host carries out.
+    """The state machine of a core: `take` handles an event at a given time and returns effects for its host.
 
     Parameters
     ----------
     settings
-        What the process was started with.
+        The settings of the process.
     records
-        What its data folder holds, by file. A blank folder makes a new voter: what a voter promised and its name are
-        kept and lost together (docs/design/consensus.md).
+        The contents of its data folder, by file. A blank folder creates a new voter: the name of a voter and its
+        promises are stored and lost together (docs/design/consensus.md).
     restart_epoch
-        Higher at each start of the same node.
+        Increases with each start of the same node.
     clock
-        The clocks of the process; time-outs go by the `now` of `take`.
+        The clocks of the process; timeouts use the `now` passed to `take`.
     random
-        The source of all its random draws.
+        The source of all random numbers.
     list_port, server_port
-        How the platform's list and the servers are spoken to; as this project's own by default.
+        Protocols of the platform's server list and of the servers; by default those of this project.
     """
 
     def __init__(
@@ -145,7 +145,7 @@
     def _create_roles(
         self, random: Random, list_port: ListPort | None, server_port: ServerPort | None, now: timedelta
     ) -> None:
-        """The leases of the singleton roles, and what their holders do."""
+        """Creates the leases of the singleton roles and the components that act while this core holds them."""
         settings, state = self.settings, self.state
         turn_gap = timedelta(seconds=settings.turn_gap)
         self.leases = Leases(self.node, state, Random(random.random()), now, settings.fenced, turn_gap)
@@ -158,22 +158,22 @@
         self.quota_usage = QuotaUsage(state)
 
     def event_handlers(self) -> dict[type, Handler]:
-        """The handler of each class of events, and of effects that one part gives another."""
+        """Returns the handler of each class of events, and of effects that one component sends to another."""
         return self.routing.event_handlers()
 
     def take(self, event: object, now: timedelta) -> list[Effect]:
-        """The effects of one event; raises `UnhandledEventError` for one that no core takes."""
+        """Handles one event and returns its effects; raises `UnhandledEventError` for a class that no core handles."""
         if not self.is_ready and not isinstance(event, DiskStateChanged):
             return self._start(event)
         served_number = self.state.number
         effects = self.dispatcher.deliver(event, now)
-        while served_number < self.state.number:  # what was delivered at once goes out in one batch
+        while served_number < self.state.number:  # entries delivered together are served to the followers in one batch
             served_number = self.state.number
             effects += self.dispatcher.deliver(ServeRequested(), now)
         return effects
 
     def _start(self, event: object) -> list[Effect]:
-        """A new voter takes part in nothing until its name is durable."""
+        """Stores the name of a new voter; until that is durable, it drops events and answers HTTP requests with 503."""
         effects: list[Effect] = []
         if isinstance(event, HttpRequestReceived):
             effects.append(starting(event.call_id))
@@ -185,51 +185,51 @@
 
     @property
     def tick_interval(self) -> timedelta:
-        """A core has a view, leases and operators' changes to keep all the time."""
+        """The longest time until the next tick; always the shortest, as views, leases and changes need every tick."""
         return TICK
 
     @property
     def ignored(self) -> int:
-        """Messages of other nodes that could not be read, or that no part of a core takes."""
+        """The number of messages of other nodes that could not be decoded or that no component of a core handles."""
         return self.routing.ignored_messages
 
     def is_fresh(self, now: timedelta) -> bool:
-        """Whether this core is in a working view and can keep what it promises there."""
+        """Returns whether this core is in a working view and its disk accepts writes, so that it can keep promises."""
         return self.is_disk_taking and self.consensus.is_fresh(now)
 
     def other_cores(self) -> list[str]:
-        """Addresses of the other voters."""
+        """Returns the addresses of the other voters."""
         return self.peers.other_voters()
 
-    # leaving ----------------------------------------------------------------------
+    # shutdown ---------------------------------------------------------------------
 
     def handle_stop(self, event: StopRequested, now: timedelta) -> list[Any]:
-        """The process was told to end: leases, then the voter's place in the view are given up."""
+        """Starts the shutdown on a stop signal: releases the leases, then the voter's place in the view."""
         if self.shutdown.has_begun:
             return []
         self.shutdown.begin(now)
-        note = Log("info", "core", "Leaving: singleton roles and the vote are given up.", {})
+        note = Log("info", "core", "Leaving: releasing the singleton roles and the vote.", {})
         released = self.leases.take(lease_events.Quit(), now)
         announced = self.membership.take(event, now)
-        # the view comes last: who leads orders what was given up before it hands over
+        # leaving the view comes last: a leader commits the released leases before it hands over
         return [note, *released, *announced, consensus_events.LeaveRequested()]
 
     def handle_departed(self, effect: Departed, now: timedelta) -> list[Any]:
-        """The process may end: what this replica holds is safe without it."""
+        """Notes that the process may exit: the data of this replica is safe without it."""
         self.shutdown.note_departed()
         return []
 
-    # a disk that takes no records (docs/design/storage.md) --------------------------------------------
+    # disk failures (docs/design/storage.md) -----------------------------------------------------------
 
     def handle_disk_state(self, event: DiskStateChanged, now: timedelta) -> list[Any]:
-        """While the disk takes no records this core is in no view, holds no lease and stores no ledger records."""
+        """While its disk accepts no writes, this core leaves the view, holds no lease and stores no ledger records."""
         if event.is_available:
             self.is_disk_taking = True
             return [] if self.shutdown.has_begun else self.leases.take(lease_events.Resume(), now)
         released = self.leases.take(lease_events.Quit(), now)
         effects: list[Any] = [effect for effect in released if not isinstance(effect, ProposeChange)]
         if self.consensus.role is Role.LEADING:
-            # the others need not wait for its silence
+            # so the other voters need not wait until its heartbeats time out
             effects += self.consensus.take(consensus_events.StepBackRequested(), now)
         else:
             for effect in released:
--- a/sumachook/nodes/core_peers.py
+++ b/sumachook/nodes/core_peers.py
@@ -1,4 +1,4 @@
-"""The other nodes as a core knows them from membership and from the control state."""
+"""Looks up other nodes for a core, in the membership and in the control state."""
 
 from sumachook.control_state.state import State
 from sumachook.membership.member import MemberStatus
@@ -6,7 +6,7 @@
 
 
 class CorePeers:
-    """Names, addresses and restart epochs of other nodes."""
+    """Returns names, addresses and restart epochs of other nodes."""
 
     __slots__ = ("node", "restart_epoch", "membership", "state")
 
@@ -17,11 +17,11 @@
         self.state = state
 
     def edge_addresses(self) -> tuple[str, ...]:
-        """Addresses of the live edges."""
+        """Returns the addresses of the live edges."""
         return tuple(member.address for member in self.membership.live if member.role == "edge")
 
     def alive_edges(self) -> list[str]:
-        """Names of the edges that are alive and not suspected, in order."""
+        """Returns the sorted names of the edges that are alive and not suspected."""
         return sorted(
             member.node
             for member in self.membership.live
@@ -29,15 +29,15 @@
         )
 
     def core_addresses(self) -> tuple[str, ...]:
-        """Addresses at which other cores may be found: the seeds, and the live ones."""
+        """Returns the addresses at which cores may be reached: the seeds and the live cores."""
         live = [member.address for member in self.membership.live if member.role == "core"]
         return (*self.membership.seeds, *live)
 
     def other_voters(self) -> list[str]:
-        """Addresses of the other voters."""
+        """Returns the addresses of the other voters."""
         return [address for voter, address in self.state.voting_members.items() if voter != self.node]
 
     def restart_epochs(self) -> dict[str, int]:
-        """Restart epochs of the live nodes by name, this one among them."""
+        """Returns the restart epochs of the live nodes by name, including this node."""
         epochs = {member.node: member.restart_epoch for member in self.membership.live}
         return epochs | {self.node: self.restart_epoch}
--- a/sumachook/nodes/core_routing.py
+++ b/sumachook/nodes/core_routing.py
@@ -1,4 +1,4 @@
-"""Which part of a core takes an event, a message of another node, or an effect of another part."""
+"""Routes events, messages of other nodes and internal effects to the components of a core."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
@@ -32,13 +32,13 @@
     from sumachook.nodes.core import Core
 
 CONSENSUS_MESSAGES = tuple(CONSENSUS_TYPES.values())
-# What has to be written, or is a promise, before it is answered; dropped while the disk takes no records.
+# Messages whose response needs a durable write or is a promise; dropped while the disk accepts no writes.
 DISK_MESSAGES = frozenset({*CONSENSUS_MESSAGES, *STORE_MESSAGES})
 DISK_SYNCED_EVENTS = tuple(consensus_events.DiskSynced.__subclasses__())
 
 
 class CoreRouting:
-    """Hands events and messages to the parts of a core; decides nothing."""
+    """Maps each class of events and messages to the component of a core that handles it."""
 
     __slots__ = ("core", "message_handlers", "ignored_messages", "_call_handlers")
 
@@ -53,7 +53,7 @@
         }
 
     def event_handlers(self) -> dict[type, Handler]:
-        """The handler of each class of events, and of effects that one part gives another."""
+        """Returns the handler of each class of events, and of effects that one component sends to another."""
         core = self.core
         return {
             events.Tick: core.ticks.take,
@@ -79,7 +79,7 @@
         }
 
     def _consensus_handlers(self) -> dict[type, Handler]:
-        """What the parts of a core ask of the replica, and what it gives them."""
+        """Returns the handlers of requests to the consensus replica and of the effects that it returns."""
         core = self.core
         return {
             ProposeChange: self._handle_propose_change,
@@ -92,7 +92,7 @@
             consensus_effects.Readable: core.api.handle_readable,
             consensus_effects.Unreadable: core.api.handle_unreadable,
             consensus_effects.Departed: core.handle_departed,
-            consensus_effects.Refuse: ignore,  # a refused proposal is made again by who made it
+            consensus_effects.Refuse: ignore,  # the component that made a refused proposal retries it
             consensus_effects.ViewChanged: ignore,
         }
 
@@ -134,17 +134,17 @@
         return [*self.core.source.take(event, now), *self.core.state_delivery.settle_changes(now)]
 
     def _handle_lease_request(self, event: events.MessageReceived, now: timedelta) -> list[Effect]:
-        """The role's lease is looked at now: the message may have lain in a buffer since the last tick."""
+        """Checks the role's lease now, as the message may have lain in a buffer since the last tick."""
         fence = self.core.leases.holds("accountant", now)
         request = LeaseRequestReceived(event.sender, event.address, event.message, fence)
         return self.core.quota_lease_issuer.take(request, now)
 
-    # calls ------------------------------------------------------------------------
+    # results of calls to servers and the platform ---------------------------------
 
     def _handle_call(self, event: events.CallEvent, now: timedelta) -> Any:
         return self._call_handlers[event.call_id.part](event, now)
 
-    # effects of one part for another ----------------------------------------------
+    # effects of one component for another -----------------------------------------
 
     def _handle_propose_change(self, effect: ProposeChange, now: timedelta) -> list[Effect]:
         if not self.core.is_disk_taking:
--- a/sumachook/nodes/core_tick.py
+++ b/sumachook/nodes/core_tick.py
@@ -1,4 +1,4 @@
-"""What a core does with each tick."""
+"""Periodic work of a core, done at each tick."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
@@ -20,7 +20,7 @@
 
 
 class CoreTick:
-    """Gives every part of a core its tick, in a fixed order, with the leases that this core holds by then."""
+    """Ticks every component of a core in a fixed order, with the leases that this core holds at that point."""
 
     __slots__ = ("core",)
 
@@ -28,7 +28,7 @@
         self.core = core
 
     def take(self, event: Tick, now: timedelta) -> list[Any]:
-        """The effects of one tick."""
+        """Runs one tick and returns its effects; ends with `Exit` once a shutdown is complete."""
         core = self.core
         is_fresh = core.is_fresh(now)
         is_leading = core.is_disk_taking and core.consensus.role is Role.LEADING
@@ -43,7 +43,7 @@
         return [*effects, *core.api.close(), *end] if end else effects
 
     def _tick_replication(self, is_fresh: bool, now: timedelta) -> list[Any]:
-        """Membership, and what needs the disk: consensus and the ledger's store."""
+        """Ticks the membership and, while the disk accepts writes, consensus and the ledger's replica store."""
         core = self.core
         feed_number = core.state.number if is_fresh else 0
         effects: list[Any] = core.membership.take(membership_events.Tick(feed_number), now)
--- a/sumachook/nodes/daemon.py
+++ b/sumachook/nodes/daemon.py
@@ -1,4 +1,4 @@
-"""The host of a node's state machine in a real process: real clock, sockets and files."""
+"""Runs a node's state machine in a real process, with the system clock, sockets and files."""
 
 import asyncio
 import signal
@@ -27,9 +27,9 @@
     from sumachook.nodes.disk_writer import DiskWriter
     from sumachook.storage.folder import DataFolder
 
-LAST_MESSAGES = timedelta(seconds=0.2)  # for what was sent last to leave the process before it ends
+LAST_MESSAGES = timedelta(seconds=0.2)  # between the decision to exit and the exit, so that the last messages are sent
 UNSENT_CHECK_INTERVAL = timedelta(seconds=0.02)
-STALL = timedelta(seconds=0.5)  # by which a tick is late when the process, or its machine, stood still
+STALL = timedelta(seconds=0.5)  # a tick later than this means that the process or its machine was stalled
 SIGNAL_EVENTS: dict[signal.Signals, events.Event] = {
     signal.SIGTERM: events.StopRequested(),
     signal.SIGINT: events.StopRequested(),
@@ -46,11 +46,11 @@
 
 
 class Daemon:
-    """Gives events to one state machine and carries out the effects that it gives back.
+    """Passes events to one state machine and executes the effects that it returns.
 
-    `http_address` serves operators and health checks; `address`, if given, is that of the node among the others, and
-    needs a `NodeMachine`; `proxy_address`, if given, takes clients' requests to be forwarded; `folder`, if given, holds
-    the node's records.
+    `http_address` serves operators and health checks; `address`, if given, receives messages of other nodes and needs a
+    `NodeMachine`; `proxy_address`, if given, accepts client requests to forward; `folder`, if given, stores the node's
+    records.
     """
 
     def __init__(
@@ -78,18 +78,18 @@
         self.disk = self._disk_writer(folder) if folder else None
         self.effect_handlers = self._effect_handlers(cluster)
         self.exiting = asyncio.Event()
-        self.write_until = 0.0  # the loop's time until which an ending process waits for clients that read slowly
-        self.tick_wanted = asyncio.Event()  # something waits for the next tick
+        self.write_until = 0.0  # the loop's time until which an exiting process waits for slow readers
+        self.tick_wanted = asyncio.Event()  # set while the machine needs a tick at the shortest interval
 
     def _disk_writer(self, folder: "DataFolder") -> "DiskWriter":
-        # imported here: an edge has no folder, and starts sooner without
+        # imported here: an edge without a data folder starts faster without these modules
         from sumachook.nodes.disk_writer import DiskWriter
         from sumachook.storage.layout import LOG
 
         return DiskWriter(folder, self._hear, self.log, self.clock.mono, LOG)
 
     async def run(self) -> int:
-        """Serves until the machine asks to exit; the exit code, with which the process is to end."""
+        """Serves until the machine returns `Exit`; returns the exit code for the process."""
         loop = asyncio.get_running_loop()
         for signal_number, event in SIGNAL_EVENTS.items():
             loop.add_signal_handler(signal_number, self._hear, event)
@@ -100,9 +100,9 @@
 
     @staticmethod
     def _ignore_signals() -> None:
-        """The process is ending: a signal no longer changes how.
+        """Ignores further signals, so that none changes the exit code of a process that is exiting.
 
-        The loop would give the signals their default handlers back as it closes, some tens of ms before the end.
+        As it closes, the loop would restore the default signal handlers, some tens of ms before the process exits.
         """
         loop = asyncio.get_running_loop()
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNAL_EVENTS)
@@ -112,10 +112,10 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNAL_EVENTS)
 
     def _log_connection_ends(self) -> None:
-        """The last line of a process that serves clients: how many connections ended, by what ended them."""
+        """Logs how many client connections ended, by cause; the last log line of a process with a proxy server."""
         if self.proxy_server is not None:
             ends = {str(ended_by): count for ended_by, count in self.proxy_server.end_counts.items()}
-            self.log("info", "daemon", "Clients' connections have ended.", {"ends": ends})
+            self.log("info", "daemon", "Client connections have ended.", {"ends": ends})
 
     def _tasks(self) -> dict[str, Callable[[], Any]]:
         tasks = {
@@ -136,7 +136,7 @@
         return tasks
 
     async def _wait_for_exit(self) -> None:
-        """Waits for the machine's word, and then until messages and answers have left the process."""
+        """Waits for the machine's `Exit`, then until messages and responses are sent or `write_until` has passed."""
         await self.exiting.wait()
         await asyncio.sleep(LAST_MESSAGES.total_seconds())
         servers = [server for server in (self.http_server, self.proxy_server) if server is not None]
@@ -152,7 +152,7 @@
 
     @property
     def _tick_interval(self) -> timedelta:
-        """What the machine asks for; a stand-in that asks for nothing gets every tick."""
+        """The machine's tick interval, or the shortest for a machine that defines none, such as a stand-in server."""
         return getattr(self.machine, "tick_interval", TICK)
 
     async def _run_ticks(self) -> None:
@@ -167,12 +167,12 @@
             self._note_lateness(timedelta(seconds=loop.time() - begun_at) - longest)
 
     def _note_lateness(self, late: timedelta) -> None:
-        """Tells of a tick so late that this process stood still: what is late or cut then has its cause here."""
+        """Logs a tick so late that this process was stalled: the likely cause of timeouts and cut responses then."""
         if late >= STALL:
             self.log("warning", "daemon", "This process stood still.", {"seconds": round(late.total_seconds(), 3)})
 
     async def _wait_for_next_tick(self) -> None:
-        """Waits as long as nothing in the machine waits for a tick, or until an event gives it something that does."""
+        """Waits for the machine's tick interval, or the shortest one after an event that makes the machine need it."""
         loop = asyncio.get_running_loop()
         shortest = TICK.total_seconds()
         begun_at = loop.time()
@@ -189,13 +189,13 @@
     # events -----------------------------------------------------------------------------
 
     def _hear(self, event: Any) -> None:
-        """Takes events one after the other, also those that an effect gives rise to."""
+        """Queues an event for the machine, also one caused by an effect; shortens the tick interval if needed."""
         self.inbox.put(event)
         if not self.tick_wanted.is_set() and self._tick_interval <= TICK:
             self.tick_wanted.set()
 
     def _take(self, event: Any) -> Sequence[effects.Effect]:
-        """An event that the machine cannot take is dropped and logged; the process goes on."""
+        """Passes an event to the machine; an exception is logged, an HTTP request is answered with 500."""
         try:
             return self.machine.take(event, self.clock.mono())
         except Exception as error:
@@ -208,7 +208,7 @@
     # effects ----------------------------------------------------------------------------
 
     def _effect_handlers(self, cluster: str) -> dict[type, Callable[[Any], None]]:
-        """How each effect is carried out, by its class; those of sockets and files that there are not are missing."""
+        """Returns the handler of each class of effects; without a socket or folder, its effects have none."""
         handlers: dict[type, Callable[[Any], None]] = {
             effects.Fetch: self.http_client.fetch,
             effects.CancelCall: self._cancel_call,
@@ -244,7 +244,7 @@
         }
 
     def _carry_out(self, effect: effects.Effect) -> None:
-        """An effect that fails is logged; it belongs to no request that happens to be delivered now, and ends none."""
+        """Executes an effect; a failure is logged and does not fail the current event, which may be unrelated."""
         try:
             self.effect_handlers[type(effect)](effect)
         except Exception as error:
@@ -252,7 +252,7 @@
             self.log("error", "daemon", "An effect could not be carried out.", fields)
 
     def _answer(self, effect: ResponseEffect) -> None:
-        """Ids of forwarded requests are tuples, those of the node's own HTTP address numbers."""
+        """Passes a response to its server: call ids of the proxy server are tuples, others are numbers."""
         if self.proxy_server is not None and isinstance(effect.call_id, tuple):
             self.proxy_server.answer(effect)
         else:
@@ -279,5 +279,5 @@
 
 
 def _class_name(event: Any) -> str:
-    """The class of an event, or of the message in it, for the log."""
+    """Returns the class name of an event, or of the message that it contains, for the log."""
     return type(event.message if isinstance(event, events.MessageReceived) else event).__name__
--- a/sumachook/nodes/data_folder.py
+++ b/sumachook/nodes/data_folder.py
@@ -1,4 +1,4 @@
-"""The data folder of a node, as a start opens it."""
+"""Opens a node's data folder at the start of the process."""
 
 import time
 from itertools import count
@@ -11,14 +11,14 @@
 from sumachook.storage.folder import DataFolder, Opened
 from sumachook.storage.layout import EARLIER_LOG, FILES, IDENTITY_FILES, LOG
 
-EARLIER_LOG_HELP = "the log of an earlier version cannot be taken over; see Upgrade in docs/operations.md"
-REOPEN_DELAY_S = 0.25  # between two tries of a disk that refuses
+EARLIER_LOG_HELP = "the log of an earlier version cannot be migrated; see Upgrade in docs/operations.md"
+REOPEN_DELAY_S = 0.25  # between two attempts to open the folder on a failing disk
 TRIES_PER_LOG_LINE = 40
-VOTER_RECORD = "seat"  # the kind of the record that names the voter a data folder belongs to
+VOTER_RECORD = "seat"  # kind of the log record that names the voter a data folder belongs to
 
 
 def open_node_folder(path: str, node: str, log: LogFunction) -> tuple[DataFolder, dict[str, Any]]:
-    """The folder and its records; ends the command where it is another node's."""
+    """Opens the folder and returns it with its records; exits with `USAGE` if it belongs to another node."""
     folder = DataFolder(RealFileSystem(Path(path)))
     records: dict[str, Any] = open_folder(folder, log).records
     voter = next((record[1] for record in records.get(LOG, ()) if record[0] == VOTER_RECORD), "")
@@ -28,9 +28,9 @@
 
 
 def open_folder(folder: DataFolder, log: LogFunction) -> Opened:
-    """What the data folder holds.
+    """Reads the data folder and logs damaged files; exits with `USAGE` if it contains the log of an earlier version.
 
-    Waits for as long as the disk refuses, since nothing may be done on what could be lost again.
+    Retries for as long as the disk fails: a node must not act on data that could be lost again.
     """
     path = folder.file_system.location
     opened = _open_when_possible(folder, log)
@@ -40,7 +40,7 @@
         fields = {"file": damage.name, "reason": damage.reason, "kept": damage.kept_as}
         log("error", "storage", "A file is damaged and was set aside.", fields)
     if any(damage.name in IDENTITY_FILES for damage in opened.damages):
-        log("error", "storage", "This core gives its identity up and starts as a blank one.", {})
+        log("error", "storage", "Identity lost to a damaged file: this core starts as a new voter.", {})
     return opened
 
 
@@ -52,6 +52,6 @@
             fail(USAGE, f"{folder.file_system.location}: {error.strerror}")
         except OSError as error:
             if tries % TRIES_PER_LOG_LINE == 0:
-                log("warning", "storage", "The data folder cannot be opened, trying again.", {"error": str(error)})
+                log("warning", "storage", "Cannot open the data folder, retrying.", {"error": str(error)})
             time.sleep(REOPEN_DELAY_S)
     raise AssertionError("unreachable")
--- a/sumachook/nodes/disk_writer.py
+++ b/sumachook/nodes/disk_writer.py
@@ -1,4 +1,4 @@
-"""The task of a host that brings a machine's writes to the disk, whatever state that is in."""
+"""Writes a machine's records to disk in the background, retrying for as long as the disk fails."""
 
 import asyncio
 import queue
@@ -10,15 +10,15 @@
 from sumachook.storage.folder import DataFolder
 from sumachook.storage.write_queue import Write, WriteQueue, WriteStep
 
-FIRST_RETRY_DELAY = timedelta(seconds=0.05)  # short, since most refusals pass at once; doubled up to the maximum
+FIRST_RETRY_DELAY = timedelta(seconds=0.05)  # short, since most errors are transient; doubled up to the maximum
 MAX_RETRY_DELAY = timedelta(seconds=0.5)
 
 
 class DiskWriter:
-    """Writes one step after the other, off the loop; the machine gets a followup only after its sync.
+    """Writes queued steps in order in a worker thread; a followup event is emitted only after its step is synced.
 
-    A step that the disk refuses is tried again after a delay, for as long as it takes. `hear` gets the followups, and a
-    `DiskStateChanged` whenever the disk stops or begins to take records.
+    A step that fails is retried with a delay, without a limit. `hear` receives the followups, and a `DiskStateChanged`
+    whenever the disk stops or resumes accepting writes.
     """
 
     __slots__ = ("folder", "hear", "log", "mono", "queue", "write_arrived")
@@ -39,23 +39,25 @@
         self.write_arrived = asyncio.Event()
 
     def put(self, write: Write) -> None:
-        """Add a write; comes back at once."""
+        """Queues a write; returns without waiting for the disk."""
         self.queue.put(write, self.mono())
         self.write_arrived.set()
 
     def check_state(self) -> None:
-        """Report a change of the disk's state to the machine; called with each tick, also while a write hangs."""
+        """Reports a change of the disk's state to the machine; called at each tick, also while a write hangs."""
         change = self.queue.state_change(self.mono())
         if change is None:
             return
         if change.is_available:
-            self.log("info", "storage", "The disk takes records again.", {})
+            self.log("info", "storage", "The disk accepts writes again.", {})
         else:
-            self.log("warning", "storage", "The disk does not take records, standing aside.", {"reason": change.reason})
+            self.log(
+                "warning", "storage", "The disk accepts no writes; pausing durable work.", {"reason": change.reason}
+            )
         self.hear(change)
 
     async def run(self) -> None:
-        """Goes on until it is cancelled."""
+        """Writes queued steps until the task is cancelled."""
         worker = _Worker()
         while True:
             step = self.queue.begin_step(self.mono())
@@ -87,11 +89,11 @@
         removed = self.folder.day_logs.removed
         self.folder.day_logs.removed = []
         if removed:
-            self.log("warning", "storage", "The oldest day logs gave way to new ones.", {"files": removed})
+            self.log("warning", "storage", "Removed the oldest day logs to make space.", {"files": removed})
 
 
 class _Worker:
-    """One thread that writes; a daemon thread, so that a process can end while its disk hangs."""
+    """Runs writes in one thread; a daemon thread, so that the process can exit while its disk hangs."""
 
     __slots__ = ("jobs",)
 
@@ -100,7 +102,7 @@
         threading.Thread(target=self._run, name="disk", daemon=True).start()
 
     async def call(self, function: Callable[..., Any], *arguments: Any) -> Any:
-        """What `function` gives or raises in the thread."""
+        """Runs `function` in the thread and returns its result or raises its exception."""
         loop = asyncio.get_running_loop()
         future = loop.create_future()
         self.jobs.put((loop, future, function, arguments))
@@ -116,7 +118,7 @@
             try:
                 loop.call_soon_threadsafe(_settle, future, *answer)
             except RuntimeError:
-                return  # the loop has ended
+                return  # the event loop is closed
 
 
 def _settle(future: asyncio.Future[Any], settle: Callable[[Any], None], value: Any) -> None:
--- a/sumachook/nodes/edge.py
+++ b/sumachook/nodes/edge.py
@@ -1,4 +1,4 @@
-"""An edge: the router that clients call."""
+"""An edge: a node that receives client requests and forwards them to model servers."""
 
 from collections.abc import Mapping, Sequence
 from datetime import timedelta
@@ -40,22 +40,22 @@
 
 
 class Edge:
-    """The state machine of an edge: `take` gets an event and the time, and gives the effects that its host carries out.
+    """The state machine of an edge: `take` handles an event at a given time and returns effects for its host.
 
     Parameters
     ----------
     settings
-        What the process was started with.
+        The settings of the process.
     records
-        What its data folder holds, by file; empty where it has none.
+        The contents of its data folder, by file; empty without a data folder.
     restart_epoch
-        Higher at each start of the same node.
+        Increases with each start of the same node.
     clock
-        The clocks of the process; time-outs go by the `now` of `take`.
+        The clocks of the process; timeouts use the `now` passed to `take`.
     random
-        The source of all its random draws.
+        The source of all random numbers.
     request_port
-        Names of headers of forwarded requests; those of this project by default.
+        Header names of forwarded requests; by default those of this project.
     """
 
     __slots__ = (
@@ -157,12 +157,12 @@
             self.proxy_pipeline = ProxyPipeline(table)
 
     def take(self, event: object, now: timedelta) -> list[Effect]:
-        """The effects of one event; raises `UnhandledEventError` for one that no edge takes."""
+        """Handles one event and returns its effects; raises `UnhandledEventError` for a class that no edge handles."""
         return self.dispatcher.deliver(event, now)
 
     @property
     def tick_interval(self) -> timedelta:
-        """The longest time until the next tick, by what this edge has in hand now (docs/design/processes.md)."""
+        """The longest time until the next tick; shorter while requests are in progress (docs/design/processes.md)."""
         if self.shutdown.has_begun or self.inference_pipeline.table.requests or not self.places.is_known:
             return TICK
         if self.proxy_pipeline is None:
@@ -174,25 +174,25 @@
 
     @property
     def pipelines(self) -> tuple[InferencePipeline | ProxyPipeline, ...]:
-        """The request pipelines that this edge has."""
+        """The inference pipeline and, with a proxy address, the proxy pipeline."""
         if self.proxy_pipeline is None:
             return (self.inference_pipeline,)
         return self.inference_pipeline, self.proxy_pipeline
 
     @property
     def ignored(self) -> int:
-        """Messages of other nodes that could not be read, or that no part of an edge takes."""
+        """The number of messages of other nodes that could not be decoded or that no component of an edge handles."""
         return self.routing.ignored_messages
 
     def handle_proxy_request(self, event: ProxyRequestReceived, now: timedelta) -> list[Any]:
-        """A client's request that is to be forwarded."""
+        """Passes a client's request to the proxy pipeline; raises `TypeError` on an edge without a proxy address."""
         if self.proxy_pipeline is None:
-            raise TypeError("an edge without a proxy address got a request to forward")
+            raise TypeError("proxy request received by an edge without a proxy address")
         self.shutdown.note_request(now)
         return self.proxy_pipeline.take(event, now)
 
     def handle_http_request(self, event: HttpRequestReceived, now: timedelta) -> list[Any]:
-        """A request at the edge's own HTTP address."""
+        """Answers /condition and /metrics; passes any other request at the HTTP address to the inference pipeline."""
         if event.path == "/condition":
             return [reply(event.call_id, *condition(self, now))]
         if event.path == "/metrics":
@@ -200,7 +200,7 @@
         return self.inference_pipeline.take(event, now)
 
     def handle_stop(self, event: StopRequested, now: timedelta) -> list[Any]:
-        """The process was told to end: requests in flight are finished, then it exits.
+        """Starts the drain on a stop signal: requests in flight are finished, then the process exits.
 
         Only the first signal counts: the grace period, after which the process is killed, began with it.
         """
@@ -211,11 +211,11 @@
             pipeline.take(DrainStarted(), now)
         self.ledger_writer.take(LeaveRequested(), now)
         in_flight = {"inHand": len(self.inference_pipeline.table.requests)}
-        note = Log("info", "edge", "Leaving, no new requests.", in_flight)
+        note = Log("info", "edge", "Leaving: draining the requests in flight.", in_flight)
         return [note, *self.membership.take(event, now)]
 
     def update_peers(self, now: timedelta) -> None:
-        """Other edges came or went: the parts of shared limits follow (docs/design/inference.md)."""
+        """Updates this edge's share of limits that all edges divide among them (docs/design/inference.md)."""
         peers = self.peers.recent_edges(now)
         table = self.inference_pipeline.table
         table.edges = self.peers.live_edges()
@@ -230,9 +230,10 @@
             self.retry_budget.cap = self._savings(self.settings.resend_slack, rank, len(peers), now)
 
     def _savings(self, slack: float, rank: int, edge_count: int, now: timedelta) -> float:
-        """What this edge may save up, so that all edges together save up less than the slack.
+        """Returns the cap on this edge's saved retry credit; the caps of all edges together stay below the slack.
 
-        After `PEER_MEMORY` the edges on the side of the cores divide the slack without this one, if it is on the other.
+        An edge cut off from the cores gets 0 after `PEER_MEMORY`: the edges on the cores' side then divide the slack
+        without it.
         """
         is_isolated = now - self.ticks.connected_at > PEER_MEMORY
         return 0.0 if is_isolated else share_of_savings(slack, rank, edge_count)
--- a/sumachook/nodes/edge_peers.py
+++ b/sumachook/nodes/edge_peers.py
@@ -1,4 +1,4 @@
-"""Whom an edge speaks to: cores, holders of singleton roles, and other edges."""
+"""Looks up the nodes that an edge sends messages to: cores, holders of singleton roles and other edges."""
 
 from datetime import timedelta
 
@@ -6,12 +6,12 @@
 from sumachook.membership.member import LIVE_STATUSES, MemberStatus
 from sumachook.membership.membership import Membership
 
-# An edge that is gone still counts for so long in the parts of shared limits: each side of a split counts the other.
+# A failed edge keeps its share of common limits for this long, so that each side of a partition counts the other.
 PEER_MEMORY = timedelta(seconds=60)
 
 
 class EdgePeers:
-    """The other nodes as this edge knows them from membership and from the control state."""
+    """Returns names and addresses of other nodes, from the membership and from the control state."""
 
     __slots__ = ("node", "zone", "membership", "state")
 
@@ -22,11 +22,11 @@
         self.state = state
 
     def live_edges(self) -> tuple[str, ...]:
-        """Names of all live edges, this one among them, in order."""
+        """Returns the sorted names of all live edges, including this one."""
         return tuple(sorted({self.node, *self._live_edge_names()}))
 
     def recent_edges(self, now: timedelta) -> tuple[str, ...]:
-        """Names of the live edges and of those gone for less than `PEER_MEMORY`, in order."""
+        """Returns the sorted names of the live edges and of those that failed less than `PEER_MEMORY` ago."""
         gone = [
             member.node
             for member in self.membership.members.values()
@@ -39,21 +39,21 @@
         return [member.node for member in members if member.role == "edge" and member.status in LIVE_STATUSES]
 
     def relays(self) -> tuple[str, ...]:
-        """Addresses of other edges that may relay records, those of other zones first (docs/design/ledger.md)."""
+        """Returns addresses of other edges that may relay ledger records, other zones first (docs/design/ledger.md)."""
         edges = [member for member in self.membership.live if member.role == "edge"]
         ordered = sorted(edges, key=lambda member: (member.zone == self.zone, member.node))
         return tuple(member.address for member in ordered)
 
     def cores(self) -> tuple[str, ...]:
-        """Addresses of the live cores; without one those of the voters, without these the seeds."""
+        """Returns the addresses of the live cores; if there are none, of the voters, else of the seeds."""
         live = [member.address for member in self.membership.live if member.role == "core"]
         return tuple(sorted(live) or sorted(self.state.voting_members.values()) or self.membership.seeds)
 
     def holders_of(self, role: str) -> tuple[str, ...]:
-        """Where what a singleton role needs is sent: to its holder, or to every core while it is vacant."""
+        """Returns the address of a singleton role's holder, or those of all cores while the role is vacant."""
         holder = self.holder_of(role)
         return (holder,) if holder else self.cores()
 
     def holder_of(self, role: str) -> str | None:
-        """The address of a singleton role's holder, or None while it is vacant."""
+        """Returns the address of a singleton role's holder, or None while the role is vacant."""
         return self.state.voting_members.get(self.state.duties[role][0])
--- a/sumachook/nodes/edge_routing.py
+++ b/sumachook/nodes/edge_routing.py
@@ -1,4 +1,4 @@
-"""Which part of an edge takes an event, a message of another node, or an effect of another part."""
+"""Routes events, messages of other nodes and internal effects to the components of an edge."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
@@ -40,7 +40,7 @@
 
 
 class EdgeRouting:
-    """Hands events and messages to the parts of an edge; decides nothing."""
+    """Maps each class of events and messages to the component of an edge that handles it."""
 
     __slots__ = ("edge", "message_handlers", "ignored_messages")
 
@@ -50,7 +50,7 @@
         self.ignored_messages = 0
 
     def event_handlers(self) -> dict[type, Handler]:
-        """The handler of each class of events, and of effects that one part gives another."""
+        """Returns the handler of each class of events, and of effects that one component sends to another."""
         edge = self.edge
         return {
             events.Tick: edge.ticks.take,
@@ -66,7 +66,7 @@
             DiskStateChanged: self._handle_disk_state,
             MemberChanged: self._handle_member_changed,
             IncarnationRaised: ignore,
-            PlacementsAdded: ignore,  # the pipeline looks at its requests after each placement update
+            PlacementsAdded: ignore,  # the pipeline rechecks its waiting requests after each placement update
             PlacementRequest: self._handle_placement_request,
             ChangesApplied: self._handle_changes_applied,
             StateRestored: self._handle_state_restored,
@@ -91,7 +91,7 @@
             EjectServers: self._handle_eject_servers,
         }
 
-    # calls ------------------------------------------------------------------------
+    # results of calls to servers, admission decisions -----------------------------
 
     def _handle_call(self, event: Any, now: timedelta) -> list[Any]:
         edge = self.edge
@@ -139,7 +139,7 @@
     def _tell_proxy_pipeline(self, event: events.Event, now: timedelta) -> list[Any]:
         return self.edge.proxy_pipeline.take(event, now) if self.edge.proxy_pipeline is not None else []
 
-    # effects of one part for another ----------------------------------------------
+    # effects of one component for another -----------------------------------------
 
     def _handle_disk_state(self, event: DiskStateChanged, now: timedelta) -> Any:
         return self.edge.ledger_writer.take(DiskAvailabilityChanged(event.is_available), now)
--- a/sumachook/nodes/edge_shutdown.py
+++ b/sumachook/nodes/edge_shutdown.py
@@ -1,4 +1,4 @@
-"""An edge that was told to leave: when it takes no more connections, and when it exits (docs/design/forwarding.md)."""
+"""Shutdown of an edge: when it stops accepting connections and when it exits (docs/design/forwarding.md)."""
 
 from datetime import timedelta
 from typing import Any
@@ -9,16 +9,16 @@
 from sumachook.ledger.writer import LedgerWriter
 from sumachook.requests.events import DrainEnded, ProxyServerClosed
 
-FINAL_ANSWERS_BEFORE_END = timedelta(seconds=0.8)  # of the grace period
-MIN_OPEN_TIME = timedelta(seconds=2.5)  # after the signal: until the readiness answer has reached who sends clients
-# Of the grace period: what is taken later has too little of it left, and its answer may be cut off at the end.
+FINAL_ANSWERS_BEFORE_END = timedelta(seconds=0.8)  # at which requests still in flight get their final answer
+MIN_OPEN_TIME = timedelta(seconds=2.5)  # until load balancers have seen that this edge is not ready
+# Fraction of the grace period in which requests are accepted: the response to a later one might be cut off at its end.
 MAX_OPEN_FRACTION = 0.36
-QUIET_TIME = timedelta(seconds=1)  # without a request: nobody sends clients any more
+QUIET_TIME = timedelta(seconds=1)  # so long without a request means that load balancers send no more clients
 INFERENCE_GRACE_STEP = timedelta(seconds=1)  # between two rounds of final answers
 
 
 class EdgeShutdown:
-    """`begin` is the signal, `note_request` each request of a client, `step` a tick after the signal."""
+    """Tracks the time since the stop signal and the last request; `step`, called at each tick, returns what is due."""
 
     __slots__ = ("grace", "stop_by", "stopped_at", "quiet_since", "is_proxy_server_closed")
 
@@ -31,17 +31,17 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether the signal came."""
+        """Whether the stop signal was received."""
         return self.stop_by is not None
 
     def begin(self, now: timedelta) -> None:
-        """The signal to leave."""
+        """Sets the deadline of requests in flight; called at the stop signal."""
         self.stop_by = now + self.grace - FINAL_ANSWERS_BEFORE_END
         self.stopped_at = now
         self.quiet_since = now
 
     def note_request(self, now: timedelta) -> None:
-        """A client sent a request to be forwarded."""
+        """Records the time of a client's proxy request; the proxy server closes only after `QUIET_TIME` without one."""
         self.quiet_since = now
 
     def step(
@@ -51,7 +51,7 @@
         ledger_writer: LedgerWriter,
         now: timedelta,
     ) -> list[Any]:
-        """What is to be done now, `Exit` at the end; nothing before the signal."""
+        """Returns the effects due now, `Exit` at the end; returns nothing before the stop signal."""
         if self.stop_by is None:
             return []
         table = inference_pipeline.table
@@ -68,9 +68,9 @@
     def _step_forwarding(
         self, inference_pipeline: InferencePipeline, proxy_pipeline: ProxyPipeline, is_done: bool, now: timedelta
     ) -> list[Any]:
-        """Takes clients until the readiness answer has reached whoever sends them; then finishes what is in flight.
+        """Accepts clients until load balancers have seen that this edge is not ready; then finishes requests in flight.
 
-        Shortly before the end of the grace period that gets its final answer.
+        Requests still in flight shortly before the end of the grace period get a final answer.
         """
         effects: list[Any] = []
         if self._may_close_proxy_server(now):
@@ -85,7 +85,7 @@
         return [*effects, self._exit(now)] if may_exit else effects
 
     def _exit(self, now: timedelta) -> Exit:
-        """The end; clients that read slowly have until shortly before the end of the grace period."""
+        """Returns `Exit`; slow readers have until shortly before the end of the grace period."""
         if self.stop_by is None:
             return Exit(0)
         return Exit(0, max(timedelta(0), self.stop_by + FINAL_ANSWERS_BEFORE_END / 2 - now))
--- a/sumachook/nodes/edge_status.py
+++ b/sumachook/nodes/edge_status.py
@@ -1,4 +1,4 @@
-"""What an edge answers about itself."""
+"""The documents of an edge's /condition and /metrics endpoints."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
@@ -10,11 +10,11 @@
 
 
 def condition(edge: "Edge", now: timedelta) -> tuple[int, dict[str, Any]]:
-    """(status, document) of its readiness."""
+    """Returns the HTTP status, 200 if ready and 503 if not, and the document of the readiness check."""
     trust = edge.follower.trust(now)
     is_open = edge.settings.front is not None or edge.state.is_open(
         edge.settings.zone
-    )  # evacuating a forwarding area closes its servers
+    )  # in a forwarding area, evacuation closes the servers, not the edges
     is_leaving = edge.shutdown.has_begun
     is_ready = trust in (Trust.FRESH, Trust.DISCONNECTED) and not is_leaving and is_open
     doc = {
@@ -31,7 +31,7 @@
 
 
 def metrics(edge: "Edge", now: timedelta) -> dict[str, Any]:
-    """Its counters."""
+    """Returns the counters and gauges of an edge."""
     table = edge.inference_pipeline.table
     return {
         "node": edge.node,
--- a/sumachook/nodes/edge_tick.py
+++ b/sumachook/nodes/edge_tick.py
@@ -1,4 +1,4 @@
-"""What an edge does with each tick."""
+"""Periodic work of an edge, done at each tick."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
@@ -21,14 +21,14 @@
     from sumachook.nodes.edge import Edge
 
 DISCONNECTED_AFTER = timedelta(seconds=2)  # without a proof that the state is fresh
-EDGES_KNOWN_AFTER = timedelta(seconds=3)  # from the start of the process
-CLOCK_KNOWN_AFTER = EDGES_KNOWN_AFTER * 10  # whatever the cores say
+EDGES_KNOWN_AFTER = timedelta(seconds=3)  # after the start, the membership is taken as complete
+CLOCK_KNOWN_AFTER = EDGES_KNOWN_AFTER * 10  # after the start, even if the cores have not agreed on a time
 PLACEMENT_RETRY_INTERVAL = timedelta(seconds=0.1)
 DEMAND_INTERVAL = timedelta(seconds=1)
 
 
 class EdgeTick:
-    """Gives every part of an edge its tick, in a fixed order, and sends the reports that are due."""
+    """Ticks every component of an edge in a fixed order and sends the reports that are due."""
 
     __slots__ = (
         "edge",
@@ -43,14 +43,14 @@
     def __init__(self, edge: "Edge", now: timedelta) -> None:
         self.edge = edge
         self.started_at = now
-        self.connected_at = now  # when a core last vouched for the state, or the start
+        self.connected_at = now  # when the state was last proved fresh, initially the start
         self.was_disconnected = False
         self.asked_placements_at = now
         self.next_demand_at = now
         self.applied_limits: Limits | None = None
 
     def take(self, event: Tick, now: timedelta) -> list[Any]:
-        """The effects of one tick."""
+        """Runs one tick and returns its effects; ends with `Exit` once a shutdown is complete."""
         edge = self.edge
         effects = self._tick_control(now)
         self._update_knowledge(now)
@@ -61,7 +61,7 @@
         return effects + edge.shutdown.step(edge.inference_pipeline, edge.proxy_pipeline, edge.ledger_writer, now)
 
     def _tick_control(self, now: timedelta) -> list[Any]:
-        """Membership, the change feed, the ledger, the retry budget and the quotas."""
+        """Ticks membership, the change feed, the ledger writer, the retry budget and the quotas."""
         edge = self.edge
         effects: list[Any] = edge.membership.take(membership_events.Tick(edge.follower.number), now)
         cores = edge.peers.cores()
@@ -73,7 +73,7 @@
         return effects + self._tick_quotas(cores, now)
 
     def _tick_quotas(self, cores: tuple[str, ...], now: timedelta) -> list[Any]:
-        """Who grants quota leases, who else might, and among how many edges the floors are divided meanwhile."""
+        """Ticks the rate limiter with the issuer of quota leases, the cores and the edge count that divides floors."""
         edge = self.edge
         catalogue = edge.state.catalogue
         if not (edge.rate_limiter.quotas or (catalogue is not None and catalogue.tenants)):
@@ -84,7 +84,7 @@
         return list(edge.rate_limiter.take(tick, now))
 
     def _update_knowledge(self, now: timedelta) -> None:
-        """Whether the other edges and the time of the cluster are known by now."""
+        """Updates the flags for whether the other edges and the cluster's time are known yet."""
         table, clock = self.edge.inference_pipeline.table, self.edge.cluster_clock
         age = now - self.started_at
         is_old = age > EDGES_KNOWN_AFTER
@@ -107,7 +107,7 @@
         return effects
 
     def _report_usage(self, pipeline: ProxyPipeline, now: timedelta) -> list[Effect]:
-        """Reports of the proxy pipeline to the placer; asks it for the placements while none are known."""
+        """Sends the proxy pipeline's usage and outcomes to the placer; requests the placements while none are known."""
         effects: list[Effect] = []
         usage = self.edge.usage_report.take(pipeline.table, now)
         if usage is not None:
@@ -136,7 +136,7 @@
         return [Send(core, report) for core in self.edge.peers.cores()]
 
     def _apply_limits(self) -> list[Effect]:
-        """The proxy server obeys the configuration's limits of clients."""
+        """Applies changed client limits of the configuration to the proxy server."""
         catalogue = self.edge.state.catalogue
         if self.edge.proxy_pipeline is None or catalogue is None or catalogue.limits == self.applied_limits:
             return []
--- a/sumachook/nodes/event_dispatcher.py
+++ b/sumachook/nodes/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Delivery of events to the parts of a node, by their class."""
+"""Dispatches events to the components of a node by class."""
 
 from collections import deque
 from collections.abc import Callable, Mapping, Sequence
@@ -11,17 +11,17 @@
 
 
 class UnhandledEventError(TypeError):
-    """No part of this node takes an event or an effect of this class."""
+    """Raised for an event or effect of a class that no component of this node handles."""
 
     def __init__(self, event: object) -> None:
-        super().__init__(f"no part takes this: {event!r}")
+        super().__init__(f"no handler for {event!r}")
 
 
 class EventDispatcher:
-    """Calls the handler of an event's class, and in turn those of the effects that are for another part.
+    """Calls the handler of an event's class, then the handlers of the effects it returns for other components.
 
-    An effect whose class has a handler is delivered to it after all effects that came before it; one of
-    `host.effects.HOST_EFFECTS` is for the host.
+    Effects with a handler are delivered in the order in which they were returned; those of
+    `host.effects.HOST_EFFECTS` are collected for the host.
 
     >>> class Ping(Effect, frozen=True): pass
     >>> from sumachook.host.effects import Exit
@@ -37,7 +37,7 @@
         self._handlers = handlers
 
     def deliver(self, event: object, now: timedelta) -> list[Effect]:
-        """The effects for the host; raises `UnhandledEventError` for what neither a part nor the host takes."""
+        """Returns the effects for the host; raises `UnhandledEventError` for an event or effect without a handler."""
         handlers = self._handlers
         effects: list[Effect] = []
         waiting: deque[object] = deque((event,))
@@ -58,5 +58,5 @@
 
 
 def ignore(event: object, now: timedelta) -> list[Effect]:
-    """The handler of what a node need not act on."""
+    """Does nothing; the handler of events and effects that a node need not act on."""
     return []
--- a/sumachook/nodes/inbox.py
+++ b/sumachook/nodes/inbox.py
@@ -1,4 +1,4 @@
-"""The order in which a host gives events to its state machine."""
+"""Serializes the events that a host delivers to its state machine."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -9,17 +9,17 @@
 
 
 class Inbox(Generic[EventT, EffectT]):
-    """Gives events to a state machine one after the other, and carries out the effects of each before the next.
+    """Delivers events to a state machine one at a time and executes the effects of each before the next.
 
-    An event that an effect gives rise to waits until the effects before it are carried out: the machine is never
-    entered twice.
+    An event caused by an effect waits until all effects of the current event are executed: the machine is never
+    re-entered.
 
     Parameters
     ----------
     take
-        Gives one event to the machine and returns its effects.
+        Passes one event to the machine and returns its effects.
     carry_out
-        Carries out one effect; it may call `put`.
+        Executes one effect; it may call `put`.
     """
 
     __slots__ = ("_take", "_carry_out", "_events", "_is_delivering")
@@ -31,10 +31,10 @@
         self._is_delivering = False
 
     def put(self, event: EventT) -> None:
-        """Gives the event to the machine at once, or, while another one is being delivered, after it.
+        """Delivers the event immediately or, during the delivery of another one, queues it.
 
-        An exception of `take` or `carry_out` is raised to the caller of the outermost `put`; events that still wait are
-        delivered with the next one.
+        An exception of `take` or `carry_out` is raised to the caller of the outermost `put`; events still queued are
+        delivered at the next `put`.
         """
         self._events.append(event)
         if self._is_delivering:
--- a/sumachook/nodes/ledger_search.py
+++ b/sumachook/nodes/ledger_search.py
@@ -1,4 +1,4 @@
-"""Finds the record of a request over the replicas of all cores."""
+"""Finds the ledger record of a request by asking the replicas on all cores."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -11,12 +11,12 @@
 from sumachook.ledger.replica_store import ReplicaStore
 from sumachook.nodes.replies import fault_reply, reply
 
-SEARCH_TIMEOUT = timedelta(seconds=1)  # then the best record so far is the answer
+SEARCH_TIMEOUT = timedelta(seconds=1)  # then the best record found so far is returned
 
 
 @dataclass(slots=True)
 class Search:
-    """One client's search: the best record so far, and how many cores have not answered."""
+    """One client's search: the best record found so far and the number of cores that have not answered."""
 
     call_id: CallId
     record: Record | None
@@ -26,13 +26,13 @@
 
 @dataclass(slots=True)
 class LedgerSearch:
-    """Asks the other cores where this core's replica has no final record."""
+    """Searches for ledger records; asks the other cores if this core's replica has no final record."""
 
     replica_store: ReplicaStore
     searches: dict[str, Search] = field(default_factory=dict)
 
     def begin(self, call_id: CallId, request: str, cores: list[str], now: timedelta) -> Sequence[Effect]:
-        """Answers at once, or asks the cores at these addresses."""
+        """Returns the reply if the local record is final, else messages that ask the cores at these addresses."""
         record = self.replica_store.find(request)
         if record is not None and _is_final(record):
             return [reply(call_id, 200, record)]
@@ -41,14 +41,14 @@
         return [Send(address, FindRecord(key, request)) for address in cores]
 
     def take(self, event: MessageReceived, now: timedelta) -> Sequence[Effect]:
-        """Handles a message of another core."""
+        """Answers another core's `FindRecord`, or adds its `RecordFound` to the search that asked for it."""
         message = event.message
         match message:
             case FindRecord(asker, request):
                 return [Send(event.address, RecordFound(asker, self.replica_store.find(request)))]
             case RecordFound(asker, record):
                 return self._on_record_found(asker, record, now)
-        raise TypeError(f"no message of a search: {message!r}")
+        raise TypeError(f"not a ledger search message: {message!r}")
 
     def _on_record_found(self, asker: str, record: Record | None, now: timedelta) -> Sequence[Effect]:
         search = self.searches.get(asker)
@@ -60,7 +60,7 @@
         return self.tick(now)
 
     def tick(self, now: timedelta) -> list[Reply]:
-        """Ends searches that all cores have answered, or that have waited long enough."""
+        """Answers searches that all cores have answered or that are older than `SEARCH_TIMEOUT`."""
         replies = []
         for key, search in list(self.searches.items()):
             if search.missing_answers <= 0 or now - search.started_at > SEARCH_TIMEOUT:
@@ -69,12 +69,12 @@
         return replies
 
     def close(self) -> list[CallId]:
-        """The calls of all searches; none waits any more."""
+        """Cancels all searches and returns their call ids."""
         searches, self.searches = list(self.searches.values()), {}
         return [search.call_id for search in searches]
 
     def handle_disconnect(self, call_id: CallId) -> None:
-        """Forgets the search of a client that disconnected."""
+        """Drops the search of a client that disconnected."""
         self.searches.pop(str(call_id), None)
 
 
--- a/sumachook/nodes/logs.py
+++ b/sumachook/nodes/logs.py
@@ -1,4 +1,4 @@
-"""Logs: JSON lines, short sentences, a prefix for each part."""
+"""Structured logging: JSON lines with a short sentence, prefixed with the component's name."""
 
 import logging
 import sys
@@ -8,7 +8,7 @@
 
 
 class Logs:
-    """`log` writes one line to standard error (docs/design/processes.md)."""
+    """Writes log lines to a stream, by default standard error (docs/design/processes.md)."""
 
     __slots__ = ("logger", "node")
 
@@ -26,6 +26,6 @@
         self.logger.handlers = [handler]
 
     def log(self, level: str, component: str, text: str, fields: dict[str, Any]) -> None:
-        """Writes a line: "debug", "info", "warning" or "error", the part that speaks, a sentence, and its fields."""
+        """Writes one line; `level` is "debug", "info", "warning" or "error". The field "name" is written as "call"."""
         own = {("call" if name == "name" else name): value for name, value in fields.items()}
         self.logger.log(getattr(logging, level.upper()), f"{component}: {text}", extra={"node": self.node, **own})
--- a/sumachook/nodes/reads.py
+++ b/sumachook/nodes/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads that wait for the consensus layer's word."""
+"""Linearizable reads that wait for the consensus layer."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -7,13 +7,13 @@
 from sumachook.host.events import CallId
 
 MAX_READS = 256
-# The consensus layer says "unreadable" half a second after it asked; this is for when it says nothing.
+# The consensus layer reports a failed read after half a second; this covers reads that it never answers.
 READ_TIMEOUT = timedelta(seconds=0.55)
 
 
 @dataclass(slots=True)
 class Read:
-    """One caller that waits for a read: `path` is what it asked for."""
+    """A read that an HTTP caller waits for; `path` is the requested path."""
 
     call_id: CallId
     path: str
@@ -22,13 +22,13 @@
 
 @dataclass(slots=True)
 class Reads:
-    """Reads by token; each is answered once, or its caller goes away first."""
+    """Pending reads by token; each is answered exactly once unless its caller disconnects first."""
 
     waiting: dict[str, Read] = field(default_factory=dict)
     last_number: int = 0
 
     def begin(self, call_id: CallId, path: str, now: timedelta) -> list[ReadRequested]:
-        """Asks for the read, or gives nothing where too many wait."""
+        """Requests a read; returns nothing if `MAX_READS` are pending."""
         if len(self.waiting) >= MAX_READS:
             return []
         self.last_number += 1
@@ -37,20 +37,20 @@
         return [ReadRequested(token)]
 
     def finish(self, token: str) -> Read | None:
-        """The read of a token, which waits no more, or None."""
+        """Removes and returns the read with this token, or returns None."""
         return self.waiting.pop(token, None)
 
     def handle_disconnect(self, call_id: CallId) -> None:
-        """Forgets the reads of a caller that went away."""
+        """Drops the reads of a caller that disconnected."""
         for token in [token for token, read in self.waiting.items() if read.call_id == call_id]:
             del self.waiting[token]
 
     def close(self) -> list[Read]:
-        """All reads; none waits any more."""
+        """Removes and returns all pending reads."""
         waiting, self.waiting = list(self.waiting.values()), {}
         return waiting
 
     def overdue(self, now: timedelta) -> list[Read]:
-        """Reads that were not answered in time; they wait no more."""
+        """Removes and returns the reads that were not answered within `READ_TIMEOUT`."""
         late = [token for token, read in self.waiting.items() if now - read.started_at > READ_TIMEOUT]
         return [self.waiting.pop(token) for token in late]
--- a/sumachook/nodes/replies.py
+++ b/sumachook/nodes/replies.py
@@ -1,4 +1,4 @@
-"""Answers in JSON to callers of a node's HTTP address."""
+"""JSON responses to callers of a node's HTTP address."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 def reply(call_id: CallId, status: int, body: Any, retry_after: float | None = None) -> Reply:
-    """The effect that answers a call with a JSON document; `retry_after` is in seconds."""
+    """Creates the response to a call with a JSON document; `retry_after` is in seconds."""
     headers = {**JSON, "Retry-After": str(retry_after)} if retry_after else JSON
     return Reply(call_id, status, headers, msgspec.json.encode(body))
 
@@ -19,12 +19,12 @@
 def fault_reply(
     call_id: CallId, status: int, name: str, reason: str, retry_after: float | None = None, **more: Any
 ) -> Reply:
-    """An answer that names what is wrong; `more` goes beside class and reason."""
+    """Creates an error response with a fault class and reason; `more` adds fields beside these."""
     return reply(call_id, status, {"fault": {"class": name, "reason": reason, **more}}, retry_after)
 
 
 def redirect(call_id: CallId, http_address: str, path: str) -> Reply:
-    """Hands the caller on to the same path at another node."""
+    """Creates a 307 redirect to this path at another node; it tells the caller that nothing was applied."""
     body = {"fault": {"class": "redirected", "reason": f"ask {http_address}", "applied": "no"}}
     headers = {**JSON, "Location": f"http://{http_address}{path}"}
     return Reply(call_id, 307, headers, msgspec.json.encode(body))
--- a/sumachook/nodes/serve.py
+++ b/sumachook/nodes/serve.py
@@ -1,4 +1,4 @@
-"""Runs one node as a process, wherever its settings come from."""
+"""Runs one node as a process, independently of the source of its settings."""
 
 import asyncio
 import os
@@ -14,29 +14,29 @@
 from sumachook.nodes.logs import Logs
 from sumachook.runtime.clock import Clock
 
-# exit codes of all commands
+# exit codes of all commands: refused by the cluster, wrong usage, no core reached
 REFUSED, USAGE, UNREACHED = 1, 2, 4
 MAX_OPERATOR_BODY_BYTES = 4 << 20
 
 
 def fail(code: int, *lines: str) -> NoReturn:
-    """Ends the command with this exit code, and these lines on standard error."""
+    """Prints the lines to standard error and exits with this code."""
     for line in lines:
         print(line, file=sys.stderr)
     raise SystemExit(code)
 
 
 def run_daemon(daemon: Daemon) -> NoReturn:
-    """Serves until the machine of the daemon asks to exit, and ends the process."""
+    """Serves until the daemon's machine returns `Exit`, then exits; exits with `USAGE` if a socket cannot be opened."""
     try:
         code = asyncio.run(daemon.run())
     except OSError as error:
-        fail(USAGE, f"cannot serve: {error}")
+        fail(USAGE, f"cannot start the servers: {error}")
     raise SystemExit(code)
 
 
 class NodeStart(NamedTuple):
-    """What the state machine of a node is made from, in the order of its parameters."""
+    """The arguments of a node's state machine, in the order of its parameters."""
 
     settings: NodeSettings
     records: dict[str, Any]
@@ -51,15 +51,15 @@
     make: Callable[[NodeStart], NodeMachine],
     started: Callable[[], None] = lambda: None,
 ) -> NoReturn:
-    """Loads the data folder, makes the machine and serves until it leaves (docs/design/processes.md).
+    """Opens the data folder, creates the machine and serves until it exits (docs/design/processes.md).
 
-    `started` is called ahead of serving.
+    `started` is called just before serving starts.
     """
     logs = Logs(settings.node, settings.log_level)
     folder = None
     records: dict[str, Any] = {}
     if settings.data:
-        # imported here: an edge has no folder, and starts sooner without
+        # imported here: an edge without a data folder starts faster without this module
         from sumachook.nodes.data_folder import open_node_folder
 
         folder, records = open_node_folder(settings.data, settings.node, logs.log)
--- a/sumachook/nodes/show.py
+++ b/sumachook/nodes/show.py
@@ -1,4 +1,4 @@
-"""What a core shows of its state to operators (`GET /show/...`)."""
+"""Views of a core's state for operators (`GET /show/...`)."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -18,7 +18,7 @@
 
 
 def show(what: str, core: "Core", now: timedelta) -> Document | None:
-    """The document of one view of the state, or None where there is no such view."""
+    """Returns the document of the named view, marked stale if this core is in no working view; None if unknown."""
     view = _VIEWS.get(what)
     if view is None:
         return None
@@ -26,7 +26,7 @@
 
 
 def names() -> str:
-    """The names of all views, for a message."""
+    """Returns the names of all views as an enumeration for an error message."""
     *most, last = _VIEWS
     return f"{', '.join(most)} or {last}"
 
--- a/sumachook/nodes/state_delivery.py
+++ b/sumachook/nodes/state_delivery.py
@@ -1,4 +1,4 @@
-"""What was ordered becomes the state of a core, and goes on to those who depend on it."""
+"""Applies committed entries to a core's state and notifies the components that depend on it."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
@@ -26,7 +26,7 @@
 
 
 class StateDelivery:
-    """Applies committed entries and snapshots; tells the change feed, placement and the operators' calls."""
+    """Applies committed entries and snapshots; notifies the change feed, placement and pending operator changes."""
 
     __slots__ = ("core",)
 
@@ -34,7 +34,7 @@
         self.core = core
 
     def handle_deliver(self, effect: Deliver, now: timedelta) -> list[Any]:
-        """Applies one committed entry."""
+        """Applies one committed entry and passes it to the change feed."""
         core = self.core
         change = read_change(effect.entry)
         result = core.state.apply(effect.number, change)
@@ -53,10 +53,10 @@
         if content is not None:
             fields["version"] = self.core.state.version
             fields["carried"] = carried_fields(content)[:MAX_CARRIED_SHOWN]
-        return Log("info", "core", "Order delivered.", fields)
+        return Log("info", "core", "Operator change delivered.", fields)
 
     def handle_restore(self, effect: Restore, now: timedelta) -> list[Any]:
-        """Takes a snapshot in the place of the state."""
+        """Replaces the state with a snapshot."""
         core = self.core
         core.state.restore(effect.state)
         core.state.number = effect.number
@@ -65,16 +65,16 @@
         return core.source.take(SnapshotRestored(effect.number), now)
 
     def handle_compact(self, effect: Compact, now: timedelta) -> list[Effect]:
-        """The log is long; without a disk that takes records it stays so."""
+        """Compacts a long log; while the disk accepts no writes, the log stays as it is."""
         core = self.core
         return core.consensus.take(consensus_events.LogCompacted(), now) if core.is_disk_taking else []
 
     def handle_serve(self, event: ServeRequested, now: timedelta) -> list[Any]:
-        """What was delivered at once goes out in one batch."""
+        """Sends entries that were delivered together to the followers in one batch."""
         return [*self.core.source.take(event, now), *self.settle_changes(now)]
 
     def settle_changes(self, now: timedelta) -> list[Any]:
-        """Answers operators whose changes have reached the edges."""
+        """Answers operators whose changes the edges have confirmed."""
         core = self.core
         changes = core.api.configuration_changes
         if not changes.orders:
@@ -83,7 +83,7 @@
 
 
 def _configuration_content(change: OperatorChange) -> Any:
-    """What a change of the configuration brings, as a document, or None for any other change."""
+    """Returns the document of a configuration change, or the changed parts; None for any other change."""
     match change:
         case Configure():
             return change.document
--- a/sumachook/nodes/state_file.py
+++ b/sumachook/nodes/state_file.py
@@ -1,4 +1,4 @@
-"""An edge's own copy of the state on its disk, so that a start needs no core to be up."""
+"""An edge's copy of the state on its own disk, so that it can start while no core is reachable."""
 
 from collections.abc import Iterable, Sequence
 from datetime import timedelta
@@ -9,23 +9,23 @@
 from sumachook.transport.codec import read_entry
 
 FILE = "image"
-SNAPSHOT = "image"  # kinds of records
+SNAPSHOT = "image"  # kinds of records in the file
 ENTRIES = "entries"
-MAX_ENTRIES = 64  # after the snapshot; bounds what a start has to apply
+MAX_ENTRIES = 64  # after the snapshot; limits how many a start must apply
 MAX_ENTRY_BYTES = 256 << 10
-SAVE_INTERVAL = timedelta(seconds=2)  # of what is no configuration, so that a busy cluster costs an edge few syncs
+SAVE_INTERVAL = timedelta(seconds=2)  # of non-configuration changes; limits an edge's syncs in a busy cluster
 
 
 class StoredState(ReplicatedState, Protocol):
-    """The control state as its file sees it."""
+    """The part of the control state's interface that its file needs."""
 
-    generation: int  # counts the configurations that were obeyed
+    generation: int  # counts the configurations that were accepted
 
 
 class StateFile:
-    """A snapshot and the entries after it; a change of configuration is kept at once, anything else within two seconds.
+    """Stores a snapshot and the entries after it: configuration changes at once, all else within two seconds.
 
-    `add(first, entries)` and `replace()` note what happened to the state, `save(now)` gives what the disk is to do.
+    `add(first, entries)` and `replace()` record changes of the state; `save(now)` returns the write that is due.
     """
 
     __slots__ = (
@@ -68,20 +68,20 @@
                 self.state.apply(number, read_entry(entry))
 
     def add(self, first: int, entries: Sequence[bytes]) -> None:
-        """These entries were applied to the state."""
+        """Records entries that were applied to the state; `ValueError` if the last is not the state's number."""
         if first + len(entries) - 1 != self.state.number:
-            raise ValueError(f"entries from {first} on do not end at {self.state.number}")
+            raise ValueError(f"entries from number {first} do not end at state number {self.state.number}")
         if self.has_disk and not self.needs_snapshot:
             self.waiting += entries
             self.waiting_bytes += sum(map(len, entries))
 
     def replace(self) -> None:
-        """The state was replaced by a snapshot."""
+        """Records that the state was replaced by a snapshot, so that the file must be rewritten."""
         self.needs_snapshot = True
 
     def save(self, now: timedelta) -> list[AppendRecords | RewriteRecords]:
-        """The write that is due now, if any."""
-        is_new = self.saved_generation != self.state.generation  # a configuration that was obeyed is kept at once
+        """Returns the write that is due now, if any."""
+        is_new = self.saved_generation != self.state.generation  # an accepted configuration is saved at once
         is_due = self.saved_number != self.state.number and now - self.saved_at > SAVE_INTERVAL
         if not self.has_disk or not (is_new or is_due):
             return []
--- a/sumachook/nodes/tick_intervals.py
+++ b/sumachook/nodes/tick_intervals.py
@@ -1,9 +1,9 @@
-"""How often a machine is given a pulse (docs/design/processes.md)."""
+"""Intervals between the ticks of a state machine (docs/design/processes.md)."""
 
 from datetime import timedelta
 
-TICK = timedelta(seconds=0.05)  # while something waits for the next one
+TICK = timedelta(seconds=0.05)  # while some component waits for the next tick
 IN_HAND_TICK = timedelta(
     seconds=0.1
-)  # while requests are at servers: their bounds are some hundred milliseconds and more
+)  # while servers process requests: their timeouts are some hundred milliseconds or more
 IDLE_TICK = timedelta(seconds=0.2)
--- a/sumachook/nodes/usage_report.py
+++ b/sumachook/nodes/usage_report.py
@@ -1,4 +1,4 @@
-"""What an edge tells the placer of the use of each model (docs/design/forwarding.md)."""
+"""Reports of each model's usage that an edge sends to the placer (docs/design/forwarding.md)."""
 
 from datetime import timedelta
 from typing import Any
@@ -7,11 +7,11 @@
 from sumachook.placement.messages import UsageByService
 
 INTERVAL = timedelta(seconds=0.2)
-EDGES_AT_INTERVAL = 20  # with more edges each reports less often, in proportion
+EDGES_AT_INTERVAL = 20  # with more edges, each reports less often, in proportion to their number
 
 
 class UsageReport:
-    """`take` gives the report that is due, or None."""
+    """Schedules the usage reports of one edge."""
 
     __slots__ = ("next_at",)
 
@@ -19,7 +19,7 @@
         self.next_at = now
 
     def take(self, table: RequestTable, now: timedelta) -> UsageByService | None:
-        """What began since the last report and what runs, by service and name; the count of what began starts anew."""
+        """Returns the usage by service and model if a report is due, else None; resets the counts of begun requests."""
         if now < self.next_at or not (table.begun_by_service or table.running_by_service):
             return None
         self.next_at = now + INTERVAL * max(1, table.edges / EDGES_AT_INTERVAL)
@@ -33,6 +33,6 @@
 
 
 def _usage_of(table: RequestTable, service: str, name: str) -> tuple[Any, ...]:
-    """(begun since the last report, running now, {server: running})."""
+    """Returns the requests begun since the last report, those running now, and those running by server."""
     places = table.running_by_service.get(service, {}).get(name, {})
     return table.begun_by_service.get(service, {}).get(name, 0), sum(places.values()), dict(places)
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -251,7 +251,7 @@
     lines = []
     assert open_folder(DataFolder(RealFileSystem(tmp_path)), lambda *what: lines.append(what)).records == {}
     assert [line[:3] for line in lines] == [("error", "storage", "A file is damaged and was set aside.")] * 2 + [
-        ("error", "storage", "This core gives its identity up and starts as a blank one.")
+        ("error", "storage", "Identity lost to a damaged file: this core starts as a new voter.")
     ]
     assert sorted(path.name for path in tmp_path.iterdir()) == sorted(f"{name}.damaged" for name in IDENTITY_FILES)
 
@@ -376,8 +376,8 @@
         "row synced",
     ]
     assert [line[2] for line in host.lines] == [
-        "The disk does not take records, standing aside.",
-        "The disk takes records again.",
+        "The disk accepts no writes; pausing durable work.",
+        "The disk accepts writes again.",
     ]
     opened = DataFolder(RealFileSystem(tmp_path)).open(FILES, IDENTITY_FILES)
     assert opened.records[LOG] == ((0,), (1,), (2,)) and opened.records["ledger"] == (("row", 1),)
