--- a/harness/mutations/model_checker.py
+++ b/harness/mutations/model_checker.py
@@ -120,7 +120,7 @@
     Mutation(
         "MODEL",
         "overtaken: an evacuation goes out however late the read before it comes back",
-        "        if self._is_late(order, now):\n",
+        "        if self._may_be_superseded(pending, now):\n",
         "        if False:\n",
         "tests/nodes/test_operator_changes.py",
         "turn_whose_read",
--- a/sumachook/nodes/client.py
+++ b/sumachook/nodes/client.py
@@ -42,7 +42,7 @@
         self.key = key
 
     def ask(self, method: str, path: str, document: Any = None) -> Answer:
-        """Returns the first response other than 503; raises `UnreachableError` after `MAX_ROUNDS` rounds without one."""
+        """Returns the first response other than 503; raises `UnreachableError` if all `MAX_ROUNDS` rounds fail."""
         return asyncio.run(self._ask(method, path, document))
 
     async def _ask(self, method: str, path: str, document: Any) -> Answer:
--- a/sumachook/nodes/control_api.py
+++ b/sumachook/nodes/control_api.py
@@ -111,7 +111,7 @@
         return []
 
     def close(self) -> list[Reply]:
-        """Answers all waiting callers, and all later requests, that this core is leaving and another should be asked."""
+        """Answers all waiting callers, and all later requests, that this core is leaving and to ask another one."""
         self.is_closed = True
         waiting = [read.call_id for read in self.reads.close()] + self.searches.close()
         return [*self.configuration_changes.close(), *map(_leaving, waiting)]
@@ -128,7 +128,7 @@
         read = self.reads.finish(effect.token)
         if read is not None:
             return [reply(read.call_id, 200, show.show(show.CATALOGUE, self.core, now))]
-        self.configuration_changes.readable(effect.token, now)
+        self.configuration_changes.handle_completed_read(effect.token, now)
         return []
 
     def handle_unreadable(self, effect: Unreadable, now: timedelta) -> list[Any]:
@@ -137,16 +137,16 @@
         if read is not None:
             leader = effect.address if now - read.started_at < REDIRECT_WITHIN else None
             return [self._redirect(read.call_id, read.path, leader)]
-        order = self.configuration_changes.order_of(effect.token)
-        if order is None:
+        pending = self.configuration_changes.change_awaiting_read(effect.token)
+        if pending is None:
             return []
-        http_address = self._http_address_of(effect.address if now - order.started_at < REDIRECT_WITHIN else None)
-        if not http_address and self.configuration_changes.read_again(order, now):
+        http_address = self._http_address_of(effect.address if now - pending.started_at < REDIRECT_WITHIN else None)
+        if not http_address and self.configuration_changes.schedule_read_retry(pending, now):
             return []
-        self.configuration_changes.remove(order)
+        self.configuration_changes.remove(pending)
         if not http_address:
-            return [self._no_view(order.call_id)]
-        return [redirect(order.call_id, http_address, f"/operator/{tag_of(order.change)}")]
+            return [self._no_view(pending.call_id)]
+        return [redirect(pending.call_id, http_address, f"/operator/{tag_of(pending.change)}")]
 
     def _redirect(self, call_id: CallId, path: str, leader: str | None) -> Reply:
         http_address = self._http_address_of(leader)
--- a/sumachook/nodes/core_routing.py
+++ b/sumachook/nodes/core_routing.py
@@ -131,7 +131,7 @@
         return []
 
     def _handle_confirmation(self, event: events.MessageReceived, now: timedelta) -> list[Any]:
-        return [*self.core.source.take(event, now), *self.core.state_delivery.settle_changes(now)]
+        return [*self.core.source.take(event, now), *self.core.state_delivery.answer_finished_changes(now)]
 
     def _handle_lease_request(self, event: events.MessageReceived, now: timedelta) -> list[Effect]:
         """Checks the role's lease now, as the message may have lain in a buffer since the last tick."""
--- a/sumachook/nodes/state_delivery.py
+++ b/sumachook/nodes/state_delivery.py
@@ -42,12 +42,12 @@
         core.placer.take(StateChanged(), now)
         effects += core.provisioner.take(StateChanged(), now)
         if isinstance(change, OperatorCall):
-            effects.append(self._settle_call(effect.number, change, result, now))
+            effects.append(self._record_result(effect.number, change, result, now))
         return effects
 
-    def _settle_call(self, number: int, call: OperatorCall, result: ChangeResult, now: timedelta) -> Log:
+    def _record_result(self, number: int, call: OperatorCall, result: ChangeResult, now: timedelta) -> Log:
         attempt = Attempt(call.origin, call.number, call.seen)
-        self.core.api.configuration_changes.delivered(number, attempt, result, self.core.state.version, now)
+        self.core.api.configuration_changes.handle_delivery(number, attempt, result, self.core.state.version, now)
         fields: dict[str, Any] = {"number": number, "kind": tag_of(call.change), "result": result.outcome.value}
         content = _configuration_content(call.change)
         if content is not None:
@@ -71,15 +71,15 @@
 
     def handle_serve(self, event: ServeRequested, now: timedelta) -> list[Any]:
         """Sends entries that were delivered together to the followers in one batch."""
-        return [*self.core.source.take(event, now), *self.settle_changes(now)]
+        return [*self.core.source.take(event, now), *self.answer_finished_changes(now)]
 
-    def settle_changes(self, now: timedelta) -> list[Any]:
+    def answer_finished_changes(self, now: timedelta) -> list[Any]:
         """Answers operators whose changes the edges have confirmed."""
         core = self.core
         changes = core.api.configuration_changes
-        if not changes.orders:
+        if not changes.pending_changes:
             return []
-        return changes.settle(core.peers.alive_edges(), core.source.confirmed, now)
+        return changes.answer_finished(core.peers.alive_edges(), core.source.confirmed, now)
 
 
 def _configuration_content(change: OperatorChange) -> Any:
--- a/tests/nodes/test_operator_changes.py
+++ b/tests/nodes/test_operator_changes.py
@@ -166,27 +166,29 @@
     configuration_changes = _desk()
     token = _accepted(configuration_changes)
     assert configuration_changes.tick((), {}, SECOND) == []
-    configuration_changes.readable(token, SECOND)
+    configuration_changes.handle_completed_read(token, SECOND)
     (proposal,) = configuration_changes.tick((), {}, SECOND)
     entry = proposal.change
     assert entry == _order(1, changes.Evacuate("", "hall-b"), 1)
     assert configuration_changes.tick((), {}, SECOND * 1.1) == [] and configuration_changes.tick(
         (), {}, SECOND * 1.5
     ) == [ProposeChange(entry)]
-    configuration_changes.delivered(
+    configuration_changes.handle_delivery(
         7, Attempt("core-2.0", 1, 1), accepted(9), 5, SECOND * 1.5
     )  # of an earlier life of this core's process
-    configuration_changes.delivered(7, Attempt("core-1.1", 1, 1), accepted(9), 5, SECOND * 1.5)
+    configuration_changes.handle_delivery(7, Attempt("core-1.1", 1, 1), accepted(9), 5, SECOND * 1.5)
     assert configuration_changes.tick((), {}, SECOND * 1.6) == []
-    configuration_changes.delivered(
+    configuration_changes.handle_delivery(
         8, Attempt(entry.origin, entry.number, entry.seen), rejected("area", "no area"), 5, SECOND * 1.6
     )
-    configuration_changes.delivered(9, Attempt(entry.origin, entry.number, entry.seen), accepted(9), 5, SECOND * 1.6)
+    configuration_changes.handle_delivery(
+        9, Attempt(entry.origin, entry.number, entry.seen), accepted(9), 5, SECOND * 1.6
+    )
     (answer,) = configuration_changes.tick((), {}, SECOND * 1.7)
     assert (
         isinstance(answer, Reply)
         and (answer.call_id, answer.status) == (1, 422)
-        and configuration_changes.orders == {}
+        and configuration_changes.pending_changes == {}
         and configuration_changes.tick((), {}, SECOND * 3) == []
     )
 
@@ -198,12 +200,12 @@
         configuration_changes = _desk()
         token = _accepted(configuration_changes)
         if steps > 0:
-            configuration_changes.readable(token, SECOND)
+            configuration_changes.handle_completed_read(token, SECOND)
         if steps > 1:
             assert len(configuration_changes.tick((), {}, SECOND)) == 1
         configuration_changes.handle_disconnect(1)
-        configuration_changes.readable(token, SECOND)
-        assert configuration_changes.tick((), {}, SECOND * 2) == [] and configuration_changes.orders == {}
+        configuration_changes.handle_completed_read(token, SECOND)
+        assert configuration_changes.tick((), {}, SECOND * 2) == [] and configuration_changes.pending_changes == {}
 
 
 def test_order_is_answered_in_its_time_and_says_whether_it_may_be_taken_yet():
@@ -213,16 +215,18 @@
         configuration_changes = _desk(answer_within=SECOND)
         token = _accepted(configuration_changes)
         if is_proposed:
-            configuration_changes.readable(token, SECOND)
+            configuration_changes.handle_completed_read(token, SECOND)
             configuration_changes.tick((), {}, SECOND)
         (answer,) = [effect for effect in configuration_changes.tick((), {}, SECOND * 2) if isinstance(effect, Reply)]
         assert answer.status == 503 and msgspec.json.decode(answer.body)["fault"]["applied"] == applied
         assert configuration_changes.tick((), {}, SECOND * 9) == []
     configuration_changes = _desk(answer_within=SECOND)
-    configuration_changes.readable(_accepted(configuration_changes), SECOND)
+    configuration_changes.handle_completed_read(_accepted(configuration_changes), SECOND)
     (proposal,) = configuration_changes.tick((), {}, SECOND)
     entry = proposal.change
-    configuration_changes.delivered(7, Attempt(entry.origin, entry.number, entry.seen), accepted(3), 5, SECOND * 1.9)
+    configuration_changes.handle_delivery(
+        7, Attempt(entry.origin, entry.number, entry.seen), accepted(3), 5, SECOND * 1.9
+    )
     assert configuration_changes.tick(("e1",), {}, SECOND * 1.9) == []
     (answer,) = configuration_changes.tick(("e1",), {}, SECOND * 2)
     assert answer.status == 200 and msgspec.json.decode(answer.body)["unconfirmed"] == ["e1"]
@@ -595,8 +599,8 @@
     ):
         configuration_changes = ConfigurationChanges("core-1", State())
         configuration_changes.accept("caller", change, second)
-        (order,) = configuration_changes.orders.values()
-        configuration_changes.readable(configuration_changes.token(order), second * 2.1)
+        (order,) = configuration_changes.pending_changes.values()
+        configuration_changes.handle_completed_read(configuration_changes.read_token(order), second * 2.1)
         out = configuration_changes.tick((), {}, second * 2.2)
         assert any(isinstance(effect, ProposeChange) for effect in out) == is_proposed
         assert any(isinstance(effect, Reply) and effect.status == 503 for effect in out) != is_proposed
@@ -607,7 +611,7 @@
     second = timedelta(seconds=1)
     configuration_changes = ConfigurationChanges("core-1", State())
     configuration_changes.accept("caller", changes.Evacuate("", "hall"), second)
-    (order,) = configuration_changes.orders.values()
-    assert configuration_changes.read_again(order, second * 1.2) and not configuration_changes.read_again(
-        order, second * 1.4
-    )
+    (order,) = configuration_changes.pending_changes.values()
+    assert configuration_changes.schedule_read_retry(
+        order, second * 1.2
+    ) and not configuration_changes.schedule_read_retry(order, second * 1.4)
