--- a/harness/experiments/soak_faults.py
+++ b/harness/experiments/soak_faults.py
@@ -13,9 +13,9 @@
 LATE_SIGHT = 0.5  # seconds by which a client may be late to see that a process has ended
 CLOSED_WITH_A_REQUEST = "A connection was closed with a request on it."
 ERROR_TEXTS = (
-    "A task failed and is started again.",
-    "An event could not be taken.",
-    "An effect could not be carried out.",
+    "A task failed and is restarted.",
+    "The state machine failed to process an event.",
+    "Failed to execute an effect.",
 )
 
 
--- a/harness/mutations/configuration.py
+++ b/harness/mutations/configuration.py
@@ -153,7 +153,7 @@
     Mutation(
         "CONFIG",
         "a document of any depth is walked",
-        "if is_deeper(document, MAX_DEPTH):",
+        "if exceeds_depth(document, MAX_DEPTH):",
         "if False:",
         ORDERS,
         "too_deep",
--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -145,7 +145,7 @@
     Mutation(
         5,
         "an edge's file lacks what came after its snapshot",
-        "self.waiting += entries",
+        "self.unsaved_entries += entries",
         "pass",
         STARTS,
         "edge_starts",
--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -165,7 +165,7 @@
     Mutation(
         "BUDGET",
         "what all edges saved up is not bounded",
-        "self.retry_budget.cap = self._savings(self.settings.resend_slack, rank, len(peers), now)",
+        "self.retry_budget.cap = self._credit_cap(self.settings.resend_slack, rank, len(peers), now)",
         "pass",
         PROXY_PIPELINE,
         "slack",
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -127,7 +127,7 @@
     Mutation(
         "LOST",
         "the process ends before its last words are out",
-        "await asyncio.sleep(LAST_MESSAGES.total_seconds())",
+        "await asyncio.sleep(FINAL_SEND_DELAY.total_seconds())",
         "pass",
         LEAVING,
         "goes_out_before",
@@ -184,7 +184,7 @@
     Mutation(
         "LOST",
         "a process ends before its answers have left it",
-        "while loop.time() < self.write_until and any(",
+        "while loop.time() < self.write_deadline and any(",
         "while False and any(",
         DAEMON,
         "answers_have_left",
--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -157,7 +157,7 @@
     Mutation(
         "DISK",
         "a core whose disk is full goes on as if it were not",
-        "        self.is_disk_taking = False\n        return effects",
+        "        self.is_disk_available = False\n        return effects",
         "        return effects",
         "tests/nodes/test_disk_faults.py",
         "stands_aside or stays_bounded",
--- a/sumachook/cli/operator.py
+++ b/sumachook/cli/operator.py
@@ -9,7 +9,7 @@
 
 from sumachook.cli.files import read_json
 from sumachook.configuration.catalogue import read_catalogue
-from sumachook.nodes.client import Answer, Client, UnreachableError, new_request
+from sumachook.nodes.client import Answer, Client, UnreachableError, new_request_id
 from sumachook.nodes.serve import REFUSED, UNREACHED, USAGE, fail
 
 Text = Annotated[str | None, cappa.Arg(long=True)]
@@ -47,7 +47,7 @@
     """Sends a configuration."""
     doc = read_json(command.file)
     order = {
-        "request": command.request or new_request(),
+        "request": command.request or new_request_id(),
         "doc": doc,
         "part": command.part,
         "ifGeneration": command.if_generation,
@@ -72,7 +72,7 @@
 
 
 def _send_turn(path: str, command: "Evacuate | Restore") -> None:
-    order = {"request": command.request or new_request(), "area": command.area}
+    order = {"request": command.request or new_request_id(), "area": command.area}
     _show(command.control_client.ask("POST", path, order))
 
 
--- a/sumachook/nodes/change_request.py
+++ b/sumachook/nodes/change_request.py
@@ -49,7 +49,7 @@
         raise InvalidChangeError(ChangeProblem.NOT_JSON, str(error)) from error
     if not isinstance(document, dict):
         raise _refusal("an object is needed")
-    if is_deeper(document, MAX_DEPTH):
+    if exceeds_depth(document, MAX_DEPTH):
         raise _refusal(f"nested deeper than {MAX_DEPTH}")
     kind = PATHS[path]
     request = document.get("request", "" if kind != "apply" else None)
@@ -58,10 +58,10 @@
     return _READERS[kind](document, request)
 
 
-def is_deeper(value: Any, depth: int) -> bool:
+def exceeds_depth(value: Any, depth: int) -> bool:
     """Returns whether a document is nested deeper than `depth` levels, without recursion that deep input could exhaust.
 
-    >>> is_deeper({"a": [1]}, 2), is_deeper({"a": [[1]]}, 2)
+    >>> exceeds_depth({"a": [1]}, 2), exceeds_depth({"a": [[1]]}, 2)
     (False, True)
     """
     level = [value]
--- a/sumachook/nodes/client.py
+++ b/sumachook/nodes/client.py
@@ -71,6 +71,6 @@
             return Answer(response.status, msgspec.json.decode(await response.read()))
 
 
-def new_request() -> str:
+def new_request_id() -> str:
     """Generates a unique id for an operator's request, by which cores recognize a retry of the same change."""
     return uuid.uuid4().hex
--- a/sumachook/nodes/control_api.py
+++ b/sumachook/nodes/control_api.py
@@ -185,7 +185,7 @@
             return self.reads.begin(call_id, path, now) or [self._no_view(call_id)]
         document = show.show(view, self.core, now)
         if document is None:
-            return [fault_reply(call_id, 404, "not-found", show.names())]
+            return [fault_reply(call_id, 404, "not-found", show.view_names())]
         return [reply(call_id, 200, document)]
 
     def _forecast(self, event: HttpRequestReceived) -> Reply:
@@ -219,7 +219,7 @@
             "view": core.consensus.view[0],
             "number": core.state.number,
             "generation": core.state.generation,
-            "diskTakesRecords": core.is_disk_taking,
+            "diskTakesRecords": core.is_disk_available,
             "ready": is_fresh and not core.shutdown.has_begun,
         }
         return reply(call_id, 200 if document["ready"] else 503, document)
--- a/sumachook/nodes/core.py
+++ b/sumachook/nodes/core.py
@@ -51,7 +51,7 @@
     """The name of this voter is durable: from now on the core may send promises and acknowledgements."""
 
 
-def voter_of(records: Mapping[str, Iterable[Sequence[Any]]]) -> str:
+def stored_voter(records: Mapping[str, Iterable[Sequence[Any]]]) -> str:
     """Returns the name of the voter that a data folder belongs to, or "" for a blank folder."""
     return next((str(record[1]) for record in records.get(LOG_FILE, ()) if record[0] == VOTER_RECORD), "")
 
@@ -89,8 +89,8 @@
         now = clock.mono()
         self.settings = settings
         self.restart_epoch = restart_epoch
-        self.is_disk_taking = True
-        voter = voter_of(records)
+        self.is_disk_available = True
+        voter = stored_voter(records)
         self.is_new = not voter
         self.is_ready = not self.is_new
         self.node = voter or f"{settings.node}-{random.getrandbits(32):08x}"
@@ -195,7 +195,7 @@
 
     def is_fresh(self, now: timedelta) -> bool:
         """Returns whether this core is in a working view and its disk accepts writes, so that it can keep promises."""
-        return self.is_disk_taking and self.consensus.is_fresh(now)
+        return self.is_disk_available and self.consensus.is_fresh(now)
 
     def other_cores(self) -> list[str]:
         """Returns the addresses of the other voters."""
@@ -224,7 +224,7 @@
     def handle_disk_state(self, event: DiskStateChanged, now: timedelta) -> list[Any]:
         """While its disk accepts no writes, this core leaves the view, holds no lease and stores no ledger records."""
         if event.is_available:
-            self.is_disk_taking = True
+            self.is_disk_available = True
             return [] if self.shutdown.has_begun else self.leases.take(lease_events.Resume(), now)
         released = self.leases.take(lease_events.Quit(), now)
         effects: list[Any] = [effect for effect in released if not isinstance(effect, ProposeChange)]
@@ -235,5 +235,5 @@
             for effect in released:
                 if isinstance(effect, ProposeChange):
                     effects += self.consensus.take(consensus_events.ProposalMade(effect.change), now)
-        self.is_disk_taking = False
+        self.is_disk_available = False
         return effects
--- a/sumachook/nodes/core_routing.py
+++ b/sumachook/nodes/core_routing.py
@@ -118,7 +118,7 @@
 
     def _handle_message(self, event: events.MessageReceived, now: timedelta) -> Any:
         message_type = type(event.message)
-        if not self.core.is_disk_taking and message_type in DISK_MESSAGES:
+        if not self.core.is_disk_available and message_type in DISK_MESSAGES:
             return []
         handle = self.message_handlers.get(message_type)
         if handle is None:
@@ -147,12 +147,12 @@
     # effects of one component for another -----------------------------------------
 
     def _handle_propose_change(self, effect: ProposeChange, now: timedelta) -> list[Effect]:
-        if not self.core.is_disk_taking:
+        if not self.core.is_disk_available:
             return []
         return self.core.consensus.take(consensus_events.ProposalMade(effect.change), now)
 
     def _handle_read_requested(self, event: consensus_events.ReadRequested, now: timedelta) -> list[Effect]:
-        if not self.core.is_disk_taking:
+        if not self.core.is_disk_available:
             return [consensus_effects.Unreadable(event.token, None)]
         return self.core.consensus.take(event, now)
 
--- a/sumachook/nodes/core_shutdown.py
+++ b/sumachook/nodes/core_shutdown.py
@@ -4,29 +4,29 @@
 
 from sumachook.host.effects import Effect, Exit
 
-SHORTEST = timedelta(seconds=0.5)  # for released singleton roles to be taken over
-LONGEST, SHARE_OF_GRACE = timedelta(seconds=3), 0.5  # for another voter to replace this one
+MIN_WAIT = timedelta(seconds=0.5)  # for released singleton roles to be taken over
+MAX_WAIT, MAX_WAIT_GRACE_FRACTION = timedelta(seconds=3), 0.5  # for another voter to replace this one
 
 
 class CoreShutdown:
-    """Decides when a core that got a stop signal exits: early once it is no longer a voter, else after `longest`."""
+    """Decides when a core that got a stop signal exits: early once it is no longer a voter, else after `max_wait`."""
 
-    __slots__ = ("longest", "stop_at", "may_end_at", "has_departed")
+    __slots__ = ("max_wait", "exit_by", "earliest_exit_at", "has_departed")
 
     def __init__(self, grace: timedelta) -> None:
-        self.longest = min(LONGEST, grace * SHARE_OF_GRACE)
-        self.stop_at: timedelta | None = None
-        self.may_end_at: timedelta | None = None
+        self.max_wait = min(MAX_WAIT, grace * MAX_WAIT_GRACE_FRACTION)
+        self.exit_by: timedelta | None = None
+        self.earliest_exit_at: timedelta | None = None
         self.has_departed = False
 
     @property
     def has_begun(self) -> bool:
         """Whether the stop signal was received."""
-        return self.stop_at is not None
+        return self.exit_by is not None
 
     def begin(self, now: timedelta) -> None:
         """Sets the earliest and the latest time of the exit; called at the stop signal."""
-        self.stop_at, self.may_end_at = now + self.longest, now + SHORTEST
+        self.exit_by, self.earliest_exit_at = now + self.max_wait, now + MIN_WAIT
 
     def note_departed(self) -> None:
         """Records that the consensus layer released this node's place as a voter."""
@@ -34,5 +34,5 @@
 
     def step(self, now: timedelta) -> list[Effect]:
         """Returns `Exit` once the core may exit; returns nothing before the stop signal."""
-        end = self.may_end_at if self.has_departed else self.stop_at
+        end = self.earliest_exit_at if self.has_departed else self.exit_by
         return [Exit(0)] if end is not None and now >= end else []
--- a/sumachook/nodes/core_tick.py
+++ b/sumachook/nodes/core_tick.py
@@ -31,7 +31,7 @@
         """Runs one tick and returns its effects; ends with `Exit` once a shutdown is complete."""
         core = self.core
         is_fresh = core.is_fresh(now)
-        is_leading = core.is_disk_taking and core.consensus.role is Role.LEADING
+        is_leading = core.is_disk_available and core.consensus.role is Role.LEADING
         effects = self._tick_replication(is_fresh, now)
         core.cluster_clock.on_tick(now)
         effects += core.leases.take(lease_events.Tick(is_fresh, is_leading), now)
@@ -47,7 +47,7 @@
         core = self.core
         feed_number = core.state.number if is_fresh else 0
         effects: list[Any] = core.membership.take(membership_events.Tick(feed_number), now)
-        if core.is_disk_taking:
+        if core.is_disk_available:
             effects += core.consensus.take(consensus_events.Tick(core.peers.core_addresses()), now)
             store_tick = StoreTick(core.peers.restart_epochs(), core.state.voting_members)
             effects += core.replica_store.take(store_tick, now)
--- a/sumachook/nodes/daemon.py
+++ b/sumachook/nodes/daemon.py
@@ -27,9 +27,9 @@
     from sumachook.nodes.disk_writer import DiskWriter
     from sumachook.storage.folder import DataFolder
 
-LAST_MESSAGES = timedelta(seconds=0.2)  # between the decision to exit and the exit, so that the last messages are sent
+FINAL_SEND_DELAY = timedelta(seconds=0.2)  # between the decision to exit and the exit; lets the last messages be sent
 UNSENT_CHECK_INTERVAL = timedelta(seconds=0.02)
-STALL = timedelta(seconds=0.5)  # a tick later than this means that the process or its machine was stalled
+MIN_LOGGED_STALL = timedelta(seconds=0.5)  # a tick later than this means that the process or its machine was stalled
 SIGNAL_EVENTS: dict[signal.Signals, events.Event] = {
     signal.SIGTERM: events.StopRequested(),
     signal.SIGINT: events.StopRequested(),
@@ -69,30 +69,30 @@
         self.clock = clock
         self.log = log
         self.exit_code = 0
-        self.inbox: Inbox[Any, effects.Effect] = Inbox(self._take, self._carry_out)
-        self.http_server = HttpServer(http_address, self._hear, max_body_bytes, log)
-        self.http_client = HttpClient(self._hear)
-        self.proxy_server = ProxyServer(proxy_address, self._hear, log=log) if proxy_address else None
-        self.streaming_client = StreamingClient(self._hear) if proxy_address else None
-        self.node_transport = NodeTransport(address, cluster, self._hear) if address else None
+        self.inbox: Inbox[Any, effects.Effect] = Inbox(self._process_event, self._execute_effect)
+        self.http_server = HttpServer(http_address, self._put_event, max_body_bytes, log)
+        self.http_client = HttpClient(self._put_event)
+        self.proxy_server = ProxyServer(proxy_address, self._put_event, log=log) if proxy_address else None
+        self.streaming_client = StreamingClient(self._put_event) if proxy_address else None
+        self.node_transport = NodeTransport(address, cluster, self._put_event) if address else None
         self.disk = self._disk_writer(folder) if folder else None
         self.effect_handlers = self._effect_handlers(cluster)
         self.exiting = asyncio.Event()
-        self.write_until = 0.0  # the loop's time until which an exiting process waits for slow readers
-        self.tick_wanted = asyncio.Event()  # set while the machine needs a tick at the shortest interval
+        self.write_deadline = 0.0  # the loop's time until which an exiting process waits for slow readers
+        self.tick_requested = asyncio.Event()  # set while the machine needs a tick at the shortest interval
 
     def _disk_writer(self, folder: "DataFolder") -> "DiskWriter":
         # imported here: an edge without a data folder starts faster without these modules
         from sumachook.nodes.disk_writer import DiskWriter
         from sumachook.storage.layout import LOG
 
-        return DiskWriter(folder, self._hear, self.log, self.clock.mono, LOG)
+        return DiskWriter(folder, self._put_event, self.log, self.clock.mono, LOG)
 
     async def run(self) -> int:
         """Serves until the machine returns `Exit`; returns the exit code for the process."""
         loop = asyncio.get_running_loop()
         for signal_number, event in SIGNAL_EVENTS.items():
-            loop.add_signal_handler(signal_number, self._hear, event)
+            loop.add_signal_handler(signal_number, self._put_event, event)
         await Supervisor(self._tasks(), self._log_failed_task).run()
         self._log_connection_ends()
         self._ignore_signals()
@@ -136,17 +136,17 @@
         return tasks
 
     async def _wait_for_exit(self) -> None:
-        """Waits for the machine's `Exit`, then until messages and responses are sent or `write_until` has passed."""
+        """Waits for the machine's `Exit`, then until messages and responses are sent or `write_deadline` passes."""
         await self.exiting.wait()
-        await asyncio.sleep(LAST_MESSAGES.total_seconds())
+        await asyncio.sleep(FINAL_SEND_DELAY.total_seconds())
         servers = [server for server in (self.http_server, self.proxy_server) if server is not None]
         loop = asyncio.get_running_loop()
-        while loop.time() < self.write_until and any(server.has_unsent_bytes for server in servers):
+        while loop.time() < self.write_deadline and any(server.has_unsent_bytes for server in servers):
             await asyncio.sleep(UNSENT_CHECK_INTERVAL.total_seconds())
 
     def _log_failed_task(self, name: str, failures: int, error: Exception) -> None:
         fields = {"task": name, "failures": failures, "error": repr(error)}
-        self.log("error", "daemon", "A task failed and is started again.", fields)
+        self.log("error", "daemon", "A task failed and is restarted.", fields)
 
     # ticks ------------------------------------------------------------------------------
 
@@ -161,15 +161,15 @@
             begun_at = loop.time()
             if self.disk:
                 self.disk.check_state()
-            self._hear(events.Tick())
+            self._put_event(events.Tick())
             longest = max(self._tick_interval, TICK)
             await self._wait_for_next_tick()
-            self._note_lateness(timedelta(seconds=loop.time() - begun_at) - longest)
+            self._log_stall(timedelta(seconds=loop.time() - begun_at) - longest)
 
-    def _note_lateness(self, late: timedelta) -> None:
+    def _log_stall(self, lateness: timedelta) -> None:
         """Logs a tick so late that this process was stalled: the likely cause of timeouts and cut responses then."""
-        if late >= STALL:
-            self.log("warning", "daemon", "This process stood still.", {"seconds": round(late.total_seconds(), 3)})
+        if lateness >= MIN_LOGGED_STALL:
+            self.log("warning", "daemon", "This process was stalled.", {"seconds": round(lateness.total_seconds(), 3)})
 
     async def _wait_for_next_tick(self) -> None:
         """Waits for the machine's tick interval, or the shortest one after an event that makes the machine need it."""
@@ -178,29 +178,29 @@
         begun_at = loop.time()
         longest = self._tick_interval.total_seconds()
         if longest > shortest:
-            self.tick_wanted.clear()
+            self.tick_requested.clear()
             try:
                 async with asyncio.timeout(longest):
-                    await self.tick_wanted.wait()
+                    await self.tick_requested.wait()
             except TimeoutError:
                 return
         await asyncio.sleep(max(0.0, shortest - (loop.time() - begun_at)))
 
     # events -----------------------------------------------------------------------------
 
-    def _hear(self, event: Any) -> None:
+    def _put_event(self, event: Any) -> None:
         """Queues an event for the machine, also one caused by an effect; shortens the tick interval if needed."""
         self.inbox.put(event)
-        if not self.tick_wanted.is_set() and self._tick_interval <= TICK:
-            self.tick_wanted.set()
+        if not self.tick_requested.is_set() and self._tick_interval <= TICK:
+            self.tick_requested.set()
 
-    def _take(self, event: Any) -> Sequence[effects.Effect]:
+    def _process_event(self, event: Any) -> Sequence[effects.Effect]:
         """Passes an event to the machine; an exception is logged, an HTTP request is answered with 500."""
         try:
             return self.machine.take(event, self.clock.mono())
         except Exception as error:
             fields = {"kind": _class_name(event), "error": repr(error)}
-            self.log("error", "daemon", "An event could not be taken.", fields)
+            self.log("error", "daemon", "The state machine failed to process an event.", fields)
             if isinstance(event, events.HttpRequestReceived | events.ProxyRequestReceived):
                 return [reply(event.call_id, 500, {"fault": {"class": "inner", "reason": "see the log"}})]
             return []
@@ -243,13 +243,13 @@
             effects.CloseProxyServer: lambda effect: proxy_server.stop_accepting(),
         }
 
-    def _carry_out(self, effect: effects.Effect) -> None:
+    def _execute_effect(self, effect: effects.Effect) -> None:
         """Executes an effect; a failure is logged and does not fail the current event, which may be unrelated."""
         try:
             self.effect_handlers[type(effect)](effect)
         except Exception as error:
             fields = {"kind": type(effect).__name__, "error": repr(error)}
-            self.log("error", "daemon", "An effect could not be carried out.", fields)
+            self.log("error", "daemon", "Failed to execute an effect.", fields)
 
     def _answer(self, effect: ResponseEffect) -> None:
         """Passes a response to its server: call ids of the proxy server are tuples, others are numbers."""
@@ -269,12 +269,12 @@
 
     def _wake_after(self, effect: effects.WakeAfter) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(effect.delay.total_seconds(), self._hear, events.DelayElapsed())
+        loop.call_later(effect.delay.total_seconds(), self._put_event, events.DelayElapsed())
 
     def _exit(self, effect: effects.Exit) -> None:
         self.exit_code = effect.code
         if not self.exiting.is_set():
-            self.write_until = asyncio.get_running_loop().time() + effect.write_within.total_seconds()
+            self.write_deadline = asyncio.get_running_loop().time() + effect.write_within.total_seconds()
         self.exiting.set()
 
 
--- a/sumachook/nodes/disk_writer.py
+++ b/sumachook/nodes/disk_writer.py
@@ -17,22 +17,22 @@
 class DiskWriter:
     """Writes queued steps in order in a worker thread; a followup event is emitted only after its step is synced.
 
-    A step that fails is retried with a delay, without a limit. `hear` receives the followups, and a `DiskStateChanged`
-    whenever the disk stops or resumes accepting writes.
+    A step that fails is retried with a delay, without a limit. `on_event` receives the followups, and a
+    `DiskStateChanged` whenever the disk stops or resumes accepting writes.
     """
 
-    __slots__ = ("folder", "hear", "log", "mono", "queue", "write_arrived")
+    __slots__ = ("folder", "on_event", "log", "mono", "queue", "write_arrived")
 
     def __init__(
         self,
         folder: DataFolder,
-        hear: Callable[[Any], None],
+        on_event: Callable[[Any], None],
         log: Callable[..., None],
         mono: Callable[[], timedelta],
         first_file: str = "",
     ) -> None:
         self.folder = folder
-        self.hear = hear
+        self.on_event = on_event
         self.log = log
         self.mono = mono
         self.queue = WriteQueue(first_file)
@@ -54,7 +54,7 @@
             self.log(
                 "warning", "storage", "The disk accepts no writes; pausing durable work.", {"reason": change.reason}
             )
-        self.hear(change)
+        self.on_event(change)
 
     async def run(self) -> None:
         """Writes queued steps until the task is cancelled."""
@@ -71,7 +71,7 @@
             self._log_removed_segments()
             self.check_state()
             for followup in followups:
-                self.hear(followup)
+                self.on_event(followup)
 
     async def _write(self, worker: "_Worker", step: WriteStep) -> None:
         delay = FIRST_RETRY_DELAY
--- a/sumachook/nodes/edge.py
+++ b/sumachook/nodes/edge.py
@@ -19,7 +19,7 @@
 from sumachook.ledger.writer import LedgerWriter
 from sumachook.membership.member import MemberStatus, MemberUpdate
 from sumachook.membership.membership import Membership
-from sumachook.nodes.edge_peers import PEER_MEMORY, EdgePeers
+from sumachook.nodes.edge_peers import PEER_RETENTION, EdgePeers
 from sumachook.nodes.edge_routing import EdgeRouting
 from sumachook.nodes.edge_shutdown import EdgeShutdown
 from sumachook.nodes.edge_status import condition, metrics
@@ -27,7 +27,7 @@
 from sumachook.nodes.event_dispatcher import EventDispatcher
 from sumachook.nodes.replies import reply
 from sumachook.nodes.state_file import FILE, StateFile
-from sumachook.nodes.tick_intervals import IDLE_TICK, IN_HAND_TICK, TICK
+from sumachook.nodes.tick_intervals import IDLE_TICK, IN_FLIGHT_TICK, TICK
 from sumachook.nodes.usage_report import UsageReport
 from sumachook.placement.places import PlacementView
 from sumachook.quotas.rate_limiter import RateLimiter
@@ -170,7 +170,7 @@
         table = self.proxy_pipeline.table
         if table.waiting or table.parked_requests:
             return TICK
-        return IN_HAND_TICK if table.requests else IDLE_TICK
+        return IN_FLIGHT_TICK if table.requests else IDLE_TICK
 
     @property
     def pipelines(self) -> tuple[InferencePipeline | ProxyPipeline, ...]:
@@ -227,13 +227,13 @@
         self.proxy_pipeline.table.rank = rank
         self.proxy_pipeline.table.cold_allowance.rank = rank
         if self.settings.resend_slack is not None:
-            self.retry_budget.cap = self._savings(self.settings.resend_slack, rank, len(peers), now)
+            self.retry_budget.cap = self._credit_cap(self.settings.resend_slack, rank, len(peers), now)
 
-    def _savings(self, slack: float, rank: int, edge_count: int, now: timedelta) -> float:
+    def _credit_cap(self, slack: float, rank: int, edge_count: int, now: timedelta) -> float:
         """Returns the cap on this edge's saved retry credit; the caps of all edges together stay below the slack.
 
-        An edge cut off from the cores gets 0 after `PEER_MEMORY`: the edges on the cores' side then divide the slack
-        without it.
+        An edge cut off from the cores gets 0 after `PEER_RETENTION`: then the edges on the cores' side divide the
+        slack without it.
         """
-        is_isolated = now - self.ticks.connected_at > PEER_MEMORY
+        is_isolated = now - self.ticks.connected_at > PEER_RETENTION
         return 0.0 if is_isolated else share_of_savings(slack, rank, edge_count)
--- a/sumachook/nodes/edge_peers.py
+++ b/sumachook/nodes/edge_peers.py
@@ -7,7 +7,7 @@
 from sumachook.membership.membership import Membership
 
 # A failed edge keeps its share of common limits for this long, so that each side of a partition counts the other.
-PEER_MEMORY = timedelta(seconds=60)
+PEER_RETENTION = timedelta(seconds=60)
 
 
 class EdgePeers:
@@ -26,11 +26,13 @@
         return tuple(sorted({self.node, *self._live_edge_names()}))
 
     def recent_edges(self, now: timedelta) -> tuple[str, ...]:
-        """Returns the sorted names of the live edges and of those that failed less than `PEER_MEMORY` ago."""
+        """Returns the sorted names of the live edges and of those that failed less than `PEER_RETENTION` ago."""
         gone = [
             member.node
             for member in self.membership.members.values()
-            if member.role == "edge" and member.status == MemberStatus.GONE and now - member.status_since < PEER_MEMORY
+            if member.role == "edge"
+            and member.status == MemberStatus.GONE
+            and now - member.status_since < PEER_RETENTION
         ]
         return tuple(sorted({self.node, *self._live_edge_names(), *gone}))
 
--- a/sumachook/nodes/edge_routing.py
+++ b/sumachook/nodes/edge_routing.py
@@ -124,19 +124,19 @@
 
     def _handle_placement_update(self, event: events.MessageReceived, now: timedelta) -> list[Any]:
         effects: list[Any] = self.edge.places.take(event, now)
-        return effects + self._tell_proxy_pipeline(request_events.PlacesChanged(), now)
+        return effects + self._notify_proxy_pipeline(request_events.PlacesChanged(), now)
 
     def _handle_servers_leaving(self, event: events.MessageReceived, now: timedelta) -> list[Any]:
         leaving = request_events.ServersLeaving(event.message.servers)
         return [effect for pipeline in self.edge.pipelines for effect in pipeline.take(leaving, now)]
 
     def _handle_servers_warming_up(self, event: events.MessageReceived, now: timedelta) -> list[Any]:
-        return self._tell_proxy_pipeline(request_events.ServersCold(event.message.servers), now)
+        return self._notify_proxy_pipeline(request_events.ServersCold(event.message.servers), now)
 
     def _handle_eject_servers(self, event: events.MessageReceived, now: timedelta) -> list[Any]:
-        return self._tell_proxy_pipeline(request_events.ServersEjected(event.message.durations_ms), now)
+        return self._notify_proxy_pipeline(request_events.ServersEjected(event.message.durations_ms), now)
 
-    def _tell_proxy_pipeline(self, event: events.Event, now: timedelta) -> list[Any]:
+    def _notify_proxy_pipeline(self, event: events.Event, now: timedelta) -> list[Any]:
         return self.edge.proxy_pipeline.take(event, now) if self.edge.proxy_pipeline is not None else []
 
     # effects of one component for another -----------------------------------------
--- a/sumachook/nodes/edge_tick.py
+++ b/sumachook/nodes/edge_tick.py
@@ -35,7 +35,7 @@
         "started_at",
         "connected_at",
         "was_disconnected",
-        "asked_placements_at",
+        "placements_requested_at",
         "next_demand_at",
         "applied_limits",
     )
@@ -45,7 +45,7 @@
         self.started_at = now
         self.connected_at = now  # when the state was last proved fresh, initially the start
         self.was_disconnected = False
-        self.asked_placements_at = now
+        self.placements_requested_at = now
         self.next_demand_at = now
         self.applied_limits: Limits | None = None
 
@@ -111,16 +111,16 @@
         effects: list[Effect] = []
         usage = self.edge.usage_report.take(pipeline.table, now)
         if usage is not None:
-            effects += self._to_placer(ModelUsage(usage))
+            effects += self._send_to_placer(ModelUsage(usage))
         outcomes = pipeline.table.outcome_counts.due(now)
         if outcomes is not None:
-            effects += self._to_placer(OutcomeReport(outcomes))
-        if not self.edge.places.is_known and now - self.asked_placements_at > PLACEMENT_RETRY_INTERVAL:
-            self.asked_placements_at = now
-            effects += self._to_placer(PlacementSnapshotRequest(-1))
+            effects += self._send_to_placer(OutcomeReport(outcomes))
+        if not self.edge.places.is_known and now - self.placements_requested_at > PLACEMENT_RETRY_INTERVAL:
+            self.placements_requested_at = now
+            effects += self._send_to_placer(PlacementSnapshotRequest(-1))
         return effects
 
-    def _to_placer(self, message: NodeMessage) -> list[Effect]:
+    def _send_to_placer(self, message: NodeMessage) -> list[Effect]:
         return [Send(address, message) for address in self.edge.peers.holders_of("placer")]
 
     def _report_demand(self, now: timedelta) -> list[Effect]:
--- a/sumachook/nodes/show.py
+++ b/sumachook/nodes/show.py
@@ -17,15 +17,15 @@
 CATALOGUE = "catalogue"
 
 
-def show(what: str, core: "Core", now: timedelta) -> Document | None:
+def show(view_name: str, core: "Core", now: timedelta) -> Document | None:
     """Returns the document of the named view, marked stale if this core is in no working view; None if unknown."""
-    view = _VIEWS.get(what)
+    view = _VIEWS.get(view_name)
     if view is None:
         return None
     return {"stale": not core.is_fresh(now), "number": core.state.number, **view(core, now)}
 
 
-def names() -> str:
+def view_names() -> str:
     """Returns the names of all views as an enumeration for an error message."""
     *most, last = _VIEWS
     return f"{', '.join(most)} or {last}"
@@ -35,14 +35,14 @@
     members = [core.membership.local_member, *core.membership.members.values()]
     view = {"ballot": core.consensus.view[0], "members": core.consensus.members, "leader": core.consensus.leader_name}
     return {
-        "members": [_member(member) for member in members],
+        "members": [_member_document(member) for member in members],
         "roster": core.state.voting_members,
         "view": view,
         "confirmed": core.source.confirmed,
     }
 
 
-def _member(member: Member) -> Document:
+def _member_document(member: Member) -> Document:
     return {
         "node": member.node,
         "role": member.role,
--- a/sumachook/nodes/state_delivery.py
+++ b/sumachook/nodes/state_delivery.py
@@ -67,7 +67,7 @@
     def handle_compact(self, effect: Compact, now: timedelta) -> list[Effect]:
         """Compacts a long log; while the disk accepts no writes, the log stays as it is."""
         core = self.core
-        return core.consensus.take(consensus_events.LogCompacted(), now) if core.is_disk_taking else []
+        return core.consensus.take(consensus_events.LogCompacted(), now) if core.is_disk_available else []
 
     def handle_serve(self, event: ServeRequested, now: timedelta) -> list[Any]:
         """Sends entries that were delivered together to the followers in one batch."""
--- a/sumachook/nodes/state_file.py
+++ b/sumachook/nodes/state_file.py
@@ -34,10 +34,10 @@
         "saved_at",
         "saved_number",
         "saved_generation",
-        "waiting",
-        "waiting_bytes",
-        "kept_entries",
-        "kept_bytes",
+        "unsaved_entries",
+        "unsaved_bytes",
+        "saved_entry_count",
+        "saved_bytes",
         "needs_snapshot",
     )
 
@@ -45,10 +45,10 @@
         self.state = state
         self.has_disk = has_disk
         self.saved_at = now
-        self.waiting: list[bytes] = []
-        self.waiting_bytes = 0
-        self.kept_entries = 0
-        self.kept_bytes = 0
+        self.unsaved_entries: list[bytes] = []
+        self.unsaved_bytes = 0
+        self.saved_entry_count = 0
+        self.saved_bytes = 0
         self.needs_snapshot = True
         for record in records:
             self._load(record)
@@ -61,8 +61,8 @@
             self._note_rewritten()
             return
         _, first, entries = record
-        self.kept_entries += len(entries)
-        self.kept_bytes += sum(map(len, entries))
+        self.saved_entry_count += len(entries)
+        self.saved_bytes += sum(map(len, entries))
         for number, entry in enumerate(entries, first):
             if number == self.state.number + 1:
                 self.state.apply(number, read_entry(entry))
@@ -72,8 +72,8 @@
         if first + len(entries) - 1 != self.state.number:
             raise ValueError(f"entries from number {first} do not end at state number {self.state.number}")
         if self.has_disk and not self.needs_snapshot:
-            self.waiting += entries
-            self.waiting_bytes += sum(map(len, entries))
+            self.unsaved_entries += entries
+            self.unsaved_bytes += sum(map(len, entries))
 
     def replace(self) -> None:
         """Records that the state was replaced by a snapshot, so that the file must be rewritten."""
@@ -86,24 +86,24 @@
         if not self.has_disk or not (is_new or is_due):
             return []
         first = self.saved_number + 1
-        entries = tuple(entry.decode() for entry in self.waiting)
+        entries = tuple(entry.decode() for entry in self.unsaved_entries)
         self._note_saved(now)
-        is_long = self.kept_entries > MAX_ENTRIES or self.kept_bytes > MAX_ENTRY_BYTES
+        is_long = self.saved_entry_count > MAX_ENTRIES or self.saved_bytes > MAX_ENTRY_BYTES
         if not self.needs_snapshot and not is_long:
             return [AppendRecords(FILE, ((ENTRIES, first, entries),))]
         self._note_rewritten()
         return [RewriteRecords(FILE, ((SNAPSHOT, self.state.snapshot()),))]
 
     def _note_saved(self, now: timedelta) -> None:
-        self.kept_entries += len(self.waiting)
-        self.kept_bytes += self.waiting_bytes
-        self.waiting = []
-        self.waiting_bytes = 0
+        self.saved_entry_count += len(self.unsaved_entries)
+        self.saved_bytes += self.unsaved_bytes
+        self.unsaved_entries = []
+        self.unsaved_bytes = 0
         self.saved_at = now
         self.saved_number = self.state.number
         self.saved_generation = self.state.generation
 
     def _note_rewritten(self) -> None:
         self.needs_snapshot = False
-        self.kept_entries = 0
-        self.kept_bytes = 0
+        self.saved_entry_count = 0
+        self.saved_bytes = 0
--- a/sumachook/nodes/tick_intervals.py
+++ b/sumachook/nodes/tick_intervals.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 TICK = timedelta(seconds=0.05)  # while some component waits for the next tick
-IN_HAND_TICK = timedelta(
+IN_FLIGHT_TICK = timedelta(
     seconds=0.1
 )  # while servers process requests: their timeouts are some hundred milliseconds or more
 IDLE_TICK = timedelta(seconds=0.2)
--- a/sumachook/nodes/usage_report.py
+++ b/sumachook/nodes/usage_report.py
@@ -6,7 +6,7 @@
 from sumachook.forwarding.request_table import RequestTable
 from sumachook.placement.messages import UsageByService
 
-INTERVAL = timedelta(seconds=0.2)
+REPORT_INTERVAL = timedelta(seconds=0.2)
 EDGES_AT_INTERVAL = 20  # with more edges, each reports less often, in proportion to their number
 
 
@@ -22,12 +22,15 @@
         """Returns the usage by service and model if a report is due, else None; resets the counts of begun requests."""
         if now < self.next_at or not (table.begun_by_service or table.running_by_service):
             return None
-        self.next_at = now + INTERVAL * max(1, table.edges / EDGES_AT_INTERVAL)
-        names = {
+        self.next_at = now + REPORT_INTERVAL * max(1, table.edges / EDGES_AT_INTERVAL)
+        names_by_service = {
             service: set(table.begun_by_service.get(service, ())) | set(table.running_by_service.get(service, ()))
             for service in {*table.begun_by_service, *table.running_by_service}
         }
-        usage = {service: {name: _usage_of(table, service, name) for name in of} for service, of in names.items()}
+        usage = {
+            service: {name: _usage_of(table, service, name) for name in model_names}
+            for service, model_names in names_by_service.items()
+        }
         table.begun_by_service = {}
         return usage
 
--- a/tests/harness/test_soak.py
+++ b/tests/harness/test_soak.py
@@ -127,7 +127,7 @@
     """Given a log with everyday lines, a failed task, a traceback, and connections that were closed while a head was coming in and while
     a request was served, the head alone passes."""
     lines = ['{"message": "edge: Starting."}', "Traceback (most recent call last):"]
-    lines += ['{"message": "daemon: A task failed and is started again."}', CLOSED % "reading", CLOSED % "serving"]
+    lines += ['{"message": "daemon: A task failed and is restarted."}', CLOSED % "reading", CLOSED % "serving"]
     (tmp_path / "edge-1.log").write_text("\n".join(lines))
     assert faults_in_logs(tmp_path) == [f"edge-1: {lines[number]}" for number in (1, 2, 4)]
 
--- a/tests/nodes/test_daemon.py
+++ b/tests/nodes/test_daemon.py
@@ -16,7 +16,7 @@
 from tests.transport.proxy_fixtures import BOUND, parted
 
 LONG_ANSWER = b"x" * (24 << 20)  # more than the buffers of a connection take
-READS_AFTER = 1.2  # seconds from the decision to end, more than `LAST_MESSAGES` and what the server of requests waits
+READS_AFTER = 1.2  # seconds after the decision to exit; longer than `FINAL_SEND_DELAY` and the proxy server's own wait
 ASKED = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -88,7 +88,7 @@
     answer, lines = play(story, effects_for)
     assert answer.startswith(b"HTTP/1.1 200 ")
     ((level, text, fields),) = [line for line in lines if line[0] == "error"]
-    assert text == "An effect could not be carried out." and fields["kind"] == "SendDatagram"
+    assert text == "Failed to execute an effect." and fields["kind"] == "SendDatagram"
 
 
 def test_a_process_that_leaves_ends_only_when_its_answers_have_left_it():
@@ -148,7 +148,7 @@
         process.daemon.http_server.__class__ = type(
             "Failing", (HttpServer,), {"__slots__": (), "_sweep": lambda self, now: fail(now)}
         )
-        while not any(text == "A task failed and is started again." for _, text, _ in process.lines):
+        while not any(text == "A task failed and is restarted." for _, text, _ in process.lines):
             await asyncio.sleep(0)
         process.daemon.http_server.answer(Reply(call_ids[0], 200, {}, b"whole"))
         answer = await reader.read(1000)
@@ -185,18 +185,18 @@
 
     lines = loop.run_until_complete(story())
     loop.close()
-    told = [fields["seconds"] for level, text, fields in lines if text == "This process stood still."]
+    told = [fields["seconds"] for level, text, fields in lines if text == "This process was stalled."]
     assert len(told) == is_told and all(abs(seconds - stood_still) < 0.3 for seconds in told)
 
 
 async def next_tick(process):
     """Returns when one more tick has come and its lateness is noted."""
     came = asyncio.Event()
-    note = process.daemon._note_lateness
+    note = process.daemon._log_stall
 
     def noted(late):
         note(late)
         came.set()
 
-    process.daemon._note_lateness = noted
+    process.daemon._log_stall = noted
     await came.wait()
--- a/tests/nodes/test_edge_shutdown.py
+++ b/tests/nodes/test_edge_shutdown.py
@@ -302,7 +302,7 @@
         writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         while machine.held is None:
             await asyncio.sleep(0)
-        daemon._hear(StopRequested())
+        daemon._put_event(StopRequested())
         answer, code = await reader.read(), await task
         listening.cancel()
         await asyncio.gather(listening, return_exceptions=True)
--- a/tests/nodes/test_edge_start.py
+++ b/tests/nodes/test_edge_start.py
@@ -125,7 +125,7 @@
     state = State()
     file = StateFile(state, False, (), START)
     _apply(state, file, [pack_entry(_change(1))])
-    assert file.save(START + timedelta(seconds=9)) == [] and file.waiting == []
+    assert file.save(START + timedelta(seconds=9)) == [] and file.unsaved_entries == []
 
 
 def test_edge_keeps_what_the_feed_gives_it():
--- a/tests/nodes/test_tick_intervals.py
+++ b/tests/nodes/test_tick_intervals.py
@@ -12,7 +12,7 @@
 from sumachook.host.events import MessageReceived, ProxyRequestReceived, StopRequested, Tick
 from sumachook.nodes.daemon import Daemon
 from sumachook.nodes.edge import Edge
-from sumachook.nodes.tick_intervals import IDLE_TICK, IN_HAND_TICK, TICK
+from sumachook.nodes.tick_intervals import IDLE_TICK, IN_FLIGHT_TICK, TICK
 from sumachook.placement.messages import PlacementUpdate
 from sumachook.runtime.clock import Clock
 from tests.forwarding.forwarding_fixtures import SERVERS, catalogue
@@ -51,7 +51,7 @@
     edge, now = _edge()
     assert edge.tick_interval == IDLE_TICK
     assert any(isinstance(effect, ForwardRequest) for effect in _ask(edge, now, "q1", "m"))
-    assert edge.tick_interval == IN_HAND_TICK
+    assert edge.tick_interval == IN_FLIGHT_TICK
     _ask(edge, now, "q2", "n")  # which stands nowhere
     assert edge.tick_interval == TICK
 
@@ -89,7 +89,7 @@
         daemon = Daemon(machine, Clock(), lambda *what: None, "127.0.0.1:0")
         task = asyncio.get_running_loop().create_task(daemon._run_ticks())
         assert await machine.taken.get() is Tick
-        daemon._hear(MessageReceived("n", "127.0.0.1:1", ("news",)))
+        daemon._put_event(MessageReceived("n", "127.0.0.1:1", ("news",)))
         assert await machine.taken.get() is MessageReceived
         assert await asyncio.wait_for(machine.taken.get(), 30) is Tick
         task.cancel()
