--- a/harness/mutations/configuration.py
+++ b/harness/mutations/configuration.py
@@ -76,7 +76,7 @@
         "if is_overtaken(seen, state.version_changed_at):",
         "if False:",
         ORDERS,
-        "copy_of_an_order",
+        "copy_of_a_rejected_change",
     ),
     Mutation(
         "CONFIG",
@@ -84,7 +84,7 @@
         "    if change.issues:",
         "if False:",
         ORDERS,
-        "claim_is_judged",
+        "change_by_digest",
     ),
     Mutation(
         "CONFIG",
@@ -92,7 +92,7 @@
         "if change.base_version != state.version or state.accepted_versions.contains(identity.version, identity.digest):",
         "if False:",
         ORDERS,
-        "claim_is_judged",
+        "change_by_digest",
     ),
     Mutation(
         "CONFIG",
@@ -100,7 +100,7 @@
         "return completed.result if is_repeat else",
         "return completed.result if True else",
         ORDERS,
-        "one_request_id",
+        "reused_request_id",
     ),
     Mutation(
         "CONFIG",
@@ -124,7 +124,7 @@
         "            self.remove(pending)\n\n    # proposals",
         "            pass\n\n    # proposals",
         ORDERS,
-        "went_away",
+        "disconnected_caller",
     ),
     Mutation(
         "CONFIG",
@@ -132,7 +132,7 @@
         "if now >= pending.answer_by:",
         "if False:",
         ORDERS,
-        "in_its_time",
+        "answered_in_time",
     ),
     Mutation(
         "CONFIG",
@@ -140,7 +140,7 @@
         "min(pending.delivered_at + self.confirm_within, pending.answer_by)",
         "pending.delivered_at + self.confirm_within",
         ORDERS,
-        "in_its_time",
+        "answered_in_time",
     ),
     Mutation(
         "CONFIG",
@@ -180,6 +180,6 @@
         "if len(event.body) > MAX_FORWARDED_BYTES and",
         "if False and",
         ORDERS,
-        "handed_on",
+        "redirects_a_large_change",
     ),
 )
--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -165,7 +165,7 @@
         "if table.generation == table.state.generation and table.callers:",
         "if table.callers:",
         CONTROL,
-        "probe_sees",
+        "leader_fails_right_after",
     ),
     Mutation(
         5,
@@ -173,7 +173,7 @@
         "if sender not in self.members and now >= self._next_introduction_at:",
         "if False:",
         CONTROL,
-        "know_every_edge",
+        "relearn_all_edges",
     ),
     Mutation(
         5,
--- a/harness/mutations/model_checker.py
+++ b/harness/mutations/model_checker.py
@@ -123,7 +123,7 @@
         "        if self._may_be_superseded(pending, now):\n",
         "        if False:\n",
         "tests/nodes/test_operator_changes.py",
-        "turn_whose_read",
+        "evacuation_whose_read",
         file="nodes/configuration_changes.py",
     ),
 )
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -10,7 +10,7 @@
 CONNECTION_ENDS = "tests/transport/test_connection_ends.py"
 
 SHUTDOWN_MUTATIONS = (
-    Mutation("LOST", "a shut front lets in", "if table.is_closed:", "if False:", LEAVING, "once_the_front_is_shut"),
+    Mutation("LOST", "a shut front lets in", "if table.is_closed:", "if False:", LEAVING, "once_the_proxy_server_is_closed"),
     Mutation(
         "LOST",
         "a request is handled on a connection that this node has closed",
@@ -25,7 +25,7 @@
         "        self.listener.close()\n        resting",
         "        resting",
         LEAVING,
-        "in_hand_when_the_front",
+        "in_flight_at_the_close",
     ),
     Mutation(
         "LOST",
@@ -33,7 +33,7 @@
         "self._close_resting(resting, TURNS_LEFT_UNREAD)",
         "pass",
         LEAVING,
-        "in_hand_when_the_front",
+        "in_flight_at_the_close",
     ),
     Mutation(
         "LOST",
@@ -65,7 +65,7 @@
         "connection.pause()  # what",
         "pass  # what",
         LEAVING,
-        "after_the_front_was_shut",
+        "just_after_the_close",
     ),
     Mutation(
         "LOST",
@@ -81,7 +81,7 @@
         " or open_for < MIN_OPEN_TIME:",
         ":",
         LEAVING,
-        "nobody_comes",
+        "without_clients",
     ),
     Mutation(
         "LOST",
@@ -89,7 +89,7 @@
         "return now - self.quiet_since > QUIET_TIME or",
         "return True or",
         LEAVING,
-        "clients_go_on or last_client",
+        "steady_clients or last_client",
     ),
     Mutation(
         "LOST",
@@ -97,16 +97,16 @@
         " or open_for >= MAX_OPEN_FRACTION * self.grace",
         "",
         LEAVING,
-        "clients_go_on",
+        "steady_clients",
     ),
-    Mutation("LOST", "no last words", "effects += pipeline.take(DrainEnded(), now)", "pass", LEAVING, "last_words"),
+    Mutation("LOST", "no last words", "effects += pipeline.take(DrainEnded(), now)", "pass", LEAVING, "final_answers"),
     Mutation(
         "LOST",
         "last words are spoken as soon as the front is shut",
         "if self.stop_by is not None and now >= self.stop_by:",
         "if self.is_proxy_server_closed:",
         LEAVING,
-        "in_hand",
+        "in_flight",
     ),
     Mutation(
         "LOST",
@@ -114,7 +114,7 @@
         "is_done and self.is_proxy_server_closed and not has_requests",
         "self.is_proxy_server_closed",
         LEAVING,
-        "in_hand_is_finished",
+        "in_flight_are_finished",
     ),
     Mutation(
         "LOST",
@@ -122,7 +122,7 @@
         "and not is_leaving and is_open",
         "and is_open",
         LEAVING,
-        "nobody_comes",
+        "without_clients",
     ),
     Mutation(
         "LOST",
@@ -130,7 +130,7 @@
         "await asyncio.sleep(FINAL_SEND_DELAY.total_seconds())",
         "pass",
         LEAVING,
-        "goes_out_before",
+        "sent_before_the_process_exits",
     ),
     Mutation(
         "LOST",
@@ -171,7 +171,7 @@
         "proxy_pipeline.table.requests or proxy_pipeline.table.parked_requests",
         "proxy_pipeline.table.requests",
         LEAVING,
-        "waits_for_the_routes",
+        "waiting_for_routes",
     ),
     Mutation(
         "LOST",
@@ -179,7 +179,7 @@
         '        except Exception as error:\n            fields = {"kind": type(effect).__name__, "error": repr(error)}',
         '        except ArithmeticError as error:\n            fields = {"kind": type(effect).__name__, "error": repr(error)}',
         DAEMON,
-        "cannot_be_carried_out",
+        "failing_effect",
     ),
     Mutation(
         "LOST",
@@ -187,7 +187,7 @@
         "while loop.time() < self.write_deadline and any(",
         "while False and any(",
         DAEMON,
-        "answers_have_left",
+        "responses_are_written",
     ),
     Mutation(
         "LOST",
@@ -219,7 +219,7 @@
         "[*effects, *core.api.close(), *end] if end else effects",
         "[*effects, *end]",
         "tests/nodes/test_core_shutdown.py",
-        "waits_when_its_core_ends",
+        "answered_when_their_core_exits",
     ),
     Mutation(
         "LIMITS",
--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -103,7 +103,7 @@
         "for name, content in contents.items() if content.damage}",
         "for name, content in contents.items() if False}",
         "tests/nodes/test_disk_faults.py",
-        "damaged_disk",
+        "damaged_file_is_replaced",
         file="storage/folder.py",
     ),
     Mutation(
@@ -160,7 +160,7 @@
         "        self.is_disk_available = False\n        return effects",
         "        return effects",
         "tests/nodes/test_disk_faults.py",
-        "stands_aside or stays_bounded",
+        "full_disk_leaves_the_view or stays_bounded",
     ),
     Mutation(
         "DISK",
@@ -168,7 +168,7 @@
         "return fence <= self.released.get(role, 0)",
         "return False",
         "tests/nodes/test_disk_faults.py",
-        "given_back",
+        "released_role",
     ),
     Mutation(
         "DISK",
@@ -176,7 +176,7 @@
         "        released = self.leases.take(lease_events.Quit(), now)\n        effects",
         "        released = []\n        effects",
         "tests/nodes/test_disk_faults.py",
-        "duties_back",
+        "releases_its_role",
     ),
     Mutation(
         "DISK",
@@ -184,7 +184,7 @@
         "            except OSError as error:\n                self.queue.fail_step(str(error))\n                self.check_state()\n",
         "            except ValueError:\n                pass\n",
         "tests/nodes/test_disk_faults.py",
-        "made_good",
+        "retried_in_order",
     ),
     Mutation(
         "DISK",
@@ -192,7 +192,7 @@
         "await worker.call(self.folder.write, step)",
         "self.folder.write(step)",
         "tests/nodes/test_disk_faults.py",
-        "hanging_disk_holds",
+        "hanging_disk_blocks",
         file="nodes/disk_writer.py",
     ),
     Mutation(
--- a/sumachook/nodes/configuration_changes.py
+++ b/sumachook/nodes/configuration_changes.py
@@ -39,7 +39,7 @@
     started_at: timedelta
     answer_by: timedelta
     retry_read_at: timedelta | None = None  # when to retry the linearizable read
-    read_number: int | None = None  # last delivered entry when the linearizable read completed; None before
+    read_number: int | None = None  # number of the last entry delivered before the read completed; None before
     entry: OperatorCall | None = None  # the proposed log entry
     propose_at: timedelta | None = None
     resend_delay: timedelta = FIRST_RESEND_DELAY
--- a/sumachook/nodes/core_peers.py
+++ b/sumachook/nodes/core_peers.py
@@ -6,7 +6,7 @@
 
 
 class CorePeers:
-    """Returns names, addresses and restart epochs of other nodes."""
+    """Looks up names, addresses and restart epochs of other nodes."""
 
     __slots__ = ("node", "restart_epoch", "membership", "state")
 
--- a/sumachook/nodes/data_folder.py
+++ b/sumachook/nodes/data_folder.py
@@ -38,7 +38,7 @@
         fail(USAGE, f"{path}: {EARLIER_LOG}: {EARLIER_LOG_HELP}")
     for damage in opened.damages:
         fields = {"file": damage.name, "reason": damage.reason, "kept": damage.kept_as}
-        log("error", "storage", "A file is damaged and was set aside.", fields)
+        log("error", "storage", "Found a damaged file and renamed it.", fields)
     if any(damage.name in IDENTITY_FILES for damage in opened.damages):
         log("error", "storage", "Identity lost to a damaged file: this core starts as a new voter.", {})
     return opened
--- a/sumachook/nodes/edge_peers.py
+++ b/sumachook/nodes/edge_peers.py
@@ -11,7 +11,7 @@
 
 
 class EdgePeers:
-    """Returns names and addresses of other nodes, from the membership and from the control state."""
+    """Looks up names and addresses of other nodes, in the membership and in the control state."""
 
     __slots__ = ("node", "zone", "membership", "state")
 
--- a/sumachook/nodes/edge_shutdown.py
+++ b/sumachook/nodes/edge_shutdown.py
@@ -9,7 +9,7 @@
 from sumachook.ledger.writer import LedgerWriter
 from sumachook.requests.events import DrainEnded, ProxyServerClosed
 
-FINAL_ANSWERS_BEFORE_END = timedelta(seconds=0.8)  # at which requests still in flight get their final answer
+FINAL_ANSWERS_BEFORE_END = timedelta(seconds=0.8)  # before the grace period ends, open requests get final answers
 MIN_OPEN_TIME = timedelta(seconds=2.5)  # until load balancers have seen that this edge is not ready
 # Fraction of the grace period in which requests are accepted: the response to a later one might be cut off at its end.
 MAX_OPEN_FRACTION = 0.36
--- a/tests/deployment_fixtures.py
+++ b/tests/deployment_fixtures.py
@@ -1,4 +1,4 @@
-"""What the stories begin with: a town that has come up and holds its pairs."""
+"""Simulated deployments in the states in which tests start, and helpers to control them."""
 
 import re
 from datetime import timedelta
@@ -19,14 +19,14 @@
 
 
 def found(seed, name="kosice", edges=3, **more) -> Deployment:
-    """A town whose cores have founded a view."""
+    """Creates a deployment whose cores have founded a view."""
     deployment = Deployment(spec(name), seed, edges, **more)
     assert deployment.run_until(lambda: leader(deployment) is not None, 10)
     return deployment
 
 
 def settled(seed, name="kosice", edges=3, **more) -> Deployment:
-    """A town with its catalogue applied and all its pairs held."""
+    """Creates a deployment with its catalogue applied and all planned replicas loaded."""
     deployment = found(seed, name, edges, **more)
     answer = deployment.ask("core-1", "POST", "/operator/apply", {"request": "first", "doc": deployment.spec.catalogue})
     assert answer and answer[0] == 200, answer
@@ -35,14 +35,14 @@
 
 
 def compact_after(deployment, entries: int):
-    """From now on the running cores make a snapshot whenever so many entries were delivered."""
+    """Makes the running cores compact their log whenever so many entries were delivered."""
     for core in deployment.machines("core"):
         state = core.consensus.state
         state.options = replace(state.options, max_log_entries=entries)
 
 
 def leader(deployment):
-    """The core that leads a working view, or None."""
+    """Returns the core that leads a working view, or None."""
     return next(
         (
             core
@@ -66,12 +66,12 @@
 
 
 def others(deployment, name):
-    """All boxes but one, as seen by a cut."""
+    """Returns the names of all other boxes, the other side of a partition that isolates this one."""
     return deployment.inside(name)
 
 
 def cut_late(deployment, name, others=None, one_way=False):
-    """Cuts a core off from the others (all, or those named) with late delivery; gives the links, for `deployment.heal`."""
+    """Isolates a core from all others, or those named, and delivers messages late; returns the links for `heal`."""
     rest = others or [box.name for box in deployment.boxes.values() if box.role == "core" and box.name != name]
     return deployment.cut([name], rest, one_way, holds=True)
 
@@ -81,7 +81,7 @@
 
 
 def json_fields(fields: dict) -> dict:
-    """Keyword arguments as fields of an operator's document, whose names are in camelCase.
+    """Converts keyword arguments to the camelCase fields of an operator's document.
 
     >>> json_fields({"timeout_ms": 5, "name": "r"})
     {'timeoutMs': 5, 'name': 'r'}
@@ -94,7 +94,7 @@
 
 
 def quiet(deployment):
-    """Callers that call only when told to, by `ask`."""
+    """Creates callers that send requests only through `ask`."""
     callers = deployment.call_in(1.0, [])
     callers.groups = deployment.spec.traffic
     callers.due = {each["name"]: timedelta(days=9) for each in deployment.spec.traffic}
@@ -102,18 +102,18 @@
 
 
 def ask(deployment, callers, name, max_tokens=64, **more):
-    """One call of a group, made now; gives it."""
+    """Sends one request of a traffic group now and returns the call."""
     for effect in callers.ask(group(deployment, name, max_tokens=max_tokens), deployment.now, **more):
         deployment._do(deployment.boxes["callers"], effect)
     return callers.calls[-1]
 
 
 def invariant_checker(deployment, callers=None) -> InvariantChecker:
-    """The independent check; without callers, of the servers' records only."""
+    """Creates the independent invariant checker; without callers, it checks the servers' records only."""
     return InvariantChecker(deployment, callers or quiet(deployment))
 
 
 def give_credit(budget, credit: float, *keys: str) -> None:
-    """Lets an edge's retry budget hold so much for the service of each key."""
+    """Sets the credit of an edge's retry budget for the service of each key."""
     for key in keys:
         budget.bucket(key).balance = credit
--- a/tests/nodes/conftest.py
+++ b/tests/nodes/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of nodes share."""
+"""Fixtures shared by the tests of nodes."""
 
 import signal
 
@@ -7,7 +7,7 @@
 
 @pytest.fixture(autouse=True)
 def signal_handlers():
-    """A daemon that ran to its end ignores signals from then on; the process of the tests does not."""
+    """Restores the signal handlers after each test: a daemon that has exited leaves signals ignored."""
     before = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
     yield
     for number, handler in before.items():
--- a/tests/nodes/test_control_plane.py
+++ b/tests/nodes/test_control_plane.py
@@ -1,4 +1,4 @@
-"""Control state: founding, views, configuration, duties, the feed."""
+"""Control plane of a simulated deployment: founding, views, configuration, singleton roles, the change feed."""
 
 from datetime import timedelta
 
@@ -18,7 +18,7 @@
 
 
 def _swap_all_cores(deployment):
-    """One after the other: a new machine at a new address, then the old one is gone for good."""
+    """Replaces each core in turn: adds a core at a new address, then removes the old machine permanently."""
     for place in (1, 2, 3):
         node = {
             "name": f"core-{place + 3}",
@@ -37,8 +37,8 @@
         deployment.run(2)
 
 
-def test_founding_needs_all_three_blank_cores():
-    """Given two of three cores, when they start, no view is founded; when the third comes, one is, with all in it."""
+def test_cluster_is_founded_only_with_all_three_blank_cores():
+    """With two of three blank cores running, no view is founded; once the third starts, a view with all three is."""
     from sumachook.simulation.deployment import Deployment
     from tests.deployment_fixtures import spec
 
@@ -51,8 +51,8 @@
     assert len(leader(deployment).consensus.members) == 3
 
 
-def test_kill_of_each_core_loses_nothing_acknowledged():
-    """Given a town, when each core is killed and comes back in turn, what was acked before and between stays, on all nodes."""
+def test_restart_of_each_core_loses_no_acknowledged_change():
+    """Each core is killed and restarted in turn; changes acknowledged before and in between remain on all nodes."""
     deployment = settled(5)
     for place in range(1, 4):
         name = f"core-{place}"
@@ -71,8 +71,8 @@
         assert {"r1", "r2", "r3"} <= {route.name for route in machine.state.catalogue.routes}
 
 
-def test_power_loss_of_all_cores_right_after_an_ack():
-    """Given an acked change, when all cores lose power in the same instant and return, the change is there."""
+def test_acknowledged_change_survives_power_loss_of_all_cores():
+    """All cores lose power at the same instant right after an acknowledgement; the change is there after their restart."""
     deployment = settled(6)
     assert _apply(deployment, "core-2", "last-word")[0] == 200
     for place in (1, 2, 3):
@@ -83,8 +83,9 @@
     assert deployment.run_until(lambda: leader(deployment) is not None and leader(deployment).state.generation == 2, 12)
 
 
-def test_minority_refuses_and_says_so():
-    """Given a split, a lone core refuses writes as not applied and shows itself stale; the majority goes on; then all agree."""
+def test_isolated_core_refuses_changes_and_reports_stale_state():
+    """During a partition, an isolated core refuses changes as not applied and shows its state as stale, while the
+    majority accepts them; after it heals, all agree."""
     deployment = settled(7)
     lone = box_of(deployment, leader(deployment)).name
     deployment.cut([lone], others(deployment, lone))
@@ -105,8 +106,9 @@
     )
 
 
-def test_lost_core_is_replaced_by_an_empty_one_at_a_new_address():
-    """Given a core whose machine is gone, a blank one elsewhere takes its seat; another loss after that is survived."""
+def test_lost_core_is_replaced_by_a_blank_core_at_a_new_address():
+    """After a core's machine is lost, a blank core at a new address replaces it as a voter; the loss of another core is
+    then survived."""
     deployment = settled(8, voter_away=4.0)
     old = {box.name: box.machine.node for box in deployment.boxes.values() if box.role == "core"}
     deployment.vanish("core-3")
@@ -119,14 +121,15 @@
     )
     assert deployment.run_until(
         lambda: set(leader(deployment).state.voting_members) == wanted, 0.2
-    )  # the lost one goes once the new one is in the view
+    )  # the lost core is removed once the new one is in the view
     deployment.vanish("core-1")
     assert deployment.run_until(lambda: leader(deployment) is not None, 8)
     assert _apply(deployment, "core-4", "after")[0] == 200
 
 
-def test_blank_disk_never_votes_as_its_former_self():
-    """Given a core whose disk is wiped, it comes back as somebody else and its old seat casts no vote."""
+def test_core_with_a_wiped_disk_gets_a_new_identity():
+    """A core whose disk was wiped returns under a new name, and its former name is removed from the voters: with its
+    promises lost, it must not vote under that."""
     deployment = settled(9, voter_away=4.0)
     former = deployment.boxes["core-2"].machine.node
     deployment.kill("core-2")
@@ -143,8 +146,9 @@
     )
 
 
-def test_racing_stale_and_repeated_configurations():
-    """Given two operators at two cores: partial changes merge, one that names a generation gone by is stale, a repeat applies once."""
+def test_concurrent_stale_and_repeated_configuration_changes():
+    """Partial changes of two operators at two cores merge, a change based on an old generation is stale, and a repeat
+    is applied once."""
     deployment = settled(10)
     first = _apply(deployment, "core-1", "a", {"routes": [{"name": "one", "target": "refund-01"}]}, if_generation=1)
     second = _apply(deployment, "core-2", "b", {"routes": [{"name": "two", "target": "refund-02"}]}, if_generation=1)
@@ -155,8 +159,8 @@
     assert {"one", "two"} <= {route.name for route in leader(deployment).state.catalogue.routes}
 
 
-def test_bad_configuration_is_refused_whole_with_every_fault():
-    """Given a catalogue with several faults, all are named by path and nothing changes on any node."""
+def test_invalid_configuration_is_rejected_with_all_faults():
+    """A catalogue with several faults is rejected with the path of each, and no node changes."""
     deployment = settled(11)
     doc = {
         "models": [{"name": "refund-01", "memory": -4.0}, {"name": "odd name", "memory": 1.0, "decodeRate": 1.0}],
@@ -169,8 +173,9 @@
     assert _generations(deployment) == {1}
 
 
-def test_every_reachable_node_obeys_within_two_seconds_of_the_ack():
-    """Rule 5. Given an edge whose core is cut off from the others just before a change, it obeys within two seconds of the ack."""
+def test_reachable_edges_apply_a_change_within_two_seconds_of_its_acknowledgement():
+    """Rule 5. Also edges connected to a core that was isolated just before a change apply it within two seconds of its
+    acknowledgement."""
     deployment = settled(12, edges=5)
     for name in [box.name for box in deployment.boxes.values() if box.role == "core"]:
         rest = [other for other in ("core-1", "core-2", "core-3") if other != name]
@@ -187,8 +192,9 @@
         )
 
 
-def test_nobody_slips_back():
-    """Rule 5. Given a stale core and edges that restart beside it, no edge's generation ever falls below what it had."""
+def test_configuration_generation_of_an_edge_never_decreases():
+    """Rule 5. With a stale, isolated core and an edge that restarts beside it, no edge returns to an older
+    configuration."""
     deployment = settled(13, edges=3)
     _apply(deployment, "core-1", "new")
     seen = {}
@@ -210,8 +216,8 @@
     deployment.run_until(look, 10)
 
 
-def test_frozen_and_stalled_members_do_not_hold_up_acks():
-    """Given a frozen member, then one whose disk stalls, changes are acked within two seconds all the same."""
+def test_frozen_or_stalled_follower_does_not_delay_acknowledgements():
+    """With a frozen follower, then with one whose disk stalls, changes are acknowledged within three seconds."""
     deployment = settled(14)
     member = next(
         box.name for box in deployment.boxes.values() if box.role == "core" and box.machine is not leader(deployment)
@@ -230,8 +236,8 @@
     assert deployment.now - before < timedelta(seconds=3)
 
 
-def test_leader_with_a_stalled_disk_lets_another_lead():
-    """Given a leader whose disk stalls, another core leads soon and changes are acked."""
+def test_leader_with_a_stalled_disk_is_replaced():
+    """When the leader's disk stalls, another core becomes the leader and changes are acknowledged."""
     deployment = settled(15)
     slow = box_of(deployment, leader(deployment))
     slow.disk.stalled_until = deployment.now + timedelta(seconds=15)
@@ -240,8 +246,9 @@
     assert leader(deployment) is not slow.machine
 
 
-def test_woken_duty_holder_orders_nothing_under_its_old_fence():
-    """Rule 9. Given a placer that freezes in mid-work, another takes over with a higher fence; the woken one orders nothing."""
+def test_resumed_placer_sends_no_orders_under_its_old_fence():
+    """Rule 9. While the placer is frozen, another core takes the role over with a higher fencing token; after it
+    resumes, the old placer sends no orders."""
     deployment = found(16)
     deployment.ask("core-1", "POST", "/operator/apply", {"request": "first", "doc": deployment.spec.catalogue})
     deployment.run(6)
@@ -265,16 +272,17 @@
     assert any(fence > holder[1] for record in deployment.records.values() for _, fence, _, _ in record.orders)
 
 
-def test_edges_follow_a_new_roster_and_seeds_are_only_a_way_in():
-    """Given edges that came in through seeds that are all gone now, they still learn changes from the cores that took over."""
+def test_edges_follow_the_new_cores_after_all_seeds_are_replaced():
+    """Edges whose seeds have all been replaced by other cores still receive changes from the new cores: seeds are
+    needed only to join."""
     deployment = settled(17, voter_away=3.0)
     _swap_all_cores(deployment)
     status, answer = _apply(deployment, "core-6", "new cores")
     assert status == 200 and answer["unconfirmed"] == [] and len(answer["confirmed"]) == 3
 
 
-def test_storm_of_changes_is_bounded_and_all_answered():
-    """Given two hundred orders at once at two cores, each is answered: applied or refused as not applied; none is lost."""
+def test_burst_of_changes_is_answered_completely():
+    """Each of two hundred concurrent changes at two cores is either applied or refused as not applied; none is lost."""
     deployment = settled(18)
     deployment.ask("core-1", "GET", "/show/duties")
     operator = deployment.boxes["operator"].machine
@@ -295,8 +303,9 @@
     assert {f"s{place}" for place in good} <= names and len(names) == len(good) + 1
 
 
-def test_founding_that_was_interrupted_is_finished():
-    """Given a founder that is killed at each moment of its first second and comes back, a view of all three is founded."""
+def test_interrupted_founding_is_completed():
+    """The founding core is killed at different moments around its first third of a second and restarted; a view of all
+    three is founded."""
     from sumachook.simulation.deployment import Deployment
     from tests.deployment_fixtures import spec
 
@@ -313,8 +322,8 @@
         ), step
 
 
-def test_woken_leader_does_not_disturb_the_view_that_took_over():
-    """Given a leader that freezes and wakes, the view that took over goes on until it takes the woken one back in, once."""
+def test_resumed_leader_does_not_disrupt_the_new_view():
+    """After a frozen leader resumes, its successor stays the leader throughout and adds the old one to the view once."""
     deployment = settled(71)
     old = box_of(deployment, leader(deployment))
     deployment.freeze(old.name)
@@ -328,7 +337,7 @@
     for _ in range(80):
         deployment.run(0.05)
         views.add((current.consensus.view[0], len(current.consensus.members)))
-        assert current.consensus.role in ("leading", "stopping", "installing")  # it never yields to the woken one
+        assert current.consensus.role in ("leading", "stopping", "installing")  # it never yields to the resumed leader
     assert min(views) == (ballot, 2) and {size for view, size in views if view > ballot} == {3}
     assert (
         leader(deployment) is current
@@ -342,9 +351,9 @@
     )
 
 
-def test_nothing_acknowledged_is_lost_under_dense_faults():
-    """Given three cores under kills, power loss, freezes, cuts and stalls every second, all deliver the same changes in one order
-    and every acknowledged one is there in the end."""
+def test_no_acknowledged_change_is_lost_under_frequent_faults():
+    """With kills, power loss, freezes, partitions and disk stalls every second, three cores deliver the same changes in
+    one order, and every acknowledged change is there in the end."""
     from harness.experiments.chaos import play
 
     for seed in (1, 2, 3):
@@ -352,8 +361,8 @@
         assert faults == [] and acked and delivered > acked
 
 
-def test_core_that_lost_its_file_is_not_who_it_was():
-    """Given a core whose control file is gone while its ledger is still there, it comes back as somebody new."""
+def test_core_without_its_consensus_file_gets_a_new_identity():
+    """A core whose consensus file is lost while its ledger remains rejoins under a new name."""
     deployment = settled(72, voter_away=4.0)
     former = deployment.boxes["core-1"].machine.node
     deployment.kill("core-1")
@@ -369,9 +378,10 @@
     )
 
 
-def test_probe_sees_that_all_obey_though_the_leader_is_lost_right_after_the_ack():
-    """Rules 5 and 6. Given changes and an evacuation each followed at once by the leader being killed, frozen or cut off, a probe
-    from outside sees every edge that can be reached obey within two seconds, and none go back; nothing enters the area."""
+def test_all_edges_apply_a_change_if_the_leader_fails_right_after_acknowledging_it():
+    """Rules 5 and 6. Changes and an evacuation are each followed at once by a kill, freeze or partition of the leader:
+    an external probe sees every reachable edge apply them within two seconds, none reverts, and no request enters the
+    evacuated zone."""
     from sumachook.simulation.fault_injection import FaultInjection
     from tests.deployment_fixtures import invariant_checker
 
@@ -410,8 +420,9 @@
         )
 
 
-def test_node_restarted_with_seeds_that_are_all_gone_is_let_in_by_those_who_miss_it():
-    """Given cores that were all swapped for new ones, an edge that is killed and started with its old params serves again."""
+def test_edge_restarted_with_only_replaced_seeds_rejoins():
+    """After all cores were replaced, an edge restarted with its old seed addresses is contacted by nodes that still
+    know it, and serves again."""
     deployment = settled(75, voter_away=3.0)
     _swap_all_cores(deployment)
     deployment.kill("edge-1")
@@ -421,9 +432,9 @@
     assert deployment.run_until(lambda: edge.follower.trust(deployment.now) == "fresh", 20)
 
 
-def test_cores_that_were_all_restarted_at_once_know_every_edge_again_though_no_seed_tells_them():
-    """Given edges that run on and cores that are all killed and are back sooner than anybody calls them gone, the cores know every
-    edge again within the time that a machine needs to be in touch: by whom they are probed."""
+def test_cores_restarted_at_once_relearn_all_edges_from_their_probes():
+    """All cores are killed and restart before any edge has declared them failed. They relearn every edge from its
+    probes within three seconds, the time in which a machine must rejoin, though no seed knows the edges."""
     deployment = settled(77, edges=6)
     edges = {box.name for box in deployment.boxes.values() if box.role == "edge"}
     for core in ("core-1", "core-2", "core-3"):
@@ -437,8 +448,9 @@
     )
 
 
-def test_every_area_evacuated_refuses_everybody_and_one_restored_serves_again():
-    """Given all areas evacuated, every call is refused as not run; when one is restored, its edges serve from its own servers."""
+def test_evacuation_of_all_zones_refuses_all_requests_until_one_is_restored():
+    """With all zones evacuated, every request is refused as not run; once one is restored, its edges serve requests
+    from its own servers."""
     from tests.deployment_fixtures import ask, invariant_checker, quiet
 
     deployment = settled(76)
--- a/tests/nodes/test_core_shutdown.py
+++ b/tests/nodes/test_core_shutdown.py
@@ -1,7 +1,7 @@
-"""A core that leaves: operators' calls that wait for their answers (docs/design/forwarding.md).
+"""Shutdown of a core with pending operator requests (docs/design/forwarding.md).
 
-The story: an operator's call was read by a core that had been told to leave, and waited there for its answer when the core ended: its
-connection was closed with none. Found by the soak, as the warning of a connection that was closed with a request on it.
+The failure: a core in shutdown read an operator's request that still waited for its response when the core exited, so its connection was
+closed without one. The soak found it by the warning about a connection that was closed with a request on it.
 """
 
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 
 class LeavingCore:
-    """The leader of a settled deployment, told to leave, to which from now on nobody else speaks."""
+    """The leader of a settled deployment after a stop signal; it receives no more messages of other nodes."""
 
     def __init__(self):
         deployment = settled(1)
@@ -44,9 +44,9 @@
 
 
 @pytest.mark.parametrize("call", [APPLY, READ, SEARCH])
-def test_a_call_that_waits_when_its_core_ends_is_answered(call):
-    """Given an operator's change, a read and a search that wait for other cores when their core ends, each is told to ask another one,
-    and what comes after that is told so at once."""
+def test_pending_operator_requests_are_answered_when_their_core_exits(call):
+    """An operator's change, read and search that wait for other cores when their core exits are answered with 503, and
+    so is a later request, at once."""
     leaving = LeavingCore()
     leaving.now += timedelta(seconds=2.5)
     replies = [effect for effect in leaving.ask(1, *call) if isinstance(effect, Reply)]
--- a/tests/nodes/test_daemon.py
+++ b/tests/nodes/test_daemon.py
@@ -1,4 +1,4 @@
-"""The host of a node in a process: effects that fail, and what is still to be written when the process ends (docs/design/processes.md)."""
+"""The daemon that runs a node: failing effects, and responses still unwritten at the exit (docs/design/processes.md)."""
 
 import asyncio
 import signal
@@ -15,13 +15,13 @@
 from sumachook.transport.http_server import HttpServer
 from tests.transport.proxy_fixtures import BOUND, parted
 
-LONG_ANSWER = b"x" * (24 << 20)  # more than the buffers of a connection take
+LONG_ANSWER = b"x" * (24 << 20)  # more than the buffers of a connection can store
 READS_AFTER = 1.2  # seconds after the decision to exit; longer than `FINAL_SEND_DELAY` and the proxy server's own wait
 ASKED = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 class Machine:
-    """Gives the same effects for each request; `effects_for` makes them from the call's id."""
+    """A state machine that returns the effects that `effects_for` creates from a request's call id."""
 
     node, restart_epoch = "n", 1
 
@@ -33,7 +33,7 @@
 
 
 class Process:
-    """A daemon with its lines of the log; `ask` writes a request on a connection of its own."""
+    """A running daemon and its log lines; `ask` sends a request on a new connection."""
 
     def __init__(self, effects_for):
         self.lines = []
@@ -72,9 +72,9 @@
     return asyncio.run(asyncio.wait_for(run(), BOUND))
 
 
-def test_an_effect_that_cannot_be_carried_out_takes_no_other_with_it():
-    """Given a message to an address that is none, and an answer in the same effects, the client gets its answer, and the log says which
-    effect failed."""
+def test_a_failing_effect_does_not_prevent_the_others():
+    """A message to an invalid address and a reply are effects of one event: the client gets its reply, and the log
+    names the failed effect."""
 
     async def story(process):
         reader, writer = await process.ask()
@@ -91,9 +91,9 @@
     assert text == "Failed to execute an effect." and fields["kind"] == "SendDatagram"
 
 
-def test_a_process_that_leaves_ends_only_when_its_answers_have_left_it():
-    """Given a client that begins to read its long answer only after its edge has decided to end, the answer reaches it whole: what an
-    ending process has not yet written is lost."""
+def test_process_exits_only_after_its_responses_are_written():
+    """A client that starts reading its long response only after the edge decided to exit receives all of it: bytes that
+    an exiting process has not written are lost."""
 
     async def story(process):
         loop = asyncio.get_running_loop()
@@ -104,7 +104,7 @@
         transport = connection.transport
         loop.call_later(READS_AFTER, writer.transport.resume_reading)
         await process.task
-        transport.abort()  # as the end of the process does
+        transport.abort()  # as the exit of the process does
         answer = parted(await reader.read())
         writer.close()
         return answer
@@ -116,9 +116,9 @@
     assert (status, len(body), is_whole) == (200, len(LONG_ANSWER), True)
 
 
-def test_signals_in_the_last_moments_of_a_process_change_nothing():
-    """Given a process whose machine has decided to end, and signals while its interpreter is being taken down, they are ignored: it ends
-    with the code that its machine gave."""
+def test_signals_during_exit_are_ignored():
+    """Signals that arrive while the interpreter of an exiting process shuts down are ignored, and it exits with its
+    machine's code."""
     numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
     async def run():
@@ -134,8 +134,8 @@
     assert code == 0 and after == [signal.SIG_IGN] * len(numbers)
 
 
-def test_a_sweep_that_fails_ends_no_request():
-    """Given a request in hand, and a sweep of connections that fails, the request is answered; the log says that a task has failed."""
+def test_failing_connection_sweep_ends_no_request():
+    """A request in flight is answered although the sweep of connections fails; the log reports the failed task."""
     call_ids = []
 
     async def story(process):
@@ -163,7 +163,7 @@
 
 
 class JumpingClockLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock jumps ahead of the time that its callbacks wait for."""
+    """An event loop whose clock can jump ahead, past the deadlines of its callbacks."""
 
     ahead = 0.0
 
@@ -172,9 +172,9 @@
 
 
 @pytest.mark.parametrize(("stood_still", "is_told"), [(0.3, False), (2.0, True)])
-def test_a_process_that_stood_still_says_for_how_long(stood_still, is_told):
-    """Given a clock that runs on between two ticks while nothing is handled, as when the machine is frozen or its processors are taken,
-    a warning says for how long; a tick that is a little late is not worth one."""
+def test_stall_of_the_process_is_logged_with_its_duration(stood_still, is_told):
+    """If the clock advances between two ticks while nothing is processed, as on a frozen machine or without processor
+    time, a warning contains the duration; a slightly late tick is not logged."""
     loop = JumpingClockLoop()
 
     async def story():
@@ -190,7 +190,7 @@
 
 
 async def next_tick(process):
-    """Returns when one more tick has come and its lateness is noted."""
+    """Returns once another tick was processed and its lateness checked."""
     came = asyncio.Event()
     note = process.daemon._log_stall
 
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""Cores whose disk refuses, stalls, is damaged or loses what it had not synced; the host's writer over a real folder."""
+"""Cores whose disk fails, stalls, is corrupted or loses unsynced writes; `DiskWriter` on a real folder."""
 
 import asyncio
 import errno
@@ -62,12 +62,13 @@
     )
 
 
-# a disk that takes no records ------------------------------------------------------------------
+# disks that refuse writes ----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("is_leader", (True, False))
-def test_a_core_whose_disk_is_full_stands_aside_and_comes_back_without_ending(is_leader):
-    """Given a disk that refuses writes for six seconds, the others go on, the core lives, and is a member again soon after."""
+def test_core_with_a_full_disk_leaves_the_view_and_rejoins_without_restart(is_leader):
+    """While a core's disk refuses writes for six seconds, the others accept changes; its process keeps running and
+    rejoins the view soon after."""
     deployment = _deployment(700 + is_leader)
     head = box_of(deployment, leader(deployment)).name
     full = head if is_leader else next(name for name in CORES if name != head)
@@ -88,9 +89,9 @@
     assert _apply(deployment, full, "after")
 
 
-def test_a_duty_holder_whose_disk_is_full_gives_its_duties_back():
-    """Given the placer's disk full for eight seconds, another core is the placer within 4.2 s, under a higher fence; the first one
-    bids again only when its disk takes records."""
+def test_placer_with_a_full_disk_releases_its_role():
+    """The placer's disk is full for eight seconds: another core takes the role over within 4.2 s with a higher fencing
+    token; the first one is a candidate again only when its disk accepts writes."""
     deployment = _deployment(705)
     assert deployment.run_until(lambda: leader(deployment).state.duties["placer"][0], 10)
     node, fence = leader(deployment).state.duties["placer"]
@@ -108,9 +109,9 @@
     assert deployment.run_until(lambda: not deployment.boxes[full].machine.leases.is_quitting, 1)
 
 
-def test_a_duty_that_was_given_back_is_not_held_again_under_its_old_fence():
-    """Given a holder that gave its duty back and whose word was lost, answers that were under way and a resume bring no lease
-    under that fence; it asks for the vacancy again instead."""
+def test_released_role_is_not_held_again_under_its_old_fence():
+    """A holder released its role, but the release was lost. Renewals that arrive late and a resume restore no lease
+    under the old fencing token; the holder proposes the release again."""
     state = State()
     for number, change in enumerate([("found", {"a": "a:1", "b": "b:1", "c": "c:1"}), ("duty-fill", "placer", "a", 1)]):
         state.apply(number, change)
@@ -128,8 +129,9 @@
     )
 
 
-def test_all_disks_full_at_once_acknowledge_nothing_and_lose_nothing():
-    """Given three disks that refuse for five seconds, no change is acknowledged meanwhile; then all go on as they were."""
+def test_nothing_is_acknowledged_or_lost_while_all_disks_are_full():
+    """While all three disks refuse writes for five seconds, no change is acknowledged; then all cores continue without
+    a restart."""
     deployment = _deployment(710)
     number, incarnations = leader(deployment).state.generation, [deployment.boxes[name].incarnation for name in CORES]
     for name in CORES:
@@ -143,8 +145,8 @@
     assert _apply(deployment, "core-2", "after")
 
 
-def test_power_lost_on_a_full_disk_keeps_what_was_acknowledged():
-    """Given one full disk, a change acknowledged by the others, and power lost everywhere right after, the change is kept."""
+def test_acknowledged_change_survives_power_loss_with_one_full_disk():
+    """One disk is full, the other cores acknowledge a change, and all lose power right after: the change is kept."""
     for seed in range(720, 726):
         deployment = _deployment(seed)
         full = CORES[seed % 3]
@@ -161,8 +163,8 @@
         assert "kept" in {route.name for route in leader(deployment).state.catalogue.routes}, seed
 
 
-def test_a_core_that_starts_on_a_full_disk_waits_for_it():
-    """Given a core that is started while its disk refuses, it comes back as the seat that it was once the disk takes records."""
+def test_core_starting_on_a_full_disk_waits_until_it_accepts_writes():
+    """A core started while its disk refuses writes rejoins under the same name once the disk accepts them."""
     deployment = _deployment(730)
     node = deployment.boxes["core-2"].machine.node
     deployment.kill("core-2")
@@ -173,8 +175,9 @@
     assert deployment.run_until(lambda: _is_whole(deployment), 6) and deployment.boxes["core-2"].machine.node == node
 
 
-def test_what_waits_for_a_hanging_disk_stays_bounded_under_load():
-    """Given a core's disk that hangs for ten seconds under traffic, little waits for it, and every late call is in a day's log."""
+def test_write_queue_of_a_hanging_disk_stays_bounded_under_load():
+    """A core's disk hangs for ten seconds under traffic: its write queue stays short, and every late request appears in
+    a day log."""
     deployment = settled(740)
     callers = deployment.call_in(4.0)
     deployment.run(2)
@@ -190,8 +193,8 @@
     assert _is_whole(deployment) and invariant_checker(deployment, callers).unaccounted() == []
 
 
-def test_no_row_is_acknowledged_by_a_keeper_whose_disk_is_full():
-    """Given a keeper that cannot write, the others keep its rows, and it is handed them once it can."""
+def test_ledger_records_of_a_core_with_a_full_disk_are_handed_off():
+    """While a core cannot write, the other cores store its ledger records and hand them over once it can."""
     deployment = settled(750)
     callers = deployment.call_in(2.0)
     deployment.run(2)
@@ -206,12 +209,12 @@
     assert invariant_checker(deployment, callers).unaccounted() == []
 
 
-# damage ----------------------------------------------------------------------------------------
+# corrupted files -------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("file", IDENTITY_FILES)
-def test_a_damaged_disk_is_a_lost_disk_and_its_seat_is_taken_out(file):
-    """Given bytes changed in the middle of a core's file, it starts as somebody new and is given a seat; the old one is removed.
+def test_core_with_a_damaged_file_is_replaced_as_a_voter(file):
+    """A core with a corrupted byte in a file starts under a new name and becomes a voter; its old name is removed.
 
     Before, it stopped with exit code 3 and stayed away until somebody moved its folder."""
     deployment = settled(760)
@@ -239,8 +242,9 @@
     assert _apply(deployment, "core-1", "after")
 
 
-def test_a_process_starts_as_a_blank_one_on_a_damaged_folder_and_says_so(tmp_path):
-    """Given a real folder whose log was changed, the start gives neither log nor ledger, two error lines, and keeps the files."""
+def test_process_with_a_damaged_folder_starts_blank_and_logs_errors(tmp_path):
+    """With a corrupted log in a real folder, the start reads neither log nor ledger, logs errors and keeps the damaged
+    files."""
     folder = DataFolder(RealFileSystem(tmp_path))
     open_folder(folder, lambda *what: None)
     for name in IDENTITY_FILES:
@@ -250,14 +254,15 @@
     (tmp_path / LOG).write_bytes(raw[:20] + b"?" + raw[21:])
     lines = []
     assert open_folder(DataFolder(RealFileSystem(tmp_path)), lambda *what: lines.append(what)).records == {}
-    assert [line[:3] for line in lines] == [("error", "storage", "A file is damaged and was set aside.")] * 2 + [
+    assert [line[:3] for line in lines] == [("error", "storage", "Found a damaged file and renamed it.")] * 2 + [
         ("error", "storage", "Identity lost to a damaged file: this core starts as a new voter.")
     ]
     assert sorted(path.name for path in tmp_path.iterdir()) == sorted(f"{name}.damaged" for name in IDENTITY_FILES)
 
 
-def test_a_folder_of_the_version_before_is_refused_in_clear_words_and_left_as_it_is(tmp_path, capsys):
-    """Given a log of the version before and none of this one, a start as a blank core would forget the control state in silence."""
+def test_folder_of_an_earlier_version_is_refused_and_left_unchanged(tmp_path, capsys):
+    """A folder with only the log of the previous version is refused: a start as a blank core would silently forget the
+    control state."""
     old = pack_record(["seat", "core-1-0badcafe"])
     (tmp_path / EARLIER_LOG).write_bytes(old)
     with pytest.raises(SystemExit) as end:
@@ -266,12 +271,12 @@
     assert (tmp_path / EARLIER_LOG).read_bytes() == old
 
 
-# losses of power, at every moment of a write --------------------------------------------------------
+# power loss at any point of a write ---------------------------------------------------------------
 
 
-def test_power_lost_at_any_moment_of_changes_loses_no_acknowledged_one():
-    """Given changes at three cores, and power lost at all of them a few milliseconds into one, again and again, each
-    acknowledged change is in the state afterwards, no file is ever damaged, and the seats are who they were."""
+def test_power_loss_at_any_point_of_a_change_loses_no_acknowledged_one():
+    """All cores lose power a few milliseconds into a change, again and again: each acknowledged change is in the state
+    afterwards, no file is damaged, and the voters keep their names."""
     deployment = _deployment(770)
     nodes = {name: deployment.boxes[name].machine.node for name in CORES}
     acked = []
@@ -300,19 +305,17 @@
     assert not any(line[3] == "storage" for line in deployment.logs if line[2] == "error")
 
 
-# the host's writer -------------------------------------------------------------------------------
+# DiskWriter --------------------------------------------------------------------------------------
 
 
 class _Host:
-    """A writer over a real folder, and what its machine was told."""
+    """A `DiskWriter` on a real folder, with the events that it emitted and its log lines."""
 
     def __init__(self, path):
         self.folder = DataFolder(RealFileSystem(path))
         open_folder(self.folder, lambda *what: None)
         self.heard, self.lines = [], []
-        self.now = timedelta(
-            0
-        )  # a clock that stands still: how long the machine's own disk takes is nobody's matter here
+        self.now = timedelta(0)  # a fixed clock, so that the speed of the test machine's disk has no influence
         self.writer = DiskWriter(
             self.folder, self.heard.append, lambda *what: self.lines.append(what), lambda: self.now, LOG
         )
@@ -349,8 +352,9 @@
 
 
 @pytest.mark.parametrize("call", ("write", "fsync", "replace"))
-def test_a_refused_write_is_kept_and_made_good_in_order_and_nobody_hears_of_it_before(tmp_path, monkeypatch, call):
-    """Given a disk that refuses five times, the machine is told at once, then the followups come, each after its bytes."""
+def test_failed_writes_are_retried_in_order_before_their_followups(tmp_path, monkeypatch, call):
+    """A disk fails five times: the machine is notified at once, then each followup arrives in order, after its bytes
+    are synced."""
     host, times = _Host(tmp_path), [5]
 
     def is_refusing():
@@ -383,8 +387,9 @@
     assert opened.records[LOG] == ((0,), (1,), (2,)) and opened.records["ledger"] == (("row", 1),)
 
 
-def test_a_hanging_disk_holds_up_neither_the_loop_nor_the_end_of_the_process(tmp_path, monkeypatch):
-    """Given a sync that hangs, the loop goes on, the machine is told after a second, and the run ends when it is told to."""
+def test_hanging_disk_blocks_neither_the_event_loop_nor_the_exit(tmp_path, monkeypatch):
+    """While a sync hangs, the loop continues, the machine is notified after a second, and the writer's task can be
+    cancelled."""
     host, release, real = _Host(tmp_path), threading.Event(), os.fsync
     monkeypatch.setattr(os, "fsync", lambda handle: (release.wait(20), real(handle))[1])
 
@@ -399,8 +404,9 @@
     release.set()
 
 
-def test_a_folder_that_cannot_be_opened_is_tried_again(tmp_path, monkeypatch):
-    """Given a disk that refuses at the start, the process waits and says so once; a file in the folder's place is a wrong flag."""
+def test_opening_a_data_folder_is_retried(tmp_path, monkeypatch):
+    """If the disk fails at the start, the process retries and logs it once; a file in place of the folder is a usage
+    error."""
     times, lines = [3], []
 
     def is_refusing():
@@ -417,8 +423,8 @@
     assert end.value.code == 2
 
 
-def test_an_edge_takes_the_word_of_its_disk():
-    """Given an edge with a data folder whose disk refuses, it spools nothing until the disk takes records."""
+def test_edge_stops_spooling_while_its_disk_fails():
+    """An edge with a data folder whose disk fails spools no records until the disk accepts writes again."""
     deployment = found(790, edges=1)
     edge = deployment.boxes["edge-1"].machine
     edge.ledger_writer.has_disk = True
--- a/tests/nodes/test_disks_and_power.py
+++ b/tests/nodes/test_disks_and_power.py
@@ -1,7 +1,7 @@
-"""Disks are lost and every other machine loses power in the same instant: those whose loss is counted, and the edges, which have no disk.
+"""Loss of one core's disk while every other machine, including the edges without a disk, loses power at the same instant.
 
-As many disks are lost as are borne, at any moment around a change: just after its acknowledgement, or some milliseconds after it was
-sent. The other machines come back with what they had synced, the edges with nothing.
+As many disks are lost as the cluster tolerates, at any time around a change: just after its acknowledgement or some milliseconds after
+it was sent. The other cores restart with the data that they had synced, the edges with none.
 """
 
 from datetime import timedelta
@@ -19,13 +19,13 @@
     {"doc": {"version": NEXT_VERSION, "httpRoutes": [route(1)]}, "if_version": FIRST_VERSION, "part": True}
 )
 DOWN_S = 1.0
-RECOVERY_S = 12.0  # what the users' rules allow
-ACKNOWLEDGED_BY_MS = 150  # after the change was sent; 45 ms is too soon
+RECOVERY_S = 12.0  # the limit that the users' requirements set
+ACKNOWLEDGED_BY_MS = 150  # after the change was sent; 45 ms is too early
 STRIKES_MS = (5, 12, 18, 24, 30, 45, 55, 62, 70, 80, ACKNOWLEDGED_BY_MS, 400)
 
 
 def lose_all(deployment, wiped):
-    """Every machine loses power and the disk of one core is lost; gives the names of the machines."""
+    """Cuts the power of every machine and wipes the disk of one core; returns the machines' names."""
     names = [box.name for box in deployment.boxes.values() if box.role in ("core", "edge")]
     for name in names:
         deployment.lose_power(name)
@@ -34,7 +34,7 @@
 
 
 def bring_back(deployment, names):
-    """The machines start in any order within 0.3 s, a second after they went."""
+    """Restarts the machines in random order within 0.3 s, a second after they lost power."""
     random = Random(len(deployment.logs))
     for name in names:
         deployment._later(timedelta(seconds=DOWN_S + random.uniform(0.0, 0.3)), deployment.start, name)
@@ -42,7 +42,7 @@
 
 
 def send(deployment, core, kind, document):
-    """Sends an operator's call and does not wait; its number among the answers."""
+    """Sends an operator's request without waiting; returns its number, the key of its answer."""
     operator = deployment.operator()
     number = operator.ask(f"http://{deployment.boxes[core].http_address}/operator/{kind}", "POST", document, False)
     for effect in operator.take(None, deployment.now):
@@ -51,7 +51,7 @@
 
 
 def ask_until_clear(deployment, method, path, document=None):
-    """As operators do it: asks any core until the answer is clear."""
+    """Asks one core after the other, as operators do, until one answers with 200 or 409."""
     for turn in range(60):
         answer = deployment.ask(CORES[turn % 3], method, path, document, wait=1.0)
         if answer is not None and answer[0] in (200, 409):
@@ -61,7 +61,7 @@
 
 
 def with_configuration(seed):
-    """Three cores and three edges that follow the first configuration."""
+    """Creates three cores and three edges that have applied the first configuration."""
     deployment = found(seed, edges=3, voter_away=1.6, confirm_within=0.8, order_within=0.85)
     first = json_fields({"doc": whole(FIRST_VERSION), "if_version": 0})
     assert ask_until_clear(deployment, "POST", "/operator/configure", first)[0] == 200
@@ -75,9 +75,9 @@
 
 @pytest.mark.parametrize("wiped", CORES)
 @pytest.mark.parametrize("strike_ms", STRIKES_MS)
-def test_a_change_outlives_a_lost_disk_and_the_power_of_all_other_machines(wiped, strike_ms):
-    """Given a change that was sent, and so many milliseconds later the loss of one disk and of the power of all other machines, edges
-    too: what was acknowledged is read back, what was not is in force whole or not at all, and every edge follows it soon."""
+def test_change_survives_a_lost_disk_and_power_loss_of_all_other_machines(wiped, strike_ms):
+    """Some milliseconds after a change was sent, one disk is lost and all other machines, edges too, lose power. An
+    acknowledged change is read back, any other is in force completely or not at all, and every edge follows it soon."""
     deployment = with_configuration(500 + strike_ms)
     number = send(deployment, wiped, "configure", CHANGE)
     deployment.run(strike_ms / 1000)
@@ -90,15 +90,15 @@
     if is_acknowledged:
         assert version == NEXT_VERSION
     status, _ = ask_until_clear(deployment, "POST", "/operator/configure", CHANGE)
-    assert status == 200  # sent again as it was: taken now, or acknowledged as taken
+    assert status == 200  # the same change sent again: accepted now, or recognized as already accepted
     assert deployment.run_until(lambda: edge_versions(deployment) == {NEXT_VERSION}, RECOVERY_S)
 
 
 @pytest.mark.parametrize("zone", ZONES)
 @pytest.mark.parametrize("wiped", CORES)
-def test_an_evacuation_outlives_a_lost_disk_and_the_power_of_all_other_machines(wiped, zone):
-    """Given an evacuation that was acknowledged, then the loss of one disk and of the power of all other machines, edges too, the zone
-    stays closed at every core and edge that is back."""
+def test_evacuation_survives_a_lost_disk_and_power_loss_of_all_other_machines(wiped, zone):
+    """After an acknowledged evacuation, one disk is lost and all other machines, edges too, lose power: the zone stays
+    closed at every restarted core and edge."""
     deployment = with_configuration(600)
     document = {"area": zone}
     assert ask_until_clear(deployment, "POST", "/operator/evacuate", document)[0] == 200
@@ -110,9 +110,9 @@
 
 
 @pytest.mark.parametrize("wiped", CORES)
-def test_calls_are_served_again_after_a_lost_disk_and_the_power_of_all_other_machines(wiped):
-    """Given callers, then the loss of one disk and of the power of all other machines, edges too, no call runs against the rules, and
-    all that are made later than the recovery time after the return are served."""
+def test_requests_are_served_again_after_a_lost_disk_and_power_loss_of_all_other_machines(wiped):
+    """Under traffic, one disk is lost and all other machines, edges too, lose power: no request violates an invariant,
+    and all sent later than the recovery time after the restart are served."""
     deployment = settled(700)
     callers = deployment.call_in(1.0)
     deployment.run(3.0)
--- a/tests/nodes/test_edge_alone.py
+++ b/tests/nodes/test_edge_alone.py
@@ -1,4 +1,4 @@
-"""An edge alone: without a catalogue, and without knowing any other edge."""
+"""An edge without a catalogue, and an edge that knows no other edge yet."""
 
 from datetime import timedelta
 from random import Random
@@ -16,7 +16,7 @@
 GRACE = timedelta(seconds=8)
 
 
-def test_edge_without_a_catalogue_says_so():
+def test_edge_without_a_catalogue_answers_503():
     settings = NodeSettings(
         node="e1", address="127.0.0.1:1", http_address="127.0.0.1:2", zone="hall", seeds=("127.0.0.1:3",)
     )
@@ -26,10 +26,10 @@
     assert status == 503 and msgspec.json.decode(body)["fault"]["run"] == "no" and "Retry-After" in headers
     assert isinstance(edge.take(StopRequested(), now)[0], Log)
     end = edge.take(Tick(), now + GRACE)[-1]
-    assert isinstance(end, Exit) and end.code == 0 and end.write_within == timedelta(0)  # the grace is over
+    assert isinstance(end, Exit) and end.code == 0 and end.write_within == timedelta(0)  # the grace period is over
 
 
-def test_edge_that_knows_no_other_sends_a_warming_server_nothing():
+def test_edge_that_knows_no_other_edge_sends_no_request_to_a_warming_server():
     doc = {
         "name": "c",
         "areas": ["a"],
--- a/tests/nodes/test_edge_shutdown.py
+++ b/tests/nodes/test_edge_shutdown.py
@@ -1,4 +1,4 @@
-"""An edge that leaves: when its front is shut, what becomes of connections that stand, and its last words (docs/design/forwarding.md)."""
+"""Shutdown of an edge: close of the proxy server, open connections and final answers (docs/design/forwarding.md)."""
 
 import asyncio
 from datetime import timedelta
@@ -26,7 +26,7 @@
 
 SECOND, TICK = timedelta(seconds=1), timedelta(seconds=0.05)
 GRACE = 8.0
-CONNECTING_TAKES = 0.02  # seconds, on a network that is not loopback
+CONNECTING_TAKES = 0.02  # seconds to connect, as on a network other than loopback
 LAST_CALL = GRACE * SECOND - FINAL_ANSWERS_BEFORE_END
 LONG_GRACE, LONG_STREAM_S = 20.0, 4.2
 PATIENT = (("X-Deadline-Ms", "9000"),)
@@ -38,7 +38,7 @@
 
 
 class Leaver:
-    """A forwarding edge that is in touch, its pulses, and what it said and when, counted from the signal to leave."""
+    """A forwarding edge connected to a core, with its effects and their times relative to the stop signal."""
 
     def __init__(self, grace=GRACE, routes=None):
         settings = NodeSettings(
@@ -72,7 +72,7 @@
         return self
 
     def run(self, until, asks_every=None):
-        """Pulses until so long after the signal, with clients that come every so often."""
+        """Ticks until the given time after the stop signal or the exit, with a client request every `asks_every`."""
         next_ask = self.now
         while self.now - self.stop_at < until and not self.when("leave"):
             if asks_every is not None and self.now >= next_ask:
@@ -89,7 +89,7 @@
         return cid
 
     def hear(self, *what):
-        """What the last try brings."""
+        """Delivers an event of the last forwarded attempt."""
         tid = [effect for _, effect in self.said if effect[0] == "forward"][-1][1]
         return self.take("fetched", tid, *what)
 
@@ -105,11 +105,12 @@
         return status
 
 
-# when the front is shut ----------------------------------------------------------------------
+# close of the proxy server -------------------------------------------------------------------
 
 
-def test_an_edge_to_which_nobody_comes_is_open_for_the_least_time_and_leaves_at_once_after_it():
-    """Given a quiet zone, the edge says from the signal on that it is not ready, stays open for 2.5 s, and leaves as soon as it is shut."""
+def test_edge_without_clients_exits_after_the_minimum_open_time():
+    """Without clients, the edge is not ready from the signal on, accepts connections for 2.5 s more and exits right
+    after it closes the proxy server."""
     leaver = Leaver()
     assert leaver.condition() == 200
     leaver.stop()
@@ -122,8 +123,9 @@
 
 
 @pytest.mark.parametrize("grace", [8.0, 20.0])
-def test_an_edge_to_which_clients_go_on_coming_is_open_for_its_part_of_the_grace(grace):
-    """Given clients every 0.3 s, each is answered as ever until 0.36 of the grace is over; the front is shut then, and no earlier."""
+def test_edge_with_steady_clients_stays_open_for_its_fraction_of_the_grace_period(grace):
+    """With a client every 0.3 s, each is answered as usual until 0.36 of the grace period is over; the proxy server
+    closes then, no earlier."""
     leaver = Leaver(grace).stop()
     leaver.run(grace * SECOND / 2 + TICK, asks_every=SECOND * 0.3)
     part = SECOND * grace * MAX_OPEN_FRACTION
@@ -134,8 +136,9 @@
     assert all(("Connection", "close") in effect[3] for _, effect in answers)
 
 
-def test_the_front_is_shut_a_second_after_the_last_client():
-    """Given clients until 3 s after the signal of a longer grace, the front is shut once nobody came for a second."""
+def test_proxy_server_closes_a_second_after_the_last_client():
+    """With clients until 3 s after the signal and a longer grace period, the proxy server closes after a second without
+    a request."""
     leaver = Leaver(LONG_GRACE).stop()
     leaver.run(SECOND * 3 - TICK, asks_every=SECOND * 0.3)
     last_at = max(leaver.when("reply"))
@@ -146,9 +149,9 @@
     )
 
 
-def test_once_the_front_is_shut_requests_on_connections_that_stand_get_503_not_run():
-    """Given a front that is shut while something is in hand, what still comes is refused as not run, told when to come back, and that
-    its connection is closed; no server is asked."""
+def test_requests_on_open_connections_get_503_once_the_proxy_server_is_closed():
+    """After the proxy server closed while a request is in flight, later requests on open connections are refused as not
+    run, with Retry-After and Connection: close; they reach no server."""
     leaver = Leaver().stop()
     leaver.ask()
     leaver.hear("sent")
@@ -162,12 +165,12 @@
     assert len(leaver.when("forward")) == 1
 
 
-# what is in hand -------------------------------------------------------------------------------
+# requests in flight ----------------------------------------------------------------------------
 
 
-def test_what_is_in_hand_is_finished_and_the_edge_waits_for_it():
-    """Given a request that its server answers 4.5 s after the signal, its client has the server's answer, and the edge leaves only then
-    and once its records are kept."""
+def test_requests_in_flight_are_finished_before_the_exit():
+    """A request that its server answers 4.5 s after the signal reaches its client with that answer; the edge exits only
+    then and once its ledger records are stored."""
     leaver = Leaver()
     cid = leaver.ask()
     leaver.hear("sent")
@@ -185,12 +188,12 @@
     assert len(leaver.when("leave")) == 1
 
 
-def test_what_is_still_in_hand_shortly_before_the_end_of_the_grace_gets_its_last_words():
-    """Given a request that its server never answers and one that was never sent, nothing is cut before 0.8 s are left; then each has
-    its final answer, true to whether it may have run, and the edge leaves within the grace."""
+def test_requests_in_flight_get_final_answers_before_the_grace_period_ends():
+    """With a request that its server never answers and one never sent, nothing is cut until 0.8 s remain. Then each
+    gets a final answer that says whether it may have run, and the edge exits within the grace period."""
     leaver = Leaver(routes=PATIENT_ROUTES).stop()
     leaver.run(SECOND * 2.8, asks_every=SECOND * 0.3)
-    sent = leaver.ask("/once/x", *PATIENT)  # its own time is over only after the edge's
+    sent = leaver.ask("/once/x", *PATIENT)  # its deadline is later than the end of the grace period
     leaver.hear("sent")
     unsent = leaver.ask("/plain/x", *PATIENT)
     leaver.run(LAST_CALL - TICK * 2)
@@ -210,9 +213,9 @@
 
 
 @pytest.mark.parametrize("taken_at", [0.5, 1.5, 2.5, 2.8, 3.1, 3.5, 3.9])
-def test_a_stream_that_lasts_for_seconds_is_whole_or_not_taken(taken_at):
-    """Given clients that go on coming, and a stream that lasts 4.2 s, at any moment after the signal to leave: it is passed on and reaches
-    its client whole, or its client is told at once that it has not run. None is taken that the end of the grace cuts off."""
+def test_long_stream_is_complete_or_refused(taken_at):
+    """With steady clients, a stream of 4.2 s that is requested at any time after the signal either reaches its client
+    completely or is refused at once as not run: the end of the grace period cuts none off."""
     leaver = Leaver(routes=PATIENT_ROUTES).stop()
     leaver.run(SECOND * taken_at, asks_every=SECOND * 0.3)
     before = len(leaver.when("forward"))
@@ -232,9 +235,9 @@
     assert [effect[0] for _, effect in leaver.said if effect[1:2] == (cid,)] == ["head", "chunk", "chunk", "end"]
 
 
-def test_a_request_that_waits_for_the_routes_is_answered_before_the_edge_leaves():
-    """Given an edge that does not know its routes any more, and a request that still waits for them when the front is shut, the edge
-    refuses it as not run before it decides to leave."""
+def test_request_waiting_for_routes_is_answered_before_the_exit():
+    """An edge that lost its routes refuses a request that still waits for them when the proxy server closes, as not
+    run, before it exits."""
     leaver = Leaver().stop()
     leaver.run(SECOND * 1.6)
     leaver.edge.proxy_pipeline.table.follower = FixedTrust(Trust.EMPTY)
@@ -247,12 +250,12 @@
     assert words.index("leave") > words.index("reply") and leaver.when("leave")[0] >= at
 
 
-def test_a_second_signal_to_leave_gives_no_more_time():
-    """Given a request that its server never answers, and a second signal 5 s after the first, the client has its final answer within the
-    grace of the first: whoever sent that ends the process when it is over."""
+def test_second_signal_does_not_extend_the_grace_period():
+    """A request that its server never answers, and a second signal 5 s after the first: the client gets a final answer
+    within the grace period of the first signal, after which the process is killed."""
     leaver = Leaver(routes=PATIENT_ROUTES).stop()
     leaver.run(SECOND * 2.8, asks_every=SECOND * 0.3)
-    cid = leaver.ask("/once/x", *PATIENT)  # its own time is over only after the edge's
+    cid = leaver.ask("/once/x", *PATIENT)  # its deadline is later than the end of the grace period
     leaver.hear("sent")
     leaver.run(SECOND * 5)
     leaver.edge.take(StopRequested(), leaver.now)
@@ -262,7 +265,7 @@
 
 
 class Speaker:
-    """A machine that holds back one request, and in the very take in which it leaves answers it and tells another node of it."""
+    """A machine that holds one request and, on the stop signal, answers it, sends a message to another node and exits."""
 
     node, restart_epoch = "n", 1
 
@@ -277,9 +280,9 @@
         return []
 
 
-def test_what_was_said_last_goes_out_before_the_process_ends():
-    """Given a client that waits and a node to which no connection stands yet and that takes a while to be reached, the answer that a
-    node gives as it leaves reaches the client whole, and its message the other node."""
+def test_last_response_and_message_are_sent_before_the_process_exits():
+    """A node that exits answers a waiting client and sends a message to a node to which it has no connection yet, and
+    which takes a while to connect to: both arrive completely."""
 
     async def run():
         loop, heard = asyncio.get_running_loop(), []
@@ -317,7 +320,7 @@
 
 
 class Kept:
-    """A client's kept connection on which one request was answered already."""
+    """A client's keep-alive connection on which one request was answered already."""
 
     def __init__(self, reader, writer, number):
         self.reader, self.writer, self.number = reader, writer, number
@@ -327,8 +330,8 @@
         self.writer.write(head(number=number, more=b"Content-Length: 2\r\n") + b"{}")
 
     async def answer(self):
-        """(status, rest of the head) of what comes next; "unread" where the connection was closed with the request still unread in it,
-        "read" where it ended in good order without an answer: its last request was read and dropped."""
+        """Returns (status, response head) of the next response. The status is "unread" if the connection was reset with the request
+        unread, "read" if it was closed without a response: its last request was read and dropped."""
         try:
             top = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), SOON)
         except ConnectionResetError:
@@ -353,16 +356,16 @@
 
 
 def _shut(path):
-    """As a daemon does it: the machine turns away what comes from now on, then the front is shut."""
+    """Closes the proxy server as a daemon does: first the machine refuses new requests, then the socket closes."""
     path.scene.take("drain")
     path.scene.take("shut")
     path.front.stop_accepting()
 
 
 @pytest.mark.parametrize("turns", range(8))
-def test_a_request_on_an_idle_kept_connection_when_the_front_is_shut_is_answered_or_its_connection_closed_unread(turns):
-    """Given requests that reach idle connections a few turns of the loop before the front is shut, each is answered, or its bytes were
-    never read and its server has not seen it: none is read and dropped."""
+def test_request_racing_with_the_close_is_answered_or_left_unread(turns):
+    """Requests that reach idle connections a few iterations of the event loop before the proxy server closes are
+    answered, or their bytes were never read and no server has seen them: none is read and dropped."""
 
     async def story(path, peer):
         clients = await _kept(path, 12)
@@ -382,8 +385,9 @@
 
 
 @pytest.mark.parametrize("turns", range(TURNS_LEFT_UNREAD))
-def test_a_request_that_comes_just_after_the_front_was_shut_is_left_unread(turns):
-    """Given requests that come on idle connections in the turns between the shutting of the front and their closing, none is read."""
+def test_request_just_after_the_close_is_left_unread(turns):
+    """Requests on idle connections that arrive in the loop iterations between the close of the proxy server and that of
+    the connections are not read."""
 
     async def story(path, peer):
         clients = await _kept(path, 12)
@@ -398,14 +402,14 @@
     assert {status for status, _ in outcomes} == {"unread"} and arrivals == 12
 
 
-def test_a_request_that_had_begun_when_the_front_was_shut_is_read_to_the_rest_of_its_body():
-    """Given a request whose head was read in the turn before the front is shut and whose body comes later, it is answered: as not run,
-    since the front is shut by the time it is whole."""
+def test_partly_received_request_is_answered_after_the_close():
+    """A request whose head was read in the iteration before the proxy server closes and whose body arrives later is
+    answered as not run, since the server is closed by the time it is complete."""
 
     async def story(path, peer):
         (client,) = await _kept(path, 1)
         client.writer.write(head(number=7, more=b"Content-Length: 200000\r\n"))
-        for _ in range(2):  # it is read in the second, and handed on in those that follow
+        for _ in range(2):  # the head is read in the second iteration and processed in the following ones
             await asyncio.sleep(0)
         _shut(path)
         for _ in range(20):
@@ -417,9 +421,9 @@
     assert status == 503 and b"connection: close" in top.lower() and arrivals == 1
 
 
-def test_a_request_in_hand_when_the_front_is_shut_is_answered_and_idle_connections_are_closed():
-    """Given one connection whose server works and one that is idle, shutting the front closes the idle one, lets nobody in, and leaves
-    the other until its answer, which is the last on it."""
+def test_request_in_flight_at_the_close_is_answered_and_idle_connections_are_closed():
+    """With one connection whose server is working and one idle, closing the proxy server closes the idle one, refuses
+    new connections and keeps the other until its response, the last on it."""
     go = asyncio.Event()
 
     async def slow(server, request, reader, writer):
--- a/tests/nodes/test_edge_start.py
+++ b/tests/nodes/test_edge_start.py
@@ -1,4 +1,4 @@
-"""What an edge starts with from its own disk (docs/design/changefeed.md)."""
+"""Start of an edge from the state file on its own disk (docs/design/changefeed.md)."""
 
 from datetime import timedelta
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class _Disk:
-    """What the disk holds of one file, as a process would read it."""
+    """The records of the state file, as a starting process would read them, and counts of writes."""
 
     def __init__(self):
         self.records, self.rewrites, self.written = (), 0, 0
@@ -51,7 +51,7 @@
 
 
 def _apply(state, file, entries):
-    """Entries that came in one parcel."""
+    """Applies entries that arrived in one message."""
     first = state.number + 1
     for number, entry in enumerate(entries, first):
         state.apply(number, as_tuples(msgspec.json.decode(entry)))
@@ -66,8 +66,9 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(STEPS)
-def test_edge_starts_with_what_it_had_obeyed(steps):
-    """Given changes, images from the feed and starts in any order, what the disk holds gives the state as of the last save."""
+def test_edge_starts_with_its_last_saved_state(steps):
+    """After changes, snapshots of the change feed and restarts in any order, the file contains the state as of the last
+    save."""
     disk, state, now, version = _Disk(), State(), START, 0
     file = StateFile(state, True, (), now)
     for kind, count in steps:
@@ -92,8 +93,9 @@
         assert state.checked is None or again.checked.route_by_match == state.checked.route_by_match
 
 
-def test_a_change_writes_by_what_changed():
-    """Given 2,600 routes and 200 changes of one each, some images are written and no more than a fiftieth of 200."""
+def test_small_changes_rarely_rewrite_the_snapshot():
+    """With 2,600 routes and 200 changes of one each, the snapshot is rewritten only once per `MAX_ENTRIES` + 1 changes,
+    and all writes together stay below four snapshots, a fiftieth of 200."""
     disk, state = _Disk(), State()
     file = StateFile(state, True, (), START)
     _apply(state, file, [pack_entry(_change(1, 2600))])
@@ -106,8 +108,8 @@
     assert len(disk.records) <= MAX_ENTRIES + 1
 
 
-def test_a_configuration_is_kept_at_once_and_the_rest_within_two_seconds():
-    """Given a change of duties alone, it is written after two seconds; a configuration is written at the next save."""
+def test_configuration_is_saved_at_once_and_other_changes_within_two_seconds():
+    """A change of a singleton role alone is written after two seconds; a configuration is written at the next save."""
     state = State()
     file = StateFile(state, True, (), START)
     _apply(state, file, [pack_entry(("duty-vacate", "placer", 0))])
@@ -121,15 +123,15 @@
 
 
 def test_edge_without_a_disk_writes_nothing():
-    """Given an edge without a data folder, changes cost it no record."""
+    """Changes cause no writes on an edge without a data folder."""
     state = State()
     file = StateFile(state, False, (), START)
     _apply(state, file, [pack_entry(_change(1))])
     assert file.save(START + timedelta(seconds=9)) == [] and file.unsaved_entries == []
 
 
-def test_edge_keeps_what_the_feed_gives_it():
-    """Given an edge with a data folder, an image and a change from the feed lie on its disk by the next pulse, and a start knows both."""
+def test_edge_saves_snapshots_and_entries_of_the_change_feed():
+    """A snapshot and a change from the change feed are on the edge's disk by the next tick, and a restart reads both."""
     from sumachook.runtime.clock import Clock
 
     core, disk = State(), _Disk()
--- a/tests/nodes/test_inbox.py
+++ b/tests/nodes/test_inbox.py
@@ -1,12 +1,13 @@
-"""The order in which a host gives events to its state machine."""
+"""Order in which `Inbox` delivers events and executes effects."""
 
 import pytest
 
 from sumachook.nodes.inbox import Inbox
 
 
-def test_events_that_effects_give_rise_to_wait_for_the_effects_before_them():
-    """Given an event with two effects of which the first puts another event, both effects come before that event."""
+def test_event_caused_by_an_effect_waits_for_the_remaining_effects():
+    """An event has two effects, and the first puts another event: both effects are executed before that event is
+    delivered."""
     seen = []
 
     def take(event):
@@ -23,8 +24,9 @@
     assert seen == ["take a", "carry out first", "carry out second", "take b"]
 
 
-def test_an_error_does_not_close_the_inbox():
-    """Given an event that the machine refuses while another waits, the error is raised, and the next put delivers both."""
+def test_inbox_continues_after_an_error():
+    """If the machine fails on an event while another is queued, the error is raised, and the next put delivers both
+    remaining events."""
     taken = []
 
     def take(event):
--- a/tests/nodes/test_logs.py
+++ b/tests/nodes/test_logs.py
@@ -1,4 +1,4 @@
-"""Lines of the program's log."""
+"""Format of log lines."""
 
 import io
 import json
@@ -6,8 +6,8 @@
 from sumachook.nodes.logs import Logs
 
 
-def test_lines_are_json_with_a_prefix():
-    """Given a line of a part, it is JSON with the part ahead of its text, its fields and the node's name."""
+def test_log_lines_are_json_with_the_component_as_prefix():
+    """A log line is JSON and contains the component ahead of the sentence, the fields and the node's name."""
     stream = io.StringIO()
     Logs("n1", "info", stream).log("info", "ferry", "Request settled.", {"status": 200})
     line = json.loads(stream.getvalue())
--- a/tests/nodes/test_operator_changes.py
+++ b/tests/nodes/test_operator_changes.py
@@ -1,4 +1,4 @@
-"""Operators' orders: versions decided at delivery, repeats known by content, late copies without effect, reads that are never old."""
+"""Operators' changes: versions checked at delivery, repeats recognized by content, late copies ignored, linearizable reads."""
 
 import asyncio
 import random
@@ -46,12 +46,13 @@
     return state
 
 
-# one state --------------------------------------------------------------------
+# delivery to one state --------------------------------------------------------
 
 
-def test_start_that_was_held_up_does_not_overtake_the_finish():
-    """Given a start at one core whose proposal lies in a buffer, the same start at another, and the finish of it, the copy changes
-    nothing when it comes, and is not called done; a start that came to its core after the finish counts."""
+def test_delayed_evacuation_does_not_overtake_its_restore():
+    """The proposal of an evacuation lies in one core's buffer while the same evacuation and its restore go through
+    another: the late copy changes nothing and is not reported as done. An evacuation requested after the restore takes
+    effect."""
     state = _state()
     held_up = _order(1, changes.Evacuate("", "hall-b"), 1)
     assert state.apply(
@@ -61,15 +62,16 @@
     assert state.apply(4, held_up).outcome is Outcome.UNKNOWN and state.is_open("hall-b")
     assert (
         state.apply(5, _order(2, changes.Evacuate("", "hall-a"), 1)).outcome is Outcome.ACCEPTED
-    )  # another area is not concerned
+    )  # another zone is not affected
     assert state.apply(
         6, _order(3, changes.Evacuate("", "hall-b"), 3)
     ).outcome is Outcome.ACCEPTED and not state.is_open("hall-b")
-    assert state.apply(7, held_up).outcome is Outcome.ACCEPTED  # what it asks for stands anyhow
+    assert state.apply(7, held_up).outcome is Outcome.ACCEPTED  # the zone is evacuated already
 
 
-def test_finish_that_was_held_up_does_not_overtake_the_next_start():
-    """Given a finish in a buffer, its repeat elsewhere and a new start, the area stays closed, on a copy of the state too."""
+def test_delayed_restore_does_not_overtake_the_next_evacuation():
+    """A restore lies in a buffer while a copy of it and a new evacuation go through another core: the zone stays
+    closed, also on a replica restored from a snapshot."""
     state, again = _state(), State()
     held_up = _order(9, changes.Restore("", "hall-b"), 2)
     for number, kind in enumerate((changes.Evacuate, changes.Restore, changes.Evacuate), 2):
@@ -81,9 +83,9 @@
         assert each.apply(5, held_up).outcome is Outcome.UNKNOWN and not each.is_open("hall-b")
 
 
-def test_copy_of_an_order_that_was_refused_is_not_taken_once_its_base_is_there():
-    """Given a change on a version that is not there yet, refused at one core while a copy of it lies in a buffer of another: when that
-    version comes, the copy is not taken, nor refused; the same change sent after that is."""
+def test_copy_of_a_rejected_change_is_not_applied_once_its_base_exists():
+    """A change based on a future version is refused at one core while a copy lies in another core's buffer. Once that
+    version exists, the copy is neither applied nor refused; the same change sent after that is applied."""
     state = _state(5)
     early = _update({"version": 9, "httpRoutes": [route(9)]}, 7)
     assert state.apply(2, _order(1, early, 1, "core-1.1")).outcome is Outcome.STALE
@@ -92,9 +94,9 @@
     assert state.apply(5, _order(2, early, 3)) == accepted(3) and state.version == 9
 
 
-def test_claim_is_judged_as_the_whole_document_would_be():
-    """Given configurations taken, stale, invalid and good, each but the good one is ordered by its digest alone, in a few hundred
-    bytes, and its verdict is the document's."""
+def test_change_by_digest_has_the_result_of_the_whole_document():
+    """Of repeated, stale, invalid and valid configurations, all but the valid one are proposed by digest, in a few
+    hundred bytes, with the same result as the whole document."""
     state = _state(5)
     assert state.apply(2, _order(1, _update(PART, 5), 1)).outcome is Outcome.ACCEPTED
     big = [route(number) for number in range(100, 700)]
@@ -121,11 +123,11 @@
     assert state.apply(4, _order(3, good, 3)).outcome is Outcome.ACCEPTED
     assert (
         state.apply(5, _order(4, late, 3)).outcome is Outcome.UNKNOWN
-    )  # its base came meanwhile: neither refused nor taken
+    )  # its base was created meanwhile: neither rejected nor accepted
 
 
-def test_defaults_that_a_core_fills_in_do_not_make_it_another_order():
-    """Given the same configuration from cores whose settings list different zones, the second is a repeat."""
+def test_different_defaults_of_cores_do_not_make_a_repeat_another_change():
+    """The same configuration sent to two cores whose settings list different zones is recognized as a repeat."""
     state = State()
     doc = {field: value for field, value in whole(5).items() if field not in ("name", "areas")}
     for number, zones in enumerate((["hall-a", "hall-b"], ["hall-b"]), 1):
@@ -134,8 +136,8 @@
     assert state.catalogue.zones == ("hall-a", "hall-b")
 
 
-def test_one_request_id_is_not_two_orders():
-    """Given an id that was used, other content under it is refused and not called taken."""
+def test_reused_request_id_with_other_content_is_rejected():
+    """Other content under a request id that was already used is rejected and not reported as accepted."""
     state = _state()
     assert state.apply(2, changes.Evacuate("once", "hall-a")) == accepted(2) and state.apply(
         3, changes.Evacuate("once", "hall-a")
@@ -147,7 +149,7 @@
     assert not state.is_open("hall-a") and state.is_open("hall-b")
 
 
-# the desk ---------------------------------------------------------------------
+# pending changes at one core ----------------------------------------------------
 
 
 def _desk(state=None, **more):
@@ -160,9 +162,9 @@
     return read.token
 
 
-def test_order_is_proposed_after_its_read_and_answered_by_its_own_delivery():
-    """Given an order, it is proposed once its read came back, again while nothing is delivered, and answered by the delivery of its own
-    attempt and by no other's; then it is proposed no more."""
+def test_change_is_proposed_after_its_read_and_answered_by_its_own_delivery():
+    """A change is proposed once its read has completed, again until it is delivered, and answered only by the delivery
+    of its own attempt; then it is not proposed again."""
     configuration_changes = _desk()
     token = _accepted(configuration_changes)
     assert configuration_changes.tick((), {}, SECOND) == []
@@ -175,7 +177,7 @@
     ) == [ProposeChange(entry)]
     configuration_changes.handle_delivery(
         7, Attempt("core-2.0", 1, 1), accepted(9), 5, SECOND * 1.5
-    )  # of an earlier life of this core's process
+    )  # an attempt of this core before its restart
     configuration_changes.handle_delivery(7, Attempt("core-1.1", 1, 1), accepted(9), 5, SECOND * 1.5)
     assert configuration_changes.tick((), {}, SECOND * 1.6) == []
     configuration_changes.handle_delivery(
@@ -193,9 +195,9 @@
     )
 
 
-def test_order_whose_caller_went_away_is_proposed_no_more():
-    """Given callers that hang up before the read came back, between it and the proposal, and after that, nothing more is proposed; so
-    an order that lay in the buffer of a frozen core goes no further than the end of its call behind it."""
+def test_change_of_a_disconnected_caller_is_not_proposed():
+    """After its caller disconnects before the read completes, before the proposal or after it, a change is not proposed
+    again: one that lay in the buffer of a frozen core stops at the disconnect queued behind it."""
     for steps in range(3):
         configuration_changes = _desk()
         token = _accepted(configuration_changes)
@@ -208,9 +210,9 @@
         assert configuration_changes.tick((), {}, SECOND * 2) == [] and configuration_changes.pending_changes == {}
 
 
-def test_order_is_answered_in_its_time_and_says_whether_it_may_be_taken_yet():
-    """Given no delivery, an order that was not proposed is answered as not applied, one that was as perhaps applied; one whose edges are
-    slow is acknowledged in that time too."""
+def test_change_is_answered_in_time_with_whether_it_may_still_be_applied():
+    """Without a delivery, a change that was not proposed is answered as not applied, a proposed one as maybe applied;
+    one that slow edges have not confirmed is acknowledged within the same time."""
     for is_proposed, applied in ((False, "no"), (True, "maybe")):
         configuration_changes = _desk(answer_within=SECOND)
         token = _accepted(configuration_changes)
@@ -232,8 +234,8 @@
     assert answer.status == 200 and msgspec.json.decode(answer.body)["unconfirmed"] == ["e1"]
 
 
-def test_orders_at_one_core_are_bounded():
-    """Given as many orders as a desk holds, the next is turned away as not applied."""
+def test_pending_changes_at_one_core_are_bounded():
+    """With the maximum number of pending changes at a core, the next one is refused as not applied."""
     configuration_changes = _desk()
     for cid in range(128):
         (read,) = configuration_changes.accept(cid, changes.Evacuate("", "hall-b"), SECOND)
@@ -243,8 +245,8 @@
     assert msgspec.json.decode(answer.body)["fault"]["applied"] == "no"
 
 
-def test_documents_too_deep_to_be_walked_are_refused_at_once():
-    """Given an order nested ever deeper, it is refused by itself and never proposed, where the library still reads it and where not."""
+def test_too_deeply_nested_documents_are_refused():
+    """A too deeply nested change is refused before any proposal, whether or not the JSON library can still decode it."""
     for depth in (MAX_DEPTH, 300, 900, 100000):
         doc = b'{"ifVersion":5,"doc":{"version":7,"extra":' + b"[" * depth + b"]" * depth + b"}}"
         with pytest.raises(InvalidChangeError):
@@ -253,7 +255,7 @@
     assert isinstance(change, changes.Configure)
 
 
-# a fleet ----------------------------------------------------------------------
+# a deployment of several cores --------------------------------------------------
 
 
 def _deployment(seed, **more):
@@ -269,7 +271,7 @@
 
 
 def _post(deployment, core, kind, **document):
-    """A call that is under way; its number among the operator's answers."""
+    """Sends a request without waiting; returns its number, the key of its answer."""
     number = deployment.operator().ask(
         f"http://{deployment.boxes[core].http_address}/operator/{kind}", "POST", json_fields(document), False
     )
@@ -284,7 +286,7 @@
 
 
 def _until_clear(deployment, kind, cores=CORES, **document):
-    """As operators do it: sent again, anywhere, until the answer is clear."""
+    """Repeats a request at one core after the other, as operators do, until its answer is definite."""
     for turn in range(40):
         status, body = _call(deployment, cores[turn % len(cores)], kind, **document)
         if status in (200, 400, 409, 422):
@@ -294,7 +296,7 @@
 
 
 def _roles(deployment):
-    """(name of the leading core, names of the others)."""
+    """Returns the name of the leader and the names of the other cores."""
     assert deployment.run_until(
         lambda: leader(deployment) is not None and len(leader(deployment).consensus.members) == 3, 20
     )
@@ -302,9 +304,9 @@
     return name, [other for other in CORES if other != name]
 
 
-def test_order_under_way_at_two_cores_is_acknowledged_at_both_and_taken_once():
-    """Given the same change sent to all cores at once, members of its objects in another order at one, each acknowledges it and it is
-    in force once."""
+def test_change_sent_to_all_cores_is_acknowledged_by_all_and_applied_once():
+    """The same change sent to all cores at once, with its JSON members in another order at one, is acknowledged by each
+    and applied once."""
     deployment = _deployment(401)
     docs = (PART, reordered(PART), PART)
     numbers = [_post(deployment, core, "configure", doc=doc, if_version=5, part=True) for core, doc in zip(CORES, docs)]
@@ -312,9 +314,9 @@
     assert [status for status, _ in answers] == [200] * 3 and {body["generation"] for _, body in answers} == {2}
 
 
-def test_one_of_three_changes_on_one_base_wins_at_three_cores_also_when_answers_are_lost():
-    """Given three different changes under one number on one base at three cores, over and over, one is acknowledged; each sent again
-    at every other core is answered as it was, also when newer ones came."""
+def test_one_of_three_concurrent_changes_on_one_base_is_accepted():
+    """Three different changes with the same version and base are sent to three cores, repeatedly: one is accepted each
+    time. Each one sent again to any core gets its original result, also after newer changes."""
     deployment = _deployment(402)
     base, told = 5, []
     for turn in range(4):
@@ -332,9 +334,9 @@
         ] * 3
 
 
-def test_what_was_taken_is_known_after_power_loss_of_all_and_on_a_replaced_disk():
-    """Given changes taken, an evacuation among them, when all cores lose power and one its disk, each core acknowledges each of them
-    again, and refuses what lost its race."""
+def test_accepted_changes_are_recognized_after_power_loss_and_a_lost_disk():
+    """After all cores lose power and one its disk, each core acknowledges repeats of accepted changes and an
+    evacuation, and rejects a change that conflicts with an accepted one."""
     deployment = _deployment(403)
     second = {"version": 9, "httpRoutes": [route(2)]}
     assert _call(deployment, "core-1", "configure", doc=PART, if_version=5, part=True)[0] == 200
@@ -375,9 +377,9 @@
     assert not leader(deployment).state.is_open("hall-b")
 
 
-def test_base_that_is_not_current_is_told_before_what_is_invalid():
-    """Given changes on an old base, good and invalid, each core says that another version is current; on the current one, the invalid
-    are refused for what they are, and nothing moves."""
+def test_stale_base_is_reported_before_invalid_content():
+    """Invalid changes on an old base are answered as stale by each core; on the current base they are rejected as
+    invalid, and the version stays."""
     deployment = _deployment(404)
     for place, bad in enumerate(
         (
@@ -393,9 +395,9 @@
     assert leader(deployment).state.version == 5
 
 
-def test_core_that_is_cut_off_neither_refuses_nor_confirms_nor_reads():
-    """Given a core cut off from the others, once it can know it, stale orders, invalid ones, good ones and reads are answered within 0.6
-    seconds with the way to another core or as not applied; what it was asked is not in force."""
+def test_isolated_core_neither_rejects_nor_accepts_changes_nor_answers_reads():
+    """Once an isolated core can know that it is, it answers stale, invalid and valid changes and reads within 0.6
+    seconds with a redirect or as not applied; none of the changes is in force."""
     deployment = _deployment(405)
     _, others = _roles(deployment)
     lone = others[0]
@@ -425,9 +427,9 @@
     assert {core.state.version for core in deployment.machines("core")} == {7}
 
 
-def test_leader_that_is_just_cut_off_answers_as_unclear_within_a_second():
-    """Given a leader cut off in the moment in which an order comes, it answers within 0.9 s that the order may be taken yet or that it was
-    not; sent again it is acknowledged, once."""
+def test_leader_isolated_during_a_change_answers_within_a_second():
+    """A leader isolated just after it received a change answers within 0.9 s whether the change may still be applied;
+    sent again, the change is acknowledged, and applied once."""
     deployment = _deployment(406)
     first, others = _roles(deployment)
     number = _post(deployment, first, "configure", doc=PART, if_version=5, part=True)
@@ -443,9 +445,9 @@
     assert {core.state.generation for core in deployment.machines("core")} == {2}
 
 
-def test_proposal_that_lies_in_a_buffer_is_without_effect_after_what_came_later():
-    """Given a member whose proposals to evacuate lie in a buffer until its caller went elsewhere, had the area emptied and taken back:
-    when they arrive the area stays open, at every core and edge."""
+def test_proposal_delayed_in_a_buffer_has_no_effect_after_later_changes():
+    """A follower's proposals of an evacuation lie in a buffer until its caller has evacuated and restored the zone
+    through another core: when they arrive, the zone stays open at every core and edge."""
     deployment = _deployment(407)
     first, others = _roles(deployment)
     late = deployment.boxes[others[0]]
@@ -479,8 +481,9 @@
     return isinstance(effect, Send) and wire_kind(effect.message) == "propose"
 
 
-def test_long_order_at_a_member_is_handed_on_to_the_leader():
-    """Given an order of half a megabyte at a member, its caller is handed on to the leader's control address, where it is taken."""
+def test_follower_redirects_a_large_change_to_the_leader():
+    """A change of half a megabyte at a follower is answered with a redirect to the leader's HTTP address, where it is
+    accepted."""
     deployment = _deployment(408)
     first, others = _roles(deployment)
     document = {"doc": {"version": 7, "extra": {"note": "x" * 500_000}}, "ifVersion": 5, "part": True}
@@ -489,9 +492,9 @@
     assert _call(deployment, first, "configure", **document)[0] == 200
 
 
-def test_order_of_four_mebibytes_is_taken_known_again_and_built_on():
-    """Given a change of four mebibytes that does not compress, it is acknowledged and in force everywhere, its repeat is known without
-    the document in the log, the next change builds on it, and a core that comes back with an empty disk has it."""
+def test_change_of_four_mebibytes_is_applied_recognized_and_extended():
+    """An incompressible change of four mebibytes is applied everywhere, its repeat is recognized without adding the
+    document to the log, the next change builds on it, and a core that restarts with a wiped disk receives it."""
     deployment = _deployment(410)
     first, others = _roles(deployment)
     note = random.Random(1).randbytes(2_050_000).hex()
@@ -508,8 +511,8 @@
     assert {machine.state.version for machine in deployment.machines("edge")} == {9}
 
 
-def test_core_that_has_just_started_answers_before_its_identity_is_on_its_disk():
-    """Given a core with an empty disk that is slow, calls get 503 at once and no silence."""
+def test_core_that_has_just_started_answers_503_until_its_identity_is_durable():
+    """A core with an empty, slow disk answers requests with 503 at once, instead of leaving them without a response."""
     deployment = _deployment(409)
     deployment.kill("core-2")
     deployment.boxes["core-2"].disk.wipe()
@@ -522,7 +525,8 @@
 
 
 def test_bodies_up_to_four_mebibytes_reach_a_core_and_longer_ones_get_413():
-    """Given bodies of just four mebibytes and one byte more, with a length and in chunks, the former reach the machine whole."""
+    """Bodies of exactly four mebibytes, with a length or chunked, reach the machine completely; one byte more is
+    answered with 413."""
     from harness.local_cluster.loopback import free_address, wait_until_serving
     from sumachook.host.effects import Reply
     from sumachook.nodes.serve import MAX_OPERATOR_BODY_BYTES
@@ -556,11 +560,12 @@
     assert asyncio.run(story()) == ([200, 200, 413, 413], [4 << 20, 4 << 20])
 
 
-# the history and the storm -------------------------------------------------------
+# the order history and random faults ---------------------------------------------
 
 
-def test_the_book_accuses_each_wrong():
-    """Given answers and a final configuration that break one rule each, the history names it; given sound ones it is silent."""
+def test_order_history_reports_each_violation():
+    """The history reports a fault for each combination of answers and final configuration that breaks one rule, and
+    none for a valid one."""
 
     def fault_of(*orders, present=(), refuse_after=False):
         history = OrderHistory(5, orders=list(orders))
@@ -583,15 +588,17 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_storm_of_orders_with_lost_answers_and_losses_keeps_the_book(seed):
-    """Given eight operators, half of their answers lost, and kills around answers and requests, nobody is told what is not so."""
+def test_no_operator_gets_a_wrong_answer_under_lost_answers_and_kills(seed):
+    """With eight operators, half of their answers lost, and kills around answers and requests, no answer is
+    contradicted by the final state."""
     _, sent, acknowledged, _, faults = play(seed, 16.0)
     assert faults == [] and sent > 3 and acknowledged > 1
 
 
-def test_a_turn_whose_read_came_back_after_its_caller_went_on_is_not_proposed():
-    """Given an evacuation at a core without a view, and a caller that after a second of silence was served elsewhere and took it back:
-    the read that comes back then does not let the evacuation out any more; a configuration, whose base decides, may go."""
+def test_evacuation_whose_read_completes_after_its_caller_moved_on_is_not_proposed():
+    """A caller of an evacuation without a response for a second is served by another core and restores the zone there:
+    the read that completes then must not propose the evacuation. A configuration may still be proposed, as its base
+    version decides."""
     second = timedelta(seconds=1)
     for change, is_proposed in (
         (changes.Evacuate("", "hall"), False),
@@ -606,8 +613,9 @@
         assert any(isinstance(effect, Reply) and effect.status == 503 for effect in out) != is_proposed
 
 
-def test_a_turn_waits_for_the_next_leader_no_longer_than_its_caller():
-    """Given a core without a view, an evacuation is read for again only where the read is back within its caller's second."""
+def test_evacuation_waits_for_a_leader_no_longer_than_its_caller():
+    """At a core without a view, the read of an evacuation is retried only if it can complete within its caller's
+    second."""
     second = timedelta(seconds=1)
     configuration_changes = ConfigurationChanges("core-1", State())
     configuration_changes.accept("caller", changes.Evacuate("", "hall"), second)
--- a/tests/nodes/test_tick_intervals.py
+++ b/tests/nodes/test_tick_intervals.py
@@ -1,4 +1,4 @@
-"""How often a node is given a pulse, and what a start does without (docs/design/processes.md)."""
+"""Tick intervals of a node, and the modules that its start omits (docs/design/processes.md)."""
 
 import asyncio
 import subprocess
@@ -22,7 +22,7 @@
 
 
 def _edge():
-    """An edge that knows its catalogue, its servers and what stands there."""
+    """Creates an edge that knows its catalogue, its servers and their replicas."""
     settings = NodeSettings(
         node="e1",
         address="127.0.0.1:1",
@@ -46,18 +46,19 @@
     return edge.take(ProxyRequestReceived(("front", cid), "POST", "/chat/x", headers, b"{}"), now)
 
 
-def test_an_edge_asks_for_pulses_by_what_it_has_in_hand():
-    """Given an idle edge, then one whose request is at a server, then one whose request waits for a place, pulses are needed ever sooner."""
+def test_tick_interval_of_an_edge_depends_on_its_requests():
+    """The tick interval is longest on an idle edge, shorter while a server processes a request, and shortest while a
+    request waits for a replica."""
     edge, now = _edge()
     assert edge.tick_interval == IDLE_TICK
     assert any(isinstance(effect, ForwardRequest) for effect in _ask(edge, now, "q1", "m"))
     assert edge.tick_interval == IN_FLIGHT_TICK
-    _ask(edge, now, "q2", "n")  # which stands nowhere
+    _ask(edge, now, "q2", "n")  # a model without a replica
     assert edge.tick_interval == TICK
 
 
-def test_an_edge_that_knows_no_places_or_leaves_gets_every_pulse():
-    """Given an edge that knows not yet what stands where, or one that was told to leave, it is given every pulse."""
+def test_edge_without_placements_or_in_shutdown_needs_the_shortest_interval():
+    """An edge that does not know the placements yet, or that is shutting down, needs the shortest tick interval."""
     edge, now = _edge()
     edge.places.is_known = False
     assert edge.tick_interval == TICK
@@ -67,7 +68,7 @@
 
 
 class Sleeper:
-    """A machine that needs no pulse for an hour until it hears of something; it tells what it was given."""
+    """A machine whose tick interval is an hour until it receives a message; it queues the classes of its events."""
 
     node, restart_epoch = "s", 1
 
@@ -81,8 +82,8 @@
         return []
 
 
-def test_a_message_that_makes_a_machine_wait_brings_its_pulse_forward():
-    """Given a machine whose next pulse is an hour away, when a message gives it something that waits, the pulse comes soon after."""
+def test_event_that_needs_a_tick_brings_the_next_tick_forward():
+    """A machine's next tick is an hour away; after an event that makes it need a tick, one is delivered soon."""
 
     async def story():
         machine = Sleeper()
@@ -97,8 +98,9 @@
     asyncio.run(story())
 
 
-def test_a_node_starts_without_tls_and_without_collections():
-    """Given a process that begins as nodes do, asyncio and aiohttp are there without TLS, and collections go on afterwards."""
+def test_node_starts_without_tls_and_garbage_collection():
+    """During the start of a node, asyncio and aiohttp are imported without TLS and garbage collection is off; it is on
+    again afterwards."""
     program = (
         "from sumachook.runtime.fast_start import begin_start, end_start\n"
         "import gc, sys\n"
--- a/tests/short_forms.py
+++ b/tests/short_forms.py
@@ -1,4 +1,4 @@
-"""Short forms of events and effects, in which some tests say what they give a machine and expect of it."""
+"""Short tuple forms of events and effects for tests of state machines."""
 
 from typing import Any
 
@@ -55,7 +55,7 @@
 
 
 def effect_of(effect: Any) -> Any:
-    """The typed effect that a tuple stands for; anything else comes back as it is.
+    """Converts a tuple to a typed effect; returns anything else unchanged.
 
     >>> effect_of(("leave", 0))
     Exit(code=0, write_within=datetime.timedelta(seconds=2))
@@ -66,7 +66,7 @@
 
 
 def tuple_of_effect(effect: Any) -> Any:
-    """The tuple that stands for a typed effect; anything else comes back as it is.
+    """Converts a typed effect to a tuple; returns anything else unchanged.
 
     >>> from sumachook.host.effects import Exit
     >>> tuple_of_effect(Exit(0))
@@ -77,7 +77,7 @@
 
 
 def event_of(message: Any) -> Any:
-    """The typed event that a tuple stands for; anything else comes back as it is.
+    """Converts a tuple to a typed event; returns anything else unchanged.
 
     >>> event_of(("gone", 7))
     ClientDisconnected(call_id=7, ended_by=<ConnectionEnd.CLIENT: 'the client left, or the way to it broke'>)
@@ -90,7 +90,7 @@
 
 
 def tuple_of_event(event: Any) -> Any:
-    """The tuple that stands for a typed event; anything else comes back as it is.
+    """Converts a typed event to a tuple; returns anything else unchanged.
 
     >>> from sumachook.host.events import ResponseEnded
     >>> tuple_of_event(ResponseEnded(7))
