--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -10,7 +10,9 @@
 CONNECTION_ENDS = "tests/transport/test_connection_ends.py"
 
 SHUTDOWN_MUTATIONS = (
-    Mutation("LOST", "a shut front lets in", "if table.is_closed:", "if False:", LEAVING, "once_the_proxy_server_is_closed"),
+    Mutation(
+        "LOST", "a shut front lets in", "if table.is_closed:", "if False:", LEAVING, "once_the_proxy_server_is_closed"
+    ),
     Mutation(
         "LOST",
         "a request is handled on a connection that this node has closed",
--- a/tests/nodes/test_control_plane.py
+++ b/tests/nodes/test_control_plane.py
@@ -87,13 +87,13 @@
     """During a partition, an isolated core refuses changes as not applied and shows its state as stale, while the
     majority accepts them; after it heals, all agree."""
     deployment = settled(7)
-    lone = box_of(deployment, leader(deployment)).name
-    deployment.cut([lone], others(deployment, lone))
+    isolated = box_of(deployment, leader(deployment)).name
+    deployment.cut([isolated], others(deployment, isolated))
     deployment.run(4)
-    answer = _apply(deployment, lone, "in-vain")
+    answer = _apply(deployment, isolated, "in-vain")
     assert answer[0] == 503 and answer[1]["fault"]["applied"] == "no"
-    assert deployment.ask(lone, "GET", "/show/pairs")[1]["stale"] is True
-    rest = next(name for name in ("core-1", "core-2", "core-3") if name != lone)
+    assert deployment.ask(isolated, "GET", "/show/pairs")[1]["stale"] is True
+    rest = next(name for name in ("core-1", "core-2", "core-3") if name != isolated)
     assert _apply(deployment, rest, "majority")[0] == 200
     deployment.heal()
     assert deployment.run_until(
@@ -199,7 +199,7 @@
     _apply(deployment, "core-1", "new")
     seen = {}
 
-    def look():
+    def check_generations():
         for edge in deployment.machines("edge"):
             before = seen.get((edge.node, edge.restart_epoch), 0)
             assert edge.state.generation >= before
@@ -210,10 +210,10 @@
     assert _apply(deployment, "core-1", "newer", {"routes": [{"name": "newer", "target": "refund-01"}]})[0] == 200
     deployment.kill("edge-1")
     deployment.start("edge-1")
-    deployment.run_until(look, 10)
+    deployment.run_until(check_generations, 10)
     assert deployment.boxes["edge-1"].machine.state.generation == 3
     deployment.heal()
-    deployment.run_until(look, 10)
+    deployment.run_until(check_generations, 10)
 
 
 def test_frozen_or_stalled_follower_does_not_delay_acknowledgements():
@@ -304,7 +304,7 @@
 
 
 def test_interrupted_founding_is_completed():
-    """The founding core is killed at different moments around its first third of a second and restarted; a view of all
+    """The founding core is killed at eight moments, 0.3 to 0.44 s after the start, and restarted; a view of all
     three is founded."""
     from sumachook.simulation.deployment import Deployment
     from tests.deployment_fixtures import spec
--- a/tests/nodes/test_core_shutdown.py
+++ b/tests/nodes/test_core_shutdown.py
@@ -14,7 +14,7 @@
 from tests.deployment_fixtures import leader, settled
 
 TICK = timedelta(seconds=0.05)
-LONGEST = timedelta(seconds=4)
+MAX_SHUTDOWN_TIME = timedelta(seconds=4)
 APPLY = ("POST", "/operator/apply", msgspec.json.encode({"request": "r1", "doc": {"routes": []}, "part": True}))
 READ = ("GET", "/show/catalogue", b"")
 SEARCH = ("GET", "/ledger/e1.1.1", b"")
@@ -37,7 +37,7 @@
 
     def run_until_exit(self):
         effects, begun = [], self.now
-        while not any(isinstance(effect, Exit) for effect in effects) and self.now - begun < LONGEST:
+        while not any(isinstance(effect, Exit) for effect in effects) and self.now - begun < MAX_SHUTDOWN_TIME:
             self.now += TICK
             effects += self.take(Tick())
         return effects
--- a/tests/nodes/test_daemon.py
+++ b/tests/nodes/test_daemon.py
@@ -16,8 +16,8 @@
 from tests.transport.proxy_fixtures import BOUND, parted
 
 LONG_ANSWER = b"x" * (24 << 20)  # more than the buffers of a connection can store
-READS_AFTER = 1.2  # seconds after the decision to exit; longer than `FINAL_SEND_DELAY` and the proxy server's own wait
-ASKED = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+READ_DELAY_S = 1.2  # seconds after the decision to exit; longer than `FINAL_SEND_DELAY` and the proxy server's own wait
+REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 class Machine:
@@ -60,14 +60,14 @@
         reader, writer = await asyncio.open_connection(
             *split_address(self.daemon.http_server.address), limit=2 * len(LONG_ANSWER)
         )
-        writer.write(ASKED)
+        writer.write(REQUEST)
         return reader, writer
 
 
-def play(story, effects_for):
+def play(scenario, effects_for):
     async def run():
         async with Process(effects_for) as process:
-            return await story(process)
+            return await scenario(process)
 
     return asyncio.run(asyncio.wait_for(run(), BOUND))
 
@@ -76,7 +76,7 @@
     """A message to an invalid address and a reply are effects of one event: the client gets its reply, and the log
     names the failed effect."""
 
-    async def story(process):
+    async def scenario(process):
         reader, writer = await process.ask()
         answer = await reader.readuntil(b"whole")
         writer.close()
@@ -85,7 +85,7 @@
     def effects_for(call_id):
         return [SendDatagram("nowhere", Follow(7, 1)), Reply(call_id, 200, {}, b"whole")]
 
-    answer, lines = play(story, effects_for)
+    answer, lines = play(scenario, effects_for)
     assert answer.startswith(b"HTTP/1.1 200 ")
     ((level, text, fields),) = [line for line in lines if line[0] == "error"]
     assert text == "Failed to execute an effect." and fields["kind"] == "SendDatagram"
@@ -95,14 +95,14 @@
     """A client that starts reading its long response only after the edge decided to exit receives all of it: bytes that
     an exiting process has not written are lost."""
 
-    async def story(process):
+    async def scenario(process):
         loop = asyncio.get_running_loop()
         reader, writer = await process.ask()
         writer.transport.pause_reading()
         await process.daemon.exiting.wait()
         (connection,) = process.daemon.http_server.server.open_connections()
         transport = connection.transport
-        loop.call_later(READS_AFTER, writer.transport.resume_reading)
+        loop.call_later(READ_DELAY_S, writer.transport.resume_reading)
         await process.task
         transport.abort()  # as the exit of the process does
         answer = parted(await reader.read())
@@ -112,7 +112,7 @@
     def effects_for(call_id):
         return [Reply(call_id, 200, {}, LONG_ANSWER), Exit(0)]
 
-    status, _, body, is_whole = play(story, effects_for)
+    status, _, body, is_whole = play(scenario, effects_for)
     assert (status, len(body), is_whole) == (200, len(LONG_ANSWER), True)
 
 
@@ -138,7 +138,7 @@
     """A request in flight is answered although the sweep of connections fails; the log reports the failed task."""
     call_ids = []
 
-    async def story(process):
+    async def scenario(process):
         def fail(now):
             raise RuntimeError("a sweep")
 
@@ -159,7 +159,7 @@
         call_ids.append(call_id)
         return []
 
-    assert play(story, effects_for).endswith(b"whole")
+    assert play(scenario, effects_for).endswith(b"whole")
 
 
 class JumpingClockLoop(asyncio.SelectorEventLoop):
@@ -171,32 +171,32 @@
         return super().time() + self.ahead
 
 
-@pytest.mark.parametrize(("stood_still", "is_told"), [(0.3, False), (2.0, True)])
-def test_stall_of_the_process_is_logged_with_its_duration(stood_still, is_told):
+@pytest.mark.parametrize(("stall_s", "is_logged"), [(0.3, False), (2.0, True)])
+def test_stall_of_the_process_is_logged_with_its_duration(stall_s, is_logged):
     """If the clock advances between two ticks while nothing is processed, as on a frozen machine or without processor
     time, a warning contains the duration; a slightly late tick is not logged."""
     loop = JumpingClockLoop()
 
-    async def story():
+    async def scenario():
         async with Process(lambda call_id: []) as process:
-            loop.ahead += stood_still
+            loop.ahead += stall_s
             await asyncio.wait_for(next_tick(process), BOUND)
             return process.lines
 
-    lines = loop.run_until_complete(story())
+    lines = loop.run_until_complete(scenario())
     loop.close()
-    told = [fields["seconds"] for level, text, fields in lines if text == "This process was stalled."]
-    assert len(told) == is_told and all(abs(seconds - stood_still) < 0.3 for seconds in told)
+    logged = [fields["seconds"] for level, text, fields in lines if text == "This process was stalled."]
+    assert len(logged) == is_logged and all(abs(seconds - stall_s) < 0.3 for seconds in logged)
 
 
 async def next_tick(process):
     """Returns once another tick was processed and its lateness checked."""
     came = asyncio.Event()
-    note = process.daemon._log_stall
+    log_stall = process.daemon._log_stall
 
-    def noted(late):
-        note(late)
+    def log_and_notify(lateness):
+        log_stall(lateness)
         came.set()
 
-    process.daemon._log_stall = noted
+    process.daemon._log_stall = log_and_notify
     await came.wait()
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -49,11 +49,11 @@
     return deployment
 
 
-def _fill(deployment, name, seconds):
+def _refuse_writes(deployment, name, seconds):
     deployment.boxes[name].disk.refuses_until = deployment.now + SECOND * seconds
 
 
-def _is_whole(deployment):
+def _has_all_cores(deployment):
     core = leader(deployment)
     return (
         core is not None
@@ -74,7 +74,7 @@
     full = head if is_leader else next(name for name in CORES if name != head)
     rest = [name for name in CORES if name != full]
     machine, incarnation = deployment.boxes[full].machine, deployment.boxes[full].incarnation
-    _fill(deployment, full, 6)
+    _refuse_writes(deployment, full, 6)
     deployment.run(0.3)
     before = deployment.now
     assert _apply(deployment, rest[0], "while-full")
@@ -84,7 +84,7 @@
     assert deployment.boxes[full].incarnation == incarnation and deployment.boxes[full].machine is machine
     deployment.run_until(lambda: deployment.now > deployment.boxes[full].disk.refuses_until, 10)
     assert deployment.run_until(
-        lambda: _is_whole(deployment) and deployment.ask(full, "GET", "/condition")[0] == 200, 4
+        lambda: _has_all_cores(deployment) and deployment.ask(full, "GET", "/condition")[0] == 200, 4
     )
     assert _apply(deployment, full, "after")
 
@@ -96,7 +96,7 @@
     assert deployment.run_until(lambda: leader(deployment).state.duties["placer"][0], 10)
     node, fence = leader(deployment).state.duties["placer"]
     full = next(name for name in CORES if deployment.boxes[name].machine.node == node)
-    _fill(deployment, full, 8)
+    _refuse_writes(deployment, full, 8)
     deployment.run(0.2)
     assert _apply(deployment, next(name for name in CORES if name != full), "write")
     assert deployment.run_until(
@@ -135,9 +135,9 @@
     deployment = _deployment(710)
     number, incarnations = leader(deployment).state.generation, [deployment.boxes[name].incarnation for name in CORES]
     for name in CORES:
-        _fill(deployment, name, 5)
+        _refuse_writes(deployment, name, 5)
     assert not _apply(deployment, "core-1", "none", wait=3.0)
-    assert deployment.run_until(lambda: _is_whole(deployment), 8)
+    assert deployment.run_until(lambda: _has_all_cores(deployment), 8)
     assert (
         leader(deployment).state.generation >= number
         and [deployment.boxes[name].incarnation for name in CORES] == incarnations
@@ -150,7 +150,7 @@
     for seed in range(720, 726):
         deployment = _deployment(seed)
         full = CORES[seed % 3]
-        _fill(deployment, full, 5)
+        _refuse_writes(deployment, full, 5)
         deployment.run(1.2)
         assert deployment.run_until(lambda: leader(deployment) is not None, 3), seed
         rest = [name for name in CORES if name != full]
@@ -168,11 +168,13 @@
     deployment = _deployment(730)
     node = deployment.boxes["core-2"].machine.node
     deployment.kill("core-2")
-    _fill(deployment, "core-2", 4)
+    _refuse_writes(deployment, "core-2", 4)
     deployment.start("core-2")
     deployment.run(3)
     assert _apply(deployment, "core-1", "meanwhile")
-    assert deployment.run_until(lambda: _is_whole(deployment), 6) and deployment.boxes["core-2"].machine.node == node
+    assert (
+        deployment.run_until(lambda: _has_all_cores(deployment), 6) and deployment.boxes["core-2"].machine.node == node
+    )
 
 
 def test_write_queue_of_a_hanging_disk_stays_bounded_under_load():
@@ -182,15 +184,15 @@
     callers = deployment.call_in(4.0)
     deployment.run(2)
     deployment.boxes["core-2"].disk.stalled_until = deployment.now + SECOND * 10
-    most = 0
+    max_waiting = 0
     for _ in range(20):
         deployment.run(0.5)
         queue = deployment.boxes["core-2"].disk.queue
-        most = max(most, sum(file.count for file in queue.waiting.values()))
-    assert most < MAX_WAITING_WRITES / 8, most
+        max_waiting = max(max_waiting, sum(file.count for file in queue.waiting.values()))
+    assert max_waiting < MAX_WAITING_WRITES / 8, max_waiting
     callers.is_on = False
     deployment.run(12)
-    assert _is_whole(deployment) and invariant_checker(deployment, callers).unaccounted() == []
+    assert _has_all_cores(deployment) and invariant_checker(deployment, callers).unaccounted() == []
 
 
 def test_ledger_records_of_a_core_with_a_full_disk_are_handed_off():
@@ -198,7 +200,7 @@
     deployment = settled(750)
     callers = deployment.call_in(2.0)
     deployment.run(2)
-    _fill(deployment, "core-3", 6)
+    _refuse_writes(deployment, "core-3", 6)
     deployment.run(6.5)
     callers.is_on = False
     deployment.run(12)
@@ -231,7 +233,7 @@
     assert node != former and callers is not None
     assert deployment.run_until(
         lambda: (
-            _is_whole(deployment)
+            _has_all_cores(deployment)
             and node in leader(deployment).state.voting_members
             and former not in leader(deployment).state.voting_members
         ),
@@ -314,25 +316,25 @@
     def __init__(self, path):
         self.folder = DataFolder(RealFileSystem(path))
         open_folder(self.folder, lambda *what: None)
-        self.heard, self.lines = [], []
+        self.events, self.lines = [], []
         self.now = timedelta(0)  # a fixed clock, so that the speed of the test machine's disk has no influence
         self.writer = DiskWriter(
-            self.folder, self.heard.append, lambda *what: self.lines.append(what), lambda: self.now, LOG
+            self.folder, self.events.append, lambda *what: self.lines.append(what), lambda: self.now, LOG
         )
 
-    async def until(self, is_reached, within=5.0):
+    async def wait_until(self, is_done, within=5.0):
         loop = asyncio.get_running_loop()
         end = loop.time() + within
-        while not is_reached():
-            assert loop.time() < end, (self.heard, self.lines)
+        while not is_done():
+            assert loop.time() < end, (self.events, self.lines)
             self.writer.check_state()
             await asyncio.sleep(0.005)
 
-    def play(self, story):
+    def play(self, scenario):
         async def run():
             task = asyncio.create_task(self.writer.run())
             try:
-                await story()
+                await scenario()
             finally:
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
@@ -361,17 +363,17 @@
         times[0] -= 1
         return times[0] >= 0
 
-    async def story():
+    async def scenario():
         for number in range(3):
             write = RewriteRecords if call == "replace" and number == 0 else AppendRecords
             host.writer.put(write(LOG, ([number],), f"synced {number}"))
         host.writer.put(AppendDayLog("day-2026-03-02.jsonl", ({"row": 1},)))
         host.writer.put(AppendRecords("ledger", (["row", 1],), "row synced"))
-        await host.until(lambda: "row synced" in host.heard)
+        await host.wait_until(lambda: "row synced" in host.events)
 
     _refuse(monkeypatch, is_refusing, call)
-    host.play(story)
-    assert [message if isinstance(message, str) else message.is_available for message in host.heard] == [
+    host.play(scenario)
+    assert [message if isinstance(message, str) else message.is_available for message in host.events] == [
         False,
         True,
         "synced 0",
@@ -393,14 +395,14 @@
     host, release, real = _Host(tmp_path), threading.Event(), os.fsync
     monkeypatch.setattr(os, "fsync", lambda handle: (release.wait(20), real(handle))[1])
 
-    async def story():
+    async def scenario():
         host.writer.put(AppendRecords(LOG, (["one"],), "synced"))
         await asyncio.sleep(0.01)
         host.now += SECOND * 1.1
-        await host.until(lambda: host.heard)
+        await host.wait_until(lambda: host.events)
 
-    host.play(story)
-    assert [message.is_available for message in host.heard] == [False]
+    host.play(scenario)
+    assert [message.is_available for message in host.events] == [False]
     release.set()
 
 
--- a/tests/nodes/test_disks_and_power.py
+++ b/tests/nodes/test_disks_and_power.py
@@ -21,10 +21,10 @@
 DOWN_S = 1.0
 RECOVERY_S = 12.0  # the limit that the users' requirements set
 ACKNOWLEDGED_BY_MS = 150  # after the change was sent; 45 ms is too early
-STRIKES_MS = (5, 12, 18, 24, 30, 45, 55, 62, 70, 80, ACKNOWLEDGED_BY_MS, 400)
+DELAYS_MS = (5, 12, 18, 24, 30, 45, 55, 62, 70, 80, ACKNOWLEDGED_BY_MS, 400)
 
 
-def lose_all(deployment, wiped):
+def cut_power_and_wipe(deployment, wiped):
     """Cuts the power of every machine and wipes the disk of one core; returns the machines' names."""
     names = [box.name for box in deployment.boxes.values() if box.role in ("core", "edge")]
     for name in names:
@@ -33,7 +33,7 @@
     return names
 
 
-def bring_back(deployment, names):
+def restart(deployment, names):
     """Restarts the machines in random order within 0.3 s, a second after they lost power."""
     random = Random(len(deployment.logs))
     for name in names:
@@ -50,7 +50,7 @@
     return number
 
 
-def ask_until_clear(deployment, method, path, document=None):
+def ask_until_definite(deployment, method, path, document=None):
     """Asks one core after the other, as operators do, until one answers with 200 or 409."""
     for turn in range(60):
         answer = deployment.ask(CORES[turn % 3], method, path, document, wait=1.0)
@@ -60,11 +60,11 @@
     raise AssertionError(f"no clear answer to {method} {path}")
 
 
-def with_configuration(seed):
+def configured_deployment(seed):
     """Creates three cores and three edges that have applied the first configuration."""
     deployment = found(seed, edges=3, voter_away=1.6, confirm_within=0.8, order_within=0.85)
     first = json_fields({"doc": whole(FIRST_VERSION), "if_version": 0})
-    assert ask_until_clear(deployment, "POST", "/operator/configure", first)[0] == 200
+    assert ask_until_definite(deployment, "POST", "/operator/configure", first)[0] == 200
     assert deployment.run_until(lambda: edge_versions(deployment) == {FIRST_VERSION}, 5)
     return deployment
 
@@ -74,22 +74,22 @@
 
 
 @pytest.mark.parametrize("wiped", CORES)
-@pytest.mark.parametrize("strike_ms", STRIKES_MS)
-def test_change_survives_a_lost_disk_and_power_loss_of_all_other_machines(wiped, strike_ms):
+@pytest.mark.parametrize("delay_ms", DELAYS_MS)
+def test_change_survives_a_lost_disk_and_power_loss_of_all_other_machines(wiped, delay_ms):
     """Some milliseconds after a change was sent, one disk is lost and all other machines, edges too, lose power. An
     acknowledged change is read back, any other is in force completely or not at all, and every edge follows it soon."""
-    deployment = with_configuration(500 + strike_ms)
+    deployment = configured_deployment(500 + delay_ms)
     number = send(deployment, wiped, "configure", CHANGE)
-    deployment.run(strike_ms / 1000)
+    deployment.run(delay_ms / 1000)
     answer = deployment.operator().answers.get(number)
-    bring_back(deployment, lose_all(deployment, wiped))
-    version = ask_until_clear(deployment, "GET", "/show/catalogue")[1]["catalogue"]["version"]
+    restart(deployment, cut_power_and_wipe(deployment, wiped))
+    version = ask_until_definite(deployment, "GET", "/show/catalogue")[1]["catalogue"]["version"]
     assert version in (FIRST_VERSION, NEXT_VERSION)
     is_acknowledged = answer is not None and answer[0] == 200
-    assert is_acknowledged or strike_ms < ACKNOWLEDGED_BY_MS
+    assert is_acknowledged or delay_ms < ACKNOWLEDGED_BY_MS
     if is_acknowledged:
         assert version == NEXT_VERSION
-    status, _ = ask_until_clear(deployment, "POST", "/operator/configure", CHANGE)
+    status, _ = ask_until_definite(deployment, "POST", "/operator/configure", CHANGE)
     assert status == 200  # the same change sent again: accepted now, or recognized as already accepted
     assert deployment.run_until(lambda: edge_versions(deployment) == {NEXT_VERSION}, RECOVERY_S)
 
@@ -99,10 +99,10 @@
 def test_evacuation_survives_a_lost_disk_and_power_loss_of_all_other_machines(wiped, zone):
     """After an acknowledged evacuation, one disk is lost and all other machines, edges too, lose power: the zone stays
     closed at every restarted core and edge."""
-    deployment = with_configuration(600)
+    deployment = configured_deployment(600)
     document = {"area": zone}
-    assert ask_until_clear(deployment, "POST", "/operator/evacuate", document)[0] == 200
-    bring_back(deployment, lose_all(deployment, wiped))
+    assert ask_until_definite(deployment, "POST", "/operator/evacuate", document)[0] == 200
+    restart(deployment, cut_power_and_wipe(deployment, wiped))
     assert deployment.run_until(lambda: leader(deployment) is not None, RECOVERY_S)
     nodes = deployment.machines("core") + deployment.machines("edge")
     assert len(nodes) == 6
@@ -116,12 +116,12 @@
     deployment = settled(700)
     callers = deployment.call_in(1.0)
     deployment.run(3.0)
-    bring_back(deployment, lose_all(deployment, wiped))
-    back_at = deployment.now
+    restart(deployment, cut_power_and_wipe(deployment, wiped))
+    restarted_at = deployment.now
     deployment.run(RECOVERY_S + 10.0)
     callers.is_on = False
     deployment.run(15.0)
     assert invariant_checker(deployment, callers).faults() == []
-    late = [call for call in callers.calls if call.sent_at > back_at + timedelta(seconds=RECOVERY_S)]
+    late = [call for call in callers.calls if call.sent_at > restarted_at + timedelta(seconds=RECOVERY_S)]
     assert len(late) > 50 and [call for call in late if call.outcome != "ok"] == []
     assert outcomes(callers, outcome="ok")
--- a/tests/nodes/test_edge_start.py
+++ b/tests/nodes/test_edge_start.py
@@ -87,10 +87,10 @@
             file = StateFile(state, True, disk.records, now)
         now += timedelta(seconds=3)
         disk.take(file.save(now))
-        again = State()
-        StateFile(again, True, disk.records, now)
-        assert _same(again, state) and again.catalogue == state.catalogue
-        assert state.checked is None or again.checked.route_by_match == state.checked.route_by_match
+        restarted = State()
+        StateFile(restarted, True, disk.records, now)
+        assert _same(restarted, state) and restarted.catalogue == state.catalogue
+        assert state.checked is None or restarted.checked.route_by_match == state.checked.route_by_match
 
 
 def test_small_changes_rarely_rewrite_the_snapshot():
@@ -147,7 +147,7 @@
     now = Clock().mono()
     edge = Edge(node_settings, {}, 1, Clock(), Random(1))
 
-    def hear(message):
+    def receive(message):
         nonlocal now
         now += TICK
         edge.take(MessageReceived("c", "127.0.0.1:3", message), now)
@@ -159,9 +159,9 @@
             ]
         )
 
-    hear(Snapshot(1, pack_snapshot(core.snapshot())))
+    receive(Snapshot(1, pack_snapshot(core.snapshot())))
     core.apply(2, _change(2))
-    hear(ChangeBatch(2, (pack_entry(_change(2)),)))
+    receive(ChangeBatch(2, (pack_entry(_change(2)),)))
     assert [record[0] for record in disk.records] == ["image", "entries"]
-    again = Edge(node_settings, {FILE: disk.records}, 2, Clock(), Random(1))
-    assert again.state.version == 2 and _same(again.state, core) and again.follower.number == 2
+    restarted = Edge(node_settings, {FILE: disk.records}, 2, Clock(), Random(1))
+    assert restarted.state.version == 2 and _same(restarted.state, core) and restarted.follower.number == 2
--- a/tests/nodes/test_operator_changes.py
+++ b/tests/nodes/test_operator_changes.py
@@ -25,12 +25,12 @@
 from tests.deployment_fixtures import box_of, found, json_fields, leader
 
 SECOND = timedelta(seconds=1)
-PART = {"version": 7, "httpRoutes": [route(1)]}
+PARTIAL_CHANGE = {"version": 7, "httpRoutes": [route(1)]}
 CORES = ("core-1", "core-2", "core-3")
 EVACUATE_HALL_B = changes.Evacuate("", "hall-b")
 
 
-def _order(number, change, seen, origin="core-2.1"):
+def _operator_call(number, change, seen, origin="core-2.1"):
     return changes.OperatorCall(origin, number, seen, change)
 
 
@@ -41,7 +41,7 @@
 def _state(version=5):
     state = State()
     assert state.apply(
-        1, _order(1, changes.ConfigureWithDefaults("", whole(version), {}, False, 0, {}), 0)
+        1, _operator_call(1, changes.ConfigureWithDefaults("", whole(version), {}, False, 0, {}), 0)
     ) == accepted(1)
     return state
 
@@ -54,33 +54,34 @@
     another: the late copy changes nothing and is not reported as done. An evacuation requested after the restore takes
     effect."""
     state = _state()
-    held_up = _order(1, changes.Evacuate("", "hall-b"), 1)
+    delayed = _operator_call(1, changes.Evacuate("", "hall-b"), 1)
     assert state.apply(
-        2, _order(1, changes.Evacuate("", "hall-b"), 1, "core-1.1")
+        2, _operator_call(1, changes.Evacuate("", "hall-b"), 1, "core-1.1")
     ).outcome is Outcome.ACCEPTED and not state.is_open("hall-b")
-    assert state.apply(3, _order(2, changes.Restore("", "hall-b"), 2, "core-1.1")).outcome is Outcome.ACCEPTED
-    assert state.apply(4, held_up).outcome is Outcome.UNKNOWN and state.is_open("hall-b")
+    assert state.apply(3, _operator_call(2, changes.Restore("", "hall-b"), 2, "core-1.1")).outcome is Outcome.ACCEPTED
+    assert state.apply(4, delayed).outcome is Outcome.UNKNOWN and state.is_open("hall-b")
     assert (
-        state.apply(5, _order(2, changes.Evacuate("", "hall-a"), 1)).outcome is Outcome.ACCEPTED
+        state.apply(5, _operator_call(2, changes.Evacuate("", "hall-a"), 1)).outcome is Outcome.ACCEPTED
     )  # another zone is not affected
     assert state.apply(
-        6, _order(3, changes.Evacuate("", "hall-b"), 3)
+        6, _operator_call(3, changes.Evacuate("", "hall-b"), 3)
     ).outcome is Outcome.ACCEPTED and not state.is_open("hall-b")
-    assert state.apply(7, held_up).outcome is Outcome.ACCEPTED  # the zone is evacuated already
+    assert state.apply(7, delayed).outcome is Outcome.ACCEPTED  # the zone is evacuated already
 
 
 def test_delayed_restore_does_not_overtake_the_next_evacuation():
     """A restore lies in a buffer while a copy of it and a new evacuation go through another core: the zone stays
     closed, also on a replica restored from a snapshot."""
     state, again = _state(), State()
-    held_up = _order(9, changes.Restore("", "hall-b"), 2)
+    delayed = _operator_call(9, changes.Restore("", "hall-b"), 2)
     for number, kind in enumerate((changes.Evacuate, changes.Restore, changes.Evacuate), 2):
         assert (
-            state.apply(number, _order(number, kind("", "hall-b"), number - 1, "core-1.1")).outcome is Outcome.ACCEPTED
+            state.apply(number, _operator_call(number, kind("", "hall-b"), number - 1, "core-1.1")).outcome
+            is Outcome.ACCEPTED
         )
     again.restore(msgspec.json.decode(msgspec.json.encode(state.snapshot())))
     for each in (state, again):
-        assert each.apply(5, held_up).outcome is Outcome.UNKNOWN and not each.is_open("hall-b")
+        assert each.apply(5, delayed).outcome is Outcome.UNKNOWN and not each.is_open("hall-b")
 
 
 def test_copy_of_a_rejected_change_is_not_applied_once_its_base_exists():
@@ -88,21 +89,21 @@
     version exists, the copy is neither applied nor refused; the same change sent after that is applied."""
     state = _state(5)
     early = _update({"version": 9, "httpRoutes": [route(9)]}, 7)
-    assert state.apply(2, _order(1, early, 1, "core-1.1")).outcome is Outcome.STALE
-    assert state.apply(3, _order(2, _update(PART, 5), 2, "core-1.1")).outcome is Outcome.ACCEPTED
-    assert state.apply(4, _order(1, early, 1)).outcome is Outcome.UNKNOWN and state.version == 7
-    assert state.apply(5, _order(2, early, 3)) == accepted(3) and state.version == 9
+    assert state.apply(2, _operator_call(1, early, 1, "core-1.1")).outcome is Outcome.STALE
+    assert state.apply(3, _operator_call(2, _update(PARTIAL_CHANGE, 5), 2, "core-1.1")).outcome is Outcome.ACCEPTED
+    assert state.apply(4, _operator_call(1, early, 1)).outcome is Outcome.UNKNOWN and state.version == 7
+    assert state.apply(5, _operator_call(2, early, 3)) == accepted(3) and state.version == 9
 
 
 def test_change_by_digest_has_the_result_of_the_whole_document():
     """Of repeated, stale, invalid and valid configurations, all but the valid one are proposed by digest, in a few
     hundred bytes, with the same result as the whole document."""
     state = _state(5)
-    assert state.apply(2, _order(1, _update(PART, 5), 1)).outcome is Outcome.ACCEPTED
+    assert state.apply(2, _operator_call(1, _update(PARTIAL_CHANGE, 5), 1)).outcome is Outcome.ACCEPTED
     big = [route(number) for number in range(100, 700)]
     bad = [*big, route(900, timeout_ms=0)]
     for change, verdict in (
-        (_update(reordered(PART), 5), Outcome.ACCEPTED),
+        (_update(reordered(PARTIAL_CHANGE), 5), Outcome.ACCEPTED),
         (_update({"version": 8, "httpRoutes": big}, 5), Outcome.STALE),
         (_update({"version": 9, "httpRoutes": bad}, 5), Outcome.STALE),
         (_update({"version": 9, "httpRoutes": bad}, 7), Outcome.REJECTED),
@@ -115,14 +116,14 @@
         assert isinstance(claim, changes.ConfigureByDigest) and len(msgspec.json.encode(claim)) < 500
         copy = State()
         copy.restore(state.snapshot())
-        assert state.apply(3, _order(2, claim, 2)).outcome is verdict
-        assert copy.apply(3, _order(2, change, 2)).outcome is verdict
+        assert state.apply(3, _operator_call(2, claim, 2)).outcome is verdict
+        assert copy.apply(3, _operator_call(2, change, 2)).outcome is verdict
     good = _update({"version": 9, "httpRoutes": big}, 7)
     assert state.compact_form(good) is good
     late = state.compact_form(_update({"version": 12}, 9))
-    assert state.apply(4, _order(3, good, 3)).outcome is Outcome.ACCEPTED
+    assert state.apply(4, _operator_call(3, good, 3)).outcome is Outcome.ACCEPTED
     assert (
-        state.apply(5, _order(4, late, 3)).outcome is Outcome.UNKNOWN
+        state.apply(5, _operator_call(4, late, 3)).outcome is Outcome.UNKNOWN
     )  # its base was created meanwhile: neither rejected nor accepted
 
 
@@ -132,7 +133,7 @@
     doc = {field: value for field, value in whole(5).items() if field not in ("name", "areas")}
     for number, zones in enumerate((["hall-a", "hall-b"], ["hall-b"]), 1):
         change = changes.ConfigureWithDefaults("", doc, {}, False, 0, {"name": "platform", "areas": zones})
-        assert state.apply(number, _order(number, change, 0)) == accepted(1)
+        assert state.apply(number, _operator_call(number, change, 0)) == accepted(1)
     assert state.catalogue.zones == ("hall-a", "hall-b")
 
 
@@ -152,7 +153,7 @@
 # pending changes at one core ----------------------------------------------------
 
 
-def _desk(state=None, **more):
+def _configuration_changes(state=None, **more):
     return ConfigurationChanges("core-2.1", state or _state(), **more)
 
 
@@ -165,13 +166,13 @@
 def test_change_is_proposed_after_its_read_and_answered_by_its_own_delivery():
     """A change is proposed once its read has completed, again until it is delivered, and answered only by the delivery
     of its own attempt; then it is not proposed again."""
-    configuration_changes = _desk()
+    configuration_changes = _configuration_changes()
     token = _accepted(configuration_changes)
     assert configuration_changes.tick((), {}, SECOND) == []
     configuration_changes.handle_completed_read(token, SECOND)
     (proposal,) = configuration_changes.tick((), {}, SECOND)
     entry = proposal.change
-    assert entry == _order(1, changes.Evacuate("", "hall-b"), 1)
+    assert entry == _operator_call(1, changes.Evacuate("", "hall-b"), 1)
     assert configuration_changes.tick((), {}, SECOND * 1.1) == [] and configuration_changes.tick(
         (), {}, SECOND * 1.5
     ) == [ProposeChange(entry)]
@@ -199,7 +200,7 @@
     """After its caller disconnects before the read completes, before the proposal or after it, a change is not proposed
     again: one that lay in the buffer of a frozen core stops at the disconnect queued behind it."""
     for steps in range(3):
-        configuration_changes = _desk()
+        configuration_changes = _configuration_changes()
         token = _accepted(configuration_changes)
         if steps > 0:
             configuration_changes.handle_completed_read(token, SECOND)
@@ -214,7 +215,7 @@
     """Without a delivery, a change that was not proposed is answered as not applied, a proposed one as maybe applied;
     one that slow edges have not confirmed is acknowledged within the same time."""
     for is_proposed, applied in ((False, "no"), (True, "maybe")):
-        configuration_changes = _desk(answer_within=SECOND)
+        configuration_changes = _configuration_changes(answer_within=SECOND)
         token = _accepted(configuration_changes)
         if is_proposed:
             configuration_changes.handle_completed_read(token, SECOND)
@@ -222,7 +223,7 @@
         (answer,) = [effect for effect in configuration_changes.tick((), {}, SECOND * 2) if isinstance(effect, Reply)]
         assert answer.status == 503 and msgspec.json.decode(answer.body)["fault"]["applied"] == applied
         assert configuration_changes.tick((), {}, SECOND * 9) == []
-    configuration_changes = _desk(answer_within=SECOND)
+    configuration_changes = _configuration_changes(answer_within=SECOND)
     configuration_changes.handle_completed_read(_accepted(configuration_changes), SECOND)
     (proposal,) = configuration_changes.tick((), {}, SECOND)
     entry = proposal.change
@@ -236,7 +237,7 @@
 
 def test_pending_changes_at_one_core_are_bounded():
     """With the maximum number of pending changes at a core, the next one is refused as not applied."""
-    configuration_changes = _desk()
+    configuration_changes = _configuration_changes()
     for cid in range(128):
         (read,) = configuration_changes.accept(cid, changes.Evacuate("", "hall-b"), SECOND)
         assert isinstance(read, ReadRequested)
@@ -270,7 +271,7 @@
     return deployment.ask(core, "POST", f"/operator/{kind}", json_fields(document), follows=False) or (0, None)
 
 
-def _post(deployment, core, kind, **document):
+def _send(deployment, core, kind, **document):
     """Sends a request without waiting; returns its number, the key of its answer."""
     number = deployment.operator().ask(
         f"http://{deployment.boxes[core].http_address}/operator/{kind}", "POST", json_fields(document), False
@@ -279,13 +280,13 @@
     return number
 
 
-def _wait(deployment, *numbers):
+def _wait_for_answers(deployment, *numbers):
     answers = deployment.operator().answers
     assert deployment.run_until(lambda: all(number in answers for number in numbers), 9)
     return [answers[number] for number in numbers]
 
 
-def _until_clear(deployment, kind, cores=CORES, **document):
+def _ask_until_definite(deployment, kind, cores=CORES, **document):
     """Repeats a request at one core after the other, as operators do, until its answer is definite."""
     for turn in range(40):
         status, body = _call(deployment, cores[turn % len(cores)], kind, **document)
@@ -295,7 +296,7 @@
     raise AssertionError("no clear answer")
 
 
-def _roles(deployment):
+def _leader_and_followers(deployment):
     """Returns the name of the leader and the names of the other cores."""
     assert deployment.run_until(
         lambda: leader(deployment) is not None and len(leader(deployment).consensus.members) == 3, 20
@@ -308,9 +309,9 @@
     """The same change sent to all cores at once, with its JSON members in another order at one, is acknowledged by each
     and applied once."""
     deployment = _deployment(401)
-    docs = (PART, reordered(PART), PART)
-    numbers = [_post(deployment, core, "configure", doc=doc, if_version=5, part=True) for core, doc in zip(CORES, docs)]
-    answers = _wait(deployment, *numbers)
+    docs = (PARTIAL_CHANGE, reordered(PARTIAL_CHANGE), PARTIAL_CHANGE)
+    numbers = [_send(deployment, core, "configure", doc=doc, if_version=5, part=True) for core, doc in zip(CORES, docs)]
+    answers = _wait_for_answers(deployment, *numbers)
     assert [status for status, _ in answers] == [200] * 3 and {body["generation"] for _, body in answers} == {2}
 
 
@@ -318,17 +319,17 @@
     """Three different changes with the same version and base are sent to three cores, repeatedly: one is accepted each
     time. Each one sent again to any core gets its original result, also after newer changes."""
     deployment = _deployment(402)
-    base, told = 5, []
+    base, results = 5, []
     for turn in range(4):
         docs = [{"version": base + 2, "httpRoutes": [route(100 + 10 * turn + place)]} for place in range(3)]
         numbers = [
-            _post(deployment, core, "configure", doc=doc, if_version=base, part=True) for core, doc in zip(CORES, docs)
+            _send(deployment, core, "configure", doc=doc, if_version=base, part=True) for core, doc in zip(CORES, docs)
         ]
-        statuses = [status for status, _ in _wait(deployment, *numbers)]
+        statuses = [status for status, _ in _wait_for_answers(deployment, *numbers)]
         assert sorted(statuses) == [200, 409, 409]
-        told += [(doc, base, status) for doc, status in zip(docs, statuses)]
+        results += [(doc, base, status) for doc, status in zip(docs, statuses)]
         base += 2
-    for doc, on, status in told:
+    for doc, on, status in results:
         assert [_call(deployment, core, "configure", doc=doc, if_version=on, part=True)[0] for core in CORES] == [
             status
         ] * 3
@@ -339,7 +340,7 @@
     evacuation, and rejects a change that conflicts with an accepted one."""
     deployment = _deployment(403)
     second = {"version": 9, "httpRoutes": [route(2)]}
-    assert _call(deployment, "core-1", "configure", doc=PART, if_version=5, part=True)[0] == 200
+    assert _call(deployment, "core-1", "configure", doc=PARTIAL_CHANGE, if_version=5, part=True)[0] == 200
     assert (
         _call(deployment, "core-2", "configure", doc=second, if_version=7, part=True, removals={"httpRoutes": ["r-1"]})[
             0
@@ -354,10 +355,10 @@
         deployment.start(name)
     for core in CORES:
         assert deployment.run_until(
-            lambda: _call(deployment, core, "configure", doc=PART, if_version=5, part=True)[0] == 200, 20
+            lambda: _call(deployment, core, "configure", doc=PARTIAL_CHANGE, if_version=5, part=True)[0] == 200, 20
         ), core
         assert (
-            _until_clear(
+            _ask_until_definite(
                 deployment,
                 "configure",
                 (core,),
@@ -368,12 +369,14 @@
             )[0]
             == 200
         )
-        assert _until_clear(deployment, "configure", (core,), doc=whole(5), if_version=0)[0] == 200
+        assert _ask_until_definite(deployment, "configure", (core,), doc=whole(5), if_version=0)[0] == 200
         assert (
-            _until_clear(deployment, "configure", (core,), doc={**second, "httpRoutes": []}, if_version=7, part=True)[0]
+            _ask_until_definite(
+                deployment, "configure", (core,), doc={**second, "httpRoutes": []}, if_version=7, part=True
+            )[0]
             == 409
         )
-        assert _until_clear(deployment, "evacuate", (core,), area="hall-b")[0] == 200
+        assert _ask_until_definite(deployment, "evacuate", (core,), area="hall-b")[0] == 200
     assert not leader(deployment).state.is_open("hall-b")
 
 
@@ -399,13 +402,18 @@
     """Once an isolated core can know that it is, it answers stale, invalid and valid changes and reads within 0.6
     seconds with a redirect or as not applied; none of the changes is in force."""
     deployment = _deployment(405)
-    _, others = _roles(deployment)
-    lone = others[0]
-    deployment.cut([lone], deployment.inside(lone))
+    _, others = _leader_and_followers(deployment)
+    isolated = others[0]
+    deployment.cut([isolated], deployment.inside(isolated))
     deployment.run(3)
     assert (
-        _until_clear(
-            deployment, "configure", [core for core in CORES if core != lone], doc=PART, if_version=5, part=True
+        _ask_until_definite(
+            deployment,
+            "configure",
+            [core for core in CORES if core != isolated],
+            doc=PARTIAL_CHANGE,
+            if_version=5,
+            part=True,
         )[0]
         == 200
     )
@@ -415,11 +423,11 @@
         {"doc": {"version": 8}, "ifVersion": 5},
     ):
         before = deployment.now
-        status, body = _call(deployment, lone, "configure", part=True, **document)
+        status, body = _call(deployment, isolated, "configure", part=True, **document)
         assert status in (307, 503) and body["fault"]["applied"] == "no" and (deployment.now - before) < SECOND * 0.6
     before = deployment.now
     assert (
-        deployment.ask(lone, "GET", "/show/catalogue", follows=False)[0] in (307, 503)
+        deployment.ask(isolated, "GET", "/show/catalogue", follows=False)[0] in (307, 503)
         and (deployment.now - before) < SECOND * 0.6
     )
     deployment.heal()
@@ -431,17 +439,17 @@
     """A leader isolated just after it received a change answers within 0.9 s whether the change may still be applied;
     sent again, the change is acknowledged, and applied once."""
     deployment = _deployment(406)
-    first, others = _roles(deployment)
-    number = _post(deployment, first, "configure", doc=PART, if_version=5, part=True)
+    first, others = _leader_and_followers(deployment)
+    number = _send(deployment, first, "configure", doc=PARTIAL_CHANGE, if_version=5, part=True)
     deployment.run(0.06)
     deployment.cut([first], deployment.inside(first))
     before = deployment.now
-    ((status, body),) = _wait(deployment, number)
+    ((status, body),) = _wait_for_answers(deployment, number)
     assert status in (200, 307, 503) and (deployment.now - before) < SECOND * 0.9
-    assert _until_clear(deployment, "configure", others, doc=PART, if_version=5, part=True)[0] == 200
+    assert _ask_until_definite(deployment, "configure", others, doc=PARTIAL_CHANGE, if_version=5, part=True)[0] == 200
     deployment.heal()
     deployment.run(6)
-    assert _until_clear(deployment, "configure", (first,), doc=PART, if_version=5, part=True)[0] == 200
+    assert _ask_until_definite(deployment, "configure", (first,), doc=PARTIAL_CHANGE, if_version=5, part=True)[0] == 200
     assert {core.state.generation for core in deployment.machines("core")} == {2}
 
 
@@ -449,11 +457,11 @@
     """A follower's proposals of an evacuation lie in a buffer until its caller has evacuated and restored the zone
     through another core: when they arrive, the zone stays open at every core and edge."""
     deployment = _deployment(407)
-    first, others = _roles(deployment)
+    first, others = _leader_and_followers(deployment)
     late = deployment.boxes[others[0]]
     held, plain = [], late.machine
 
-    class Holding:
+    class ProposalBuffer:
         def __getattr__(self, name):
             return getattr(plain, name)
 
@@ -462,9 +470,9 @@
             held.extend(effect for effect in out if _is_proposal(effect))
             return [effect for effect in out if not _is_proposal(effect)]
 
-    late.machine = Holding()
-    number = _post(deployment, late.name, "evacuate", request="one", area="hall-b")
-    ((status, body),) = _wait(deployment, number)
+    late.machine = ProposalBuffer()
+    number = _send(deployment, late.name, "evacuate", request="one", area="hall-b")
+    ((status, body),) = _wait_for_answers(deployment, number)
     late.machine = plain
     assert status == 503 and body["fault"]["applied"] == "maybe" and len(held) > 1
     assert _call(deployment, first, "evacuate", request="two", area="hall-b")[0] == 200
@@ -485,7 +493,7 @@
     """A change of half a megabyte at a follower is answered with a redirect to the leader's HTTP address, where it is
     accepted."""
     deployment = _deployment(408)
-    first, others = _roles(deployment)
+    first, others = _leader_and_followers(deployment)
     document = {"doc": {"version": 7, "extra": {"note": "x" * 500_000}}, "ifVersion": 5, "part": True}
     status, body = _call(deployment, others[0], "configure", **document)
     assert status == 307 and body["fault"]["reason"] == f"ask {deployment.boxes[first].http_address}"
@@ -496,14 +504,14 @@
     """An incompressible change of four mebibytes is applied everywhere, its repeat is recognized without adding the
     document to the log, the next change builds on it, and a core that restarts with a wiped disk receives it."""
     deployment = _deployment(410)
-    first, others = _roles(deployment)
+    first, others = _leader_and_followers(deployment)
     note = random.Random(1).randbytes(2_050_000).hex()
     document = {"doc": {"version": 7, "extra": {"note": note}}, "if_version": 5, "part": True}
-    assert _until_clear(deployment, "configure", (first,), **document)[0] == 200
+    assert _ask_until_definite(deployment, "configure", (first,), **document)[0] == 200
     logged = sum(len(entry) for entry in leader(deployment).consensus.log.entries)
     assert _call(deployment, first, "configure", **document)[0] == 200
     assert sum(len(entry) for entry in leader(deployment).consensus.log.entries) < logged + 5000
-    assert _until_clear(deployment, "configure", others, doc={"version": 9}, if_version=7, part=True)[0] == 200
+    assert _ask_until_definite(deployment, "configure", others, doc={"version": 9}, if_version=7, part=True)[0] == 200
     deployment.kill(others[0])
     deployment.boxes[others[0]].disk.wipe()
     deployment.start(others[0])
@@ -533,7 +541,7 @@
     from sumachook.transport.http_server import HttpServer
     from tests.transport.test_http_server import _raw
 
-    async def story():
+    async def scenario():
         sizes = []
         http_server = HttpServer(free_address(), lambda event: answer_event(event), MAX_OPERATOR_BODY_BYTES)
 
@@ -557,7 +565,7 @@
         await asyncio.gather(task, return_exceptions=True)
         return statuses, sizes
 
-    assert asyncio.run(story()) == ([200, 200, 413, 413], [4 << 20, 4 << 20])
+    assert asyncio.run(scenario()) == ([200, 200, 413, 413], [4 << 20, 4 << 20])
 
 
 # the order history and random faults ---------------------------------------------
@@ -577,14 +585,14 @@
         return Order(mark, base, version, {}, answers=[(SECOND, kind, True) for kind in kinds], **more)
 
     assert fault_of(order("mark-1", 5, 7, "taken"), order("mark-2", 5, 7, "refused"), present=["mark-1"]) == []
-    for accusations in (
+    for faults in (
         fault_of(order("mark-1", 5, 7, "taken")),
         fault_of(order("mark-1", 5, 7, "refused"), present=["mark-1"]),
         fault_of(order("mark-1", 5, 7, "taken"), order("mark-2", 5, 8, "taken"), present=["mark-1", "mark-2"]),
         fault_of(order("mark-1", 5, 7, "taken", is_valid=False), present=["mark-1"]),
         fault_of(order("mark-1", 5, 7, "taken"), present=["mark-1"], refuse_after=True),
     ):
-        assert accusations
+        assert faults
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
@@ -606,8 +614,8 @@
     ):
         configuration_changes = ConfigurationChanges("core-1", State())
         configuration_changes.accept("caller", change, second)
-        (order,) = configuration_changes.pending_changes.values()
-        configuration_changes.handle_completed_read(configuration_changes.read_token(order), second * 2.1)
+        (pending,) = configuration_changes.pending_changes.values()
+        configuration_changes.handle_completed_read(configuration_changes.read_token(pending), second * 2.1)
         out = configuration_changes.tick((), {}, second * 2.2)
         assert any(isinstance(effect, ProposeChange) for effect in out) == is_proposed
         assert any(isinstance(effect, Reply) and effect.status == 503 for effect in out) != is_proposed
@@ -619,7 +627,7 @@
     second = timedelta(seconds=1)
     configuration_changes = ConfigurationChanges("core-1", State())
     configuration_changes.accept("caller", changes.Evacuate("", "hall"), second)
-    (order,) = configuration_changes.pending_changes.values()
+    (pending,) = configuration_changes.pending_changes.values()
     assert configuration_changes.schedule_read_retry(
-        order, second * 1.2
-    ) and not configuration_changes.schedule_read_retry(order, second * 1.4)
+        pending, second * 1.2
+    ) and not configuration_changes.schedule_read_retry(pending, second * 1.4)
--- a/tests/nodes/test_tick_intervals.py
+++ b/tests/nodes/test_tick_intervals.py
@@ -67,7 +67,7 @@
     assert edge.tick_interval == TICK
 
 
-class Sleeper:
+class IdleMachine:
     """A machine whose tick interval is an hour until it receives a message; it queues the classes of its events."""
 
     node, restart_epoch = "s", 1
@@ -85,8 +85,8 @@
 def test_event_that_needs_a_tick_brings_the_next_tick_forward():
     """A machine's next tick is an hour away; after an event that makes it need a tick, one is delivered soon."""
 
-    async def story():
-        machine = Sleeper()
+    async def scenario():
+        machine = IdleMachine()
         daemon = Daemon(machine, Clock(), lambda *what: None, "127.0.0.1:0")
         task = asyncio.get_running_loop().create_task(daemon._run_ticks())
         assert await machine.taken.get() is Tick
@@ -95,7 +95,7 @@
         assert await asyncio.wait_for(machine.taken.get(), 30) is Tick
         task.cancel()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_node_starts_without_tls_and_garbage_collection():
--- a/tests/platform_adapters/test_platform_settings.py
+++ b/tests/platform_adapters/test_platform_settings.py
@@ -300,12 +300,12 @@
 def test_changed_settings_cost_no_request(tmp_path):
     """Given a request at a server while the settings file is replaced, torn, removed and written again, each with the signal, nothing is
     said to the client or the server but its answer."""
-    from tests.nodes.test_edge_shutdown import Leaver
+    from tests.nodes.test_edge_shutdown import StoppingEdge
 
-    leaver, file = Leaver(), tmp_path / "settings.toml"
+    stopping, file = StoppingEdge(), tmp_path / "settings.toml"
     file.write_text(SETTINGS)
-    face, cid = NodeAdapter(leaver.edge, str(file)), leaver.ask()
-    leaver.hear("sent")
+    face, cid = NodeAdapter(stopping.edge, str(file)), stopping.ask()
+    stopping.receive("sent")
     changed = (
         SETTINGS.replace("10.1.0.15:8146", "10.9.0.15:8146")
         .replace("memory-mb = 300", "memory-mb = 200")
@@ -313,13 +313,13 @@
     )
     for text in (changed, "node-name = ", None, changed, SETTINGS):
         file.write_text(text) if text is not None else file.unlink()
-        assert {type(effect) for effect in face.take(SettingsReloadRequested(), leaver.now)} <= {Log, SendDatagram}
-        leaver.tick()
-    assert not leaver.when("unfetch") and not leaver.when("reply")
-    leaver.hear("head", 200, (("X-Request-Id", "q1"), ("X-Server-Seal", "s")))
-    leaver.hear("chunk", b"done")
-    leaver.hear("end")
-    assert leaver.reply(cid)[1] == 200 and leaver.edge.membership.seeds[0].startswith("10.1.0.15:")
+        assert {type(effect) for effect in face.take(SettingsReloadRequested(), stopping.now)} <= {Log, SendDatagram}
+        stopping.tick()
+    assert not stopping.times_of("unfetch") and not stopping.times_of("reply")
+    stopping.receive("head", 200, (("X-Request-Id", "q1"), ("X-Server-Seal", "s")))
+    stopping.receive("chunk", b"done")
+    stopping.receive("end")
+    assert stopping.reply(cid)[1] == 200 and stopping.edge.membership.seeds[0].startswith("10.1.0.15:")
 
 
 def test_rules_that_are_not_known_are_named_once(tmp_path):
