--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -71,11 +71,11 @@
     ),
     Mutation(
         "LOST",
-        "a leaving node's answers do not say that they are the last",
+        "the responses of a draining node lack Connection: close",
         'return (*headers, ("Connection", "close")) if self.is_draining else headers',
         "return headers",
         PROXY_PIPELINE,
-        "leaving_node",
+        "draining_node",
     ),
     Mutation(
         "LOST",
@@ -281,7 +281,7 @@
     ),
     Mutation(
         "PARKED",
-        "any number of requests waits for a catalogue",
+        "the number of requests parked without a catalogue is not bounded",
         " or len(parked) >= MAX_REQUESTS:",
         ":",
         PROXY_PIPELINE,
@@ -289,15 +289,15 @@
     ),
     Mutation(
         "PARKED",
-        "a request waits for a catalogue for ever",
+        "a request is parked without a time limit",
         "if now - arrived_at >= min(MAX_PARK_TIME, patience * PARK_FRACTION) or",
         "if",
         PROXY_PIPELINE,
-        "not_found_is_said",
+        "current_catalogue",
     ),
     Mutation(
         "PARKED",
-        "what hung up while it waited is let in",
+        "a parked request whose client disconnected is admitted",
         "self.table.parked_requests.pop(event.call_id, None)",
         "pass",
         PROXY_PIPELINE,
@@ -305,7 +305,7 @@
     ),
     Mutation(
         "PARKED",
-        "any number of requests is in hand",
+        "the number of requests in flight is not bounded",
         "if len(table.requests) >= MAX_REQUESTS:",
         "if False:",
         PROXY_PIPELINE,
--- a/sumachook/consensus/candidate.py
+++ b/sumachook/consensus/candidate.py
@@ -1,4 +1,4 @@
-"""A replica that would lead."""
+"""The candidate role: pre-vote, collection of promises, and choice of the members of the next view."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -15,14 +15,17 @@
 
 
 class Candidate:
-    """Asks the other voters beforehand, collects their promises, and hands over to the installer or to a better one."""
+    """Runs an election: a pre-vote, then the collection of promises.
+
+    Ends by installing the view, or by sending `TakeOver` to a voter with a better log.
+    """
 
     __slots__ = (
         "state",
         "slow_members",
         "installer",
-        "accepted",
-        "starts",
+        "granted_by",
+        "run_numbers",
         "token",
         "is_unanimous",
         "pre_votes_sent_at",
@@ -31,33 +34,33 @@
         "released",
         "started_at",
         "majority_at",
-        "sent_at",
+        "prepares_sent_at",
     )
 
     def __init__(self, state: ReplicaState, slow_members: SlowMembers, installer: Installer, now: timedelta) -> None:
         self.state, self.slow_members, self.installer = state, slow_members, installer
-        self.accepted: set[str] = set()
-        self.starts: dict[str, int] = {}  # the runs of those that accepted, but may be bound from before their start
+        self.granted_by: set[str] = set()
+        self.run_numbers: dict[str, int] = {}  # sent by restarted voters, which an older lease may still bind
         self.token, self.is_unanimous = 0, False
         self.promises: dict[str, Promise] = {}
         self.suspected: set[str] = set()
         self.released: ViewId = NO_VIEW
-        self.pre_votes_sent_at = self.started_at = self.sent_at = now
+        self.pre_votes_sent_at = self.started_at = self.prepares_sent_at = now
         self.majority_at: timedelta | None = None
 
-    # asking beforehand
+    # pre-vote
 
     def tick_idle(self, now: timedelta) -> list[Effect]:
-        """A replica asks before it disturbs; those who hear a leader stay silent."""
+        """Starts or repeats the pre-vote once no leader has been heard within `SILENCE_TIMEOUT`."""
         state = self.state
-        if not state.hears_no_leader(now) or not state.is_voter:
+        if not state.leader_timed_out(now) or not state.is_voter:
             return []
         if state.role is Role.PRE_VOTING:
             return self._send_pre_votes(now) if now >= self.pre_votes_sent_at + PRE_VOTE_INTERVAL else []
-        if now < state.retry_at or state.is_leaving:
+        if now < state.next_election_at or state.is_leaving:
             return []
         state.role, state.candidacy = Role.PRE_VOTING, state.next_view()
-        self.accepted, self.starts, self.token = set(), {}, state.random.getrandbits(NONCE_BITS)
+        self.granted_by, self.run_numbers, self.token = set(), {}, state.random.getrandbits(NONCE_BITS)
         self.suspected = {state.leader} - {None, state.name}  # type: ignore[assignment]
         for name in self.suspected:
             state.heard_at[name] = state.leader_heard_at
@@ -68,31 +71,31 @@
         return state.send_to_voters(PreVote(state.candidacy, state.view, state.log.end, self.token))
 
     def on_pre_vote_granted(self, sender: str, message: PreVoteGranted, now: timedelta) -> list[Effect]:
-        """Goes on to collect promises once a quorum has accepted and no lease binds this replica."""
+        """Counts a pre-vote grant; starts the election once a quorum has granted and no lease binds this replica."""
         state = self.state
-        if state.role is not Role.PRE_VOTING or message.view != state.candidacy or not state.hears_no_leader(now):
+        if state.role is not Role.PRE_VOTING or message.view != state.candidacy or not state.leader_timed_out(now):
             return []
         if message.token != self.token:
             return []
-        self.starts.pop(sender, None)
+        self.run_numbers.pop(sender, None)
         if message.start:
-            self.starts[sender] = message.start
+            self.run_numbers[sender] = message.start
         else:
-            self.accepted.add(sender)
-        if self._has_all(now):
+            self.granted_by.add(sender)
+        if self._all_voters_granted(now):
             return self.start(now, self.suspected, is_unanimous=True)
         is_free = state.guard.permits(state.name, NO_VIEW, now)
-        if not is_free or not state.voting_members.has_quorum({state.name, *self.accepted}):
+        if not is_free or not state.voting_members.has_quorum({state.name, *self.granted_by}):
             return []
         return self.start(now, self.suspected)
 
-    def _has_all(self, now: timedelta) -> bool:
-        """Whether every voter has accepted: none of them leads, so no lease from before a start stands."""
+    def _all_voters_granted(self, now: timedelta) -> bool:
+        """Whether all voters have granted the pre-vote, so none leads and no lease from before a restart is valid."""
         guard = self.state.guard
-        is_free = guard.permits(self.state.name, NO_VIEW, now, guard.run)
-        return is_free and set(self.state.other_voters) <= self.accepted | set(self.starts)
+        is_free = guard.permits(self.state.name, NO_VIEW, now, guard.run_number)
+        return is_free and set(self.state.other_voters) <= self.granted_by | set(self.run_numbers)
 
-    # collecting promises
+    # collection of promises
 
     def start(
         self,
@@ -102,22 +105,22 @@
         released: ViewId = NO_VIEW,
         is_unanimous: bool = False,
     ) -> list[Effect]:
-        """Draws a higher view number and promises it to itself first."""
+        """Starts an election with a higher view number, and persists the candidate's own promise first."""
         state = self.state
         state.role, self.started_at, self.majority_at, self.promises = Role.PREPARING, now, None, {}
         state.candidacy = state.promised = state.next_view()
         self.suspected, self.released, self.is_unanimous = set(suspected), released, is_unanimous
         records = ((first_record,) if first_record else ()) + (promise_record(state.candidacy),)
-        return [state.store(records, CandidacySynced(state.candidacy))]
+        return [state.append_records(records, CandidacySynced(state.candidacy))]
 
     def start_without(self, late: set[str], now: timedelta) -> list[Effect]:
-        """Begins anew: these members made no progress with the view that was being installed."""
+        """Restarts the election without these members, which made no progress in installing the last view."""
         for name in late:
             self.slow_members.add(name, now)
         return self.start(now, late)
 
     def on_candidacy_synced(self, event: CandidacySynced, now: timedelta) -> list[Effect]:
-        """The own promise is durable: asks the others for theirs."""
+        """Counts the candidate's own promise, now durable, and sends `Prepare` to the other voters."""
         state, log = self.state, self.state.log
         if event.view != state.candidacy or state.role is not Role.PREPARING:
             return []
@@ -127,18 +130,18 @@
         return self._send_prepares(now)
 
     def _send_prepares(self, now: timedelta) -> list[Effect]:
-        """To all that have not answered."""
-        state, self.sent_at = self.state, now
+        """Sends `Prepare` to every voter that has not promised yet."""
+        state, self.prepares_sent_at = self.state, now
         voters = tuple(state.voting_members.addresses)
-        starts = self.starts if self.is_unanimous else {}
+        run_numbers = self.run_numbers if self.is_unanimous else {}
         return [
-            Send(address, Prepare(state.candidacy, voters, self.released, starts.get(name, 0)))
+            Send(address, Prepare(state.candidacy, voters, self.released, run_numbers.get(name, 0)))
             for name, address in state.other_voters.items()
             if name not in self.promises
         ]
 
     def on_promise(self, sender: str, message: Promise, now: timedelta) -> list[Effect]:
-        """Notes the promise of another voter."""
+        """Records a voter's promise for the candidate's current view."""
         state = self.state
         if state.role is not Role.PREPARING or message.view != state.candidacy:
             return []
@@ -146,18 +149,18 @@
         return self._decide(now)
 
     def tick_preparing(self, now: timedelta) -> list[Effect]:
-        """Decides, asks again, or gives up."""
+        """Completes the election if possible, resends `Prepare`, or backs off after `PREPARE_TIMEOUT`."""
         out = self._decide(now)
         if out or self.state.role is not Role.PREPARING:
             return out
         if now - self.started_at > PREPARE_TIMEOUT:
             self.state.back_off(now)
-        elif self.promises and now - self.sent_at >= PREPARE_INTERVAL:
+        elif self.promises and now - self.prepares_sent_at >= PREPARE_INTERVAL:
             return self._send_prepares(now)
         return []
 
     def _decide(self, now: timedelta) -> list[Effect]:
-        """Goes on once all have promised who are not suspected, or the others have waited long enough for them."""
+        """Ends the promise phase once all unsuspected voters have promised, or `PROMISE_WAIT` after a quorum has."""
         state = self.state
         voting_members = state.voting_members
         if state.name not in self.promises or not voting_members.has_quorum(self.promises):
@@ -167,14 +170,14 @@
         is_full = set(voting_members.addresses) - self.suspected <= set(self.promises)
         if not is_full and now - self.majority_at < PROMISE_WAIT:
             return []
-        best = self._best()
+        best = self._best_voter()
         if best != state.name:
             state.back_off(now)
             return [Send(voting_members.addresses[best], TakeOver(state.candidacy, self.released, {}))]
         return self._install(now)
 
-    def _best(self) -> str:
-        """The voter with the highest installed view and the longest log in it; this replica where it is no worse."""
+    def _best_voter(self) -> str:
+        """Returns the voter with the highest installed view, then the longest log; ties go to this replica."""
         state = self.state
         voters = [name for name in self.promises if name in state.voting_members.addresses]
         return max(
@@ -184,21 +187,22 @@
     def _install(self, now: timedelta) -> list[Effect]:
         members = self._choose_members(now)
         state = self.state
-        is_founding = state.log.end == 1 and members != set(state.voting_members.addresses)  # founding needs all
+        # The first view of a new group must include every founder.
+        is_founding = state.log.end == 1 and members != set(state.voting_members.addresses)
         if not state.voting_members.has_quorum(members) or is_founding:
             state.back_off(now)
             return []
         for name in state.voting_members.addresses:
-            if name not in self.promises and state.hears(name, now):
-                self.slow_members.add(name, now)  # it beats but does not answer: its disk is slow
+            if name not in self.promises and state.has_heard(name, now):
+                self.slow_members.add(name, now)  # the voter is reachable but has not promised, so its disk is slow
         return self.installer.start(tuple(sorted(members)), self.promises, now)
 
     def _choose_members(self, now: timedelta) -> set[str]:
-        """Those who promised; without the leaving, lagging and slow ones where a majority can be made without them."""
+        """Returns the voters that promised, without leaving, lagging and slow ones if the others form a quorum."""
         state = self.state
         members = {name for name in self.promises if name in state.voting_members.addresses}
         checks: tuple[Callable[[str], bool], ...] = (
-            lambda name: state.knows_leaving(name, now),
+            lambda name: state.is_known_leaving(name, now),
             self._is_lagging,
             lambda name: self.slow_members.is_excluded(name, now),
         )
@@ -209,7 +213,7 @@
         return members
 
     def _is_lagging(self, name: str) -> bool:
-        """Whether more than one chunk is missing there."""
+        """Whether this voter's log lacks entries of more than `CHUNK_BYTES` in total."""
         log, promise = self.state.log, self.promises[name]
         known = promise.end if log.digest_at(promise.end) == promise.digest else promise.delivered
         return known < log.base or log.bytes_after(known) > CHUNK_BYTES
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -93,16 +93,16 @@
     """The placer's disk is full for eight seconds: another core takes the role over within 4.2 s with a higher fencing
     token; the first one is a candidate again only when its disk accepts writes."""
     deployment = _deployment(705)
-    assert deployment.run_until(lambda: leader(deployment).state.duties["placer"][0], 10)
-    node, fence = leader(deployment).state.duties["placer"]
+    assert deployment.run_until(lambda: leader(deployment).state.role_holders["placer"][0], 10)
+    node, fence = leader(deployment).state.role_holders["placer"]
     full = next(name for name in CORES if deployment.boxes[name].machine.node == node)
     _refuse_writes(deployment, full, 8)
     deployment.run(0.2)
     assert _apply(deployment, next(name for name in CORES if name != full), "write")
     assert deployment.run_until(
-        lambda: leader(deployment) and leader(deployment).state.duties["placer"][0] not in ("", node), 4.2
+        lambda: leader(deployment) and leader(deployment).state.role_holders["placer"][0] not in ("", node), 4.2
     )
-    assert leader(deployment).state.duties["placer"][1] > fence
+    assert leader(deployment).state.role_holders["placer"][1] > fence
     assert deployment.run_until(
         lambda: deployment.now > deployment.boxes[full].disk.refuses_until, 10
     ) and not deployment.boxes[full].machine.leases.holds("placer", deployment.now)
