--- a/sumachook/nodes/data_folder.py
+++ b/sumachook/nodes/data_folder.py
@@ -23,7 +23,7 @@
     records: dict[str, Any] = open_folder(folder, log).records
     voter = next((record[1] for record in records.get(LOG, ()) if record[0] == VOTER_RECORD), "")
     if voter and voter.rpartition("-")[0] != node:
-        fail(USAGE, f"{path}: {LOG}: the folder is of seat {voter!r}, not of node {node!r}")
+        fail(USAGE, f"{path}: {LOG}: the folder belongs to voter {voter!r}, not to node {node!r}")
     return folder, records
 
 
--- a/sumachook/nodes/edge_shutdown.py
+++ b/sumachook/nodes/edge_shutdown.py
@@ -13,8 +13,8 @@
 MIN_OPEN_TIME = timedelta(seconds=2.5)  # until load balancers have seen that this edge is not ready
 # Fraction of the grace period in which requests are accepted: the response to a later one might be cut off at its end.
 MAX_OPEN_FRACTION = 0.36
-QUIET_TIME = timedelta(seconds=1)  # so long without a request means that load balancers send no more clients
-INFERENCE_GRACE_STEP = timedelta(seconds=1)  # between two rounds of final answers
+QUIET_TIME = timedelta(seconds=1)  # this long without a request, load balancers send no more clients
+INFERENCE_GRACE_STEP = timedelta(seconds=1)  # between rounds of final answers to inference requests
 
 
 class EdgeShutdown:
--- a/sumachook/nodes/edge_tick.py
+++ b/sumachook/nodes/edge_tick.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from sumachook.nodes.edge import Edge
 
-DISCONNECTED_AFTER = timedelta(seconds=2)  # without a proof that the state is fresh
+DISCONNECTED_AFTER = timedelta(seconds=2)  # an edge without proof of a fresh state for so long is disconnected
 EDGES_KNOWN_AFTER = timedelta(seconds=3)  # after the start, the membership is taken as complete
 CLOCK_KNOWN_AFTER = EDGES_KNOWN_AFTER * 10  # after the start, even if the cores have not agreed on a time
 PLACEMENT_RETRY_INTERVAL = timedelta(seconds=0.1)
