--- a/sumachook/nodes/change_request.py
+++ b/sumachook/nodes/change_request.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP requests for a change of the replicated state."""
+"""Parses and validates operators' HTTP requests that change the replicated state."""
 
 from collections.abc import Callable, Mapping
 from enum import StrEnum
@@ -17,19 +17,19 @@
 
 KINDS = ("apply", "configure", "evacuate", "restore")
 PATHS = {f"/operator/{kind}": kind for kind in KINDS}
-MAX_DEPTH = 40  # objects and lists within each other; a document of the catalogue has nine
+MAX_DEPTH = 40  # levels of nested objects and lists; a catalogue document has nine
 MAX_REQUEST_ID_LENGTH = 100
 
 
 class ChangeProblem(StrEnum):
-    """What is wrong with a request for a change; the values are the classes that its caller reads."""
+    """Why a change request is invalid; the values are the fault classes in the HTTP response."""
 
     NOT_JSON = "not JSON"
     REFUSED = "refused"
 
 
 class InvalidChangeError(SumachookError):
-    """A request for a change that is wrong whatever the state is."""
+    """Raised for a change request that is invalid in any control state, e.g. one that is not a JSON object."""
 
     def __init__(self, problem: ChangeProblem, reason: str) -> None:
         super().__init__(reason)
@@ -42,14 +42,14 @@
 
 
 def read_change_request(path: str, body: bytes) -> OperatorChange:
-    """The change that a request asks for; raises `InvalidChangeError`."""
+    """Parses the body of a POST to one of `PATHS` into a change; raises `InvalidChangeError`."""
     try:
         document = msgspec.json.decode(body)
     except (msgspec.DecodeError, RecursionError) as error:
         raise InvalidChangeError(ChangeProblem.NOT_JSON, str(error)) from error
     if not isinstance(document, dict):
         raise _refusal("an object is needed")
-    if is_deeper(document, MAX_DEPTH):
+    if exceeds_depth(document, MAX_DEPTH):
         raise _refusal(f"nested deeper than {MAX_DEPTH}")
     kind = PATHS[path]
     request = document.get("request", "" if kind != "apply" else None)
@@ -58,10 +58,10 @@
     return _READERS[kind](document, request)
 
 
-def is_deeper(value: Any, depth: int) -> bool:
-    """Whether a document has more levels than that; no stack is used up in finding out.
+def exceeds_depth(value: Any, depth: int) -> bool:
+    """Returns whether a document is nested deeper than `depth` levels, without recursion that deep input could exhaust.
 
-    >>> is_deeper({"a": [1]}, 2), is_deeper({"a": [[1]]}, 2)
+    >>> exceeds_depth({"a": [1]}, 2), exceeds_depth({"a": [[1]]}, 2)
     (False, True)
     """
     level = [value]
--- a/sumachook/nodes/show.py
+++ b/sumachook/nodes/show.py
@@ -1,4 +1,4 @@
-"""What a core shows of its state to operators (`GET /show/...`)."""
+"""Views of a core's state for operators (`GET /show/...`)."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -17,16 +17,16 @@
 CATALOGUE = "catalogue"
 
 
-def show(what: str, core: "Core", now: timedelta) -> Document | None:
-    """The document of one view of the state, or None where there is no such view."""
-    view = _VIEWS.get(what)
+def show(view_name: str, core: "Core", now: timedelta) -> Document | None:
+    """Returns the document of the named view, marked stale if this core is in no working view; None if unknown."""
+    view = _VIEWS.get(view_name)
     if view is None:
         return None
     return {"stale": not core.is_fresh(now), "number": core.state.number, **view(core, now)}
 
 
-def names() -> str:
-    """The names of all views, for a message."""
+def view_names() -> str:
+    """Returns the names of all views as an enumeration for an error message."""
     *most, last = _VIEWS
     return f"{', '.join(most)} or {last}"
 
@@ -35,14 +35,14 @@
     members = [core.membership.local_member, *core.membership.members.values()]
     view = {"ballot": core.consensus.view[0], "members": core.consensus.members, "leader": core.consensus.leader_name}
     return {
-        "members": [_member(member) for member in members],
+        "members": [_member_document(member) for member in members],
         "roster": core.state.voting_members,
         "view": view,
         "confirmed": core.source.confirmed,
     }
 
 
-def _member(member: Member) -> Document:
+def _member_document(member: Member) -> Document:
     return {
         "node": member.node,
         "role": member.role,
--- a/tests/nodes/test_daemon.py
+++ b/tests/nodes/test_daemon.py
@@ -1,4 +1,4 @@
-"""The host of a node in a process: effects that fail, and what is still to be written when the process ends (docs/design/processes.md)."""
+"""The daemon that runs a node: failing effects, and responses still unwritten at the exit (docs/design/processes.md)."""
 
 import asyncio
 import signal
@@ -15,13 +15,13 @@
 from sumachook.transport.http_server import HttpServer
 from tests.transport.proxy_fixtures import BOUND, parted
 
-LONG_ANSWER = b"x" * (24 << 20)  # more than the buffers of a connection take
-READS_AFTER = 1.2  # seconds from the decision to end, more than `LAST_MESSAGES` and what the server of requests waits
-ASKED = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+LONG_ANSWER = b"x" * (24 << 20)  # more than the buffers of a connection can store
+READ_DELAY_S = 1.2  # seconds after the decision to exit; longer than `FINAL_SEND_DELAY` and the proxy server's own wait
+REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 class Machine:
-    """Gives the same effects for each request; `effects_for` makes them from the call's id."""
+    """A state machine that returns the effects that `effects_for` creates from a request's call id."""
 
     node, restart_epoch = "n", 1
 
@@ -33,7 +33,7 @@
 
 
 class Process:
-    """A daemon with its lines of the log; `ask` writes a request on a connection of its own."""
+    """A running daemon and its log lines; `ask` sends a request on a new connection."""
 
     def __init__(self, effects_for):
         self.lines = []
@@ -60,23 +60,23 @@
         reader, writer = await asyncio.open_connection(
             *split_address(self.daemon.http_server.address), limit=2 * len(LONG_ANSWER)
         )
-        writer.write(ASKED)
+        writer.write(REQUEST)
         return reader, writer
 
 
-def play(story, effects_for):
+def play(scenario, effects_for):
     async def run():
         async with Process(effects_for) as process:
-            return await story(process)
+            return await scenario(process)
 
     return asyncio.run(asyncio.wait_for(run(), BOUND))
 
 
-def test_an_effect_that_cannot_be_carried_out_takes_no_other_with_it():
-    """Given a message to an address that is none, and an answer in the same effects, the client gets its answer, and the log says which
-    effect failed."""
+def test_a_failing_effect_does_not_prevent_the_others():
+    """A message to an invalid address and a reply are effects of one event: the client gets its reply, and the log
+    names the failed effect."""
 
-    async def story(process):
+    async def scenario(process):
         reader, writer = await process.ask()
         answer = await reader.readuntil(b"whole")
         writer.close()
@@ -85,26 +85,26 @@
     def effects_for(call_id):
         return [SendDatagram("nowhere", Follow(7, 1)), Reply(call_id, 200, {}, b"whole")]
 
-    answer, lines = play(story, effects_for)
+    answer, lines = play(scenario, effects_for)
     assert answer.startswith(b"HTTP/1.1 200 ")
     ((level, text, fields),) = [line for line in lines if line[0] == "error"]
-    assert text == "An effect could not be carried out." and fields["kind"] == "SendDatagram"
+    assert text == "Failed to execute an effect." and fields["kind"] == "SendDatagram"
 
 
-def test_a_process_that_leaves_ends_only_when_its_answers_have_left_it():
-    """Given a client that begins to read its long answer only after its edge has decided to end, the answer reaches it whole: what an
-    ending process has not yet written is lost."""
+def test_process_exits_only_after_its_responses_are_written():
+    """A client that starts reading its long response only after the edge decided to exit receives all of it: bytes that
+    an exiting process has not written are lost."""
 
-    async def story(process):
+    async def scenario(process):
         loop = asyncio.get_running_loop()
         reader, writer = await process.ask()
         writer.transport.pause_reading()
         await process.daemon.exiting.wait()
         (connection,) = process.daemon.http_server.server.open_connections()
         transport = connection.transport
-        loop.call_later(READS_AFTER, writer.transport.resume_reading)
+        loop.call_later(READ_DELAY_S, writer.transport.resume_reading)
         await process.task
-        transport.abort()  # as the end of the process does
+        transport.abort()  # as the exit of the process does
         answer = parted(await reader.read())
         writer.close()
         return answer
@@ -112,13 +112,13 @@
     def effects_for(call_id):
         return [Reply(call_id, 200, {}, LONG_ANSWER), Exit(0)]
 
-    status, _, body, is_whole = play(story, effects_for)
+    status, _, body, is_whole = play(scenario, effects_for)
     assert (status, len(body), is_whole) == (200, len(LONG_ANSWER), True)
 
 
-def test_signals_in_the_last_moments_of_a_process_change_nothing():
-    """Given a process whose machine has decided to end, and signals while its interpreter is being taken down, they are ignored: it ends
-    with the code that its machine gave."""
+def test_signals_during_exit_are_ignored():
+    """Signals that arrive while the interpreter of an exiting process shuts down are ignored, and it exits with its
+    machine's code."""
     numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
     async def run():
@@ -134,11 +134,11 @@
     assert code == 0 and after == [signal.SIG_IGN] * len(numbers)
 
 
-def test_a_sweep_that_fails_ends_no_request():
-    """Given a request in hand, and a sweep of connections that fails, the request is answered; the log says that a task has failed."""
+def test_failing_connection_sweep_ends_no_request():
+    """A request in flight is answered although the sweep of connections fails; the log reports the failed task."""
     call_ids = []
 
-    async def story(process):
+    async def scenario(process):
         def fail(now):
             raise RuntimeError("a sweep")
 
@@ -148,7 +148,7 @@
         process.daemon.http_server.__class__ = type(
             "Failing", (HttpServer,), {"__slots__": (), "_sweep": lambda self, now: fail(now)}
         )
-        while not any(text == "A task failed and is started again." for _, text, _ in process.lines):
+        while not any(text == "A task failed and is restarted." for _, text, _ in process.lines):
             await asyncio.sleep(0)
         process.daemon.http_server.answer(Reply(call_ids[0], 200, {}, b"whole"))
         answer = await reader.read(1000)
@@ -159,11 +159,11 @@
         call_ids.append(call_id)
         return []
 
-    assert play(story, effects_for).endswith(b"whole")
+    assert play(scenario, effects_for).endswith(b"whole")
 
 
 class JumpingClockLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock jumps ahead of the time that its callbacks wait for."""
+    """An event loop whose clock can jump ahead, past the deadlines of its callbacks."""
 
     ahead = 0.0
 
@@ -171,32 +171,32 @@
         return super().time() + self.ahead
 
 
-@pytest.mark.parametrize(("stood_still", "is_told"), [(0.3, False), (2.0, True)])
-def test_a_process_that_stood_still_says_for_how_long(stood_still, is_told):
-    """Given a clock that runs on between two ticks while nothing is handled, as when the machine is frozen or its processors are taken,
-    a warning says for how long; a tick that is a little late is not worth one."""
+@pytest.mark.parametrize(("stall_s", "is_logged"), [(0.3, False), (2.0, True)])
+def test_stall_of_the_process_is_logged_with_its_duration(stall_s, is_logged):
+    """If the clock advances between two ticks while nothing is processed, as on a frozen machine or without processor
+    time, a warning contains the duration; a slightly late tick is not logged."""
     loop = JumpingClockLoop()
 
-    async def story():
+    async def scenario():
         async with Process(lambda call_id: []) as process:
-            loop.ahead += stood_still
+            loop.ahead += stall_s
             await asyncio.wait_for(next_tick(process), BOUND)
             return process.lines
 
-    lines = loop.run_until_complete(story())
+    lines = loop.run_until_complete(scenario())
     loop.close()
-    told = [fields["seconds"] for level, text, fields in lines if text == "This process stood still."]
-    assert len(told) == is_told and all(abs(seconds - stood_still) < 0.3 for seconds in told)
+    logged = [fields["seconds"] for level, text, fields in lines if text == "This process was stalled."]
+    assert len(logged) == is_logged and all(abs(seconds - stall_s) < 0.3 for seconds in logged)
 
 
 async def next_tick(process):
-    """Returns when one more tick has come and its lateness is noted."""
+    """Returns once another tick was processed and its lateness checked."""
     came = asyncio.Event()
-    note = process.daemon._note_lateness
+    log_stall = process.daemon._log_stall
 
-    def noted(late):
-        note(late)
+    def log_and_notify(lateness):
+        log_stall(lateness)
         came.set()
 
-    process.daemon._note_lateness = noted
+    process.daemon._log_stall = log_and_notify
     await came.wait()
