--- a/harness/model_checking/__init__.py
+++ b/harness/model_checking/__init__.py
@@ -1,6 +1,6 @@
-"""A model checker over the real control machines, in virtual time (docs/design.md docs/design/simulation.md).
+"""Model checker for the real control state machines, in virtual time (docs/design.md docs/design/simulation.md).
 
-`walk` draws long random sequences of faults and orders over whole cores, `explore` tries every sequence up to a depth
-over three replicas of the consensus machine, `invariants` judges what happens by what was seen from outside, `shrink`
-makes a counter-example small, and `story` writes it down and plays it again.
+`walk` draws long random schedules of faults and operator requests for whole cores. `explore` tries every sequence of
+steps up to a depth on three replicas of the consensus state machine. `invariants` checks what a client can observe,
+`shrink` minimizes a counter-example, and `story` saves and replays a schedule.
 """
--- a/harness/model_checking/__main__.py
+++ b/harness/model_checking/__main__.py
@@ -1,5 +1,5 @@
-"""python -m harness.model COMMAND: walks, exhaustive exploration and replays over the real control machines, in virtual
-time.
+"""python -m harness.model COMMAND: random walks, exhaustive exploration and replays of the real control state machines,
+in virtual time.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 
 
 def _walk(seed: int, draw, voters: int, seconds: float, shrink_for: float, ignored: tuple):
-    """(story, outcome, what is left of the story once shrunk) of one walk."""
+    """Plays one walk and returns (schedule, outcome, schedule after shrinking)."""
     story = draw(seed, voters, seconds)
     outcome = play(story, ignored)
     if not outcome.findings or not shrink_for:
@@ -30,7 +30,10 @@
 
 
 def walk(given) -> int:
-    """Plays the walks of a range of seeds; writes down what broke a rule, shrunk."""
+    """Plays the walks of a range of seeds; prints and saves a shrunk schedule for each walk that broke a rule.
+
+    Returns exit code 1 if a walk broke a rule, or if a walk or the whole run checked nothing.
+    """
     first, last = given.seeds
     seeds = range(first, min(last, first + MOST_SEEDS) + 1)
     rules, counts, seconds, tried, empty = Counter(), Counter(), 0.0, 0, 0
@@ -52,11 +55,11 @@
                 rules[outcome.findings[0].rule] += 1
                 _report(story, outcome, small, given.out)
     print(
-        f"{len(seeds)} walks over {given.seats} cores, {tried} choices, {seconds / 3600:.2f} simulated hours, "
+        f"{len(seeds)} walks with {given.seats} cores, {tried} choices, {seconds / 3600:.2f} simulated hours, "
         f"{dict(counts)}"
     )
     print(f"{sum(rules.values())} walks broke a rule: {dict(rules)}")
-    print(f"{empty} walks in which nothing was delivered or acknowledged: nothing was judged in them")
+    print(f"{empty} walks delivered or acknowledged no change, so nothing was checked in them")
     return 1 if rules or empty or not seeds else 0
 
 
@@ -75,7 +78,10 @@
 
 
 def explore(given) -> int:
-    """Searches from each beginning; writes down what broke a rule."""
+    """Searches from each starting state; prints and saves the steps of each counter-example.
+
+    Returns exit code 1 if a rule was broken, or if a search checked no state or no recovery.
+    """
     work = partial(_search, rounds=given.rounds, deviations=given.deviations, seconds=given.seconds)
     states, found, empty = 0, 0, []
     with ProcessPoolExecutor(given.jobs) as pool:
@@ -83,18 +89,20 @@
             states += report.states
             if not report.found and not (report.states and report.recoveries):
                 empty.append(report.beginning)
-            end = "all tried" if report.is_complete else "not all tried"
+            end = "search complete" if report.is_complete else "search stopped at its limit"
             print(
-                f"{report.beginning}: {report.states} states, {report.dropped} met before, "
+                f"{report.beginning}: {report.states} states, {report.dropped} duplicates skipped, "
                 f"{report.recoveries} recoveries, {end}",
                 flush=True,
             )
             for example in report.found:
                 found += 1
                 _report_example(example, given.out)
-    print(f"{states} states within {given.rounds} rounds and {given.deviations} deviations, {found} broke a rule")
+    print(
+        f"{states} states within {given.rounds} rounds and {given.deviations} deviations, {found} of them broke a rule"
+    )
     if empty or not states:
-        print(f"nothing was judged: no state or no recovery from {', '.join(empty) or 'any beginning'}")
+        print(f"nothing was checked: no state or no recovery from {', '.join(empty) or 'any starting state'}")
     return 1 if found or empty or not states else 0
 
 
@@ -110,7 +118,7 @@
 
 
 def replay(given) -> int:
-    """Plays what a file holds: a story, or the steps of a search."""
+    """Replays a file that holds a schedule of a walk or the steps of a search; returns exit code 1 if it breaks a rule."""
     if "beginning" in msgspec.json.decode(given.file.read_bytes()):
         return _replay_steps(msgspec.json.decode(given.file.read_bytes(), type=CounterExample))
     story = load(given.file)
@@ -127,14 +135,14 @@
     for step in example.steps:
         print(f"{step.kind} {step.node} {step.other}")
     broken = replay_steps(example)
-    print(broken or "no rule is broken")
+    print(broken or "no rule was broken")
     return 1 if broken else 0
 
 
 def main():
     parser = argparse.ArgumentParser(prog="python -m harness.model", description=__doc__)
     commands = parser.add_subparsers(required=True)
-    walks = commands.add_parser("walk", help="long seeded random walks over whole cores")
+    walks = commands.add_parser("walk", help="run long seeded random walks with whole cores")
     walks.add_argument("--seeds", type=int, nargs=2, default=(1, 20), metavar=("FIRST", "LAST"))
     walks.add_argument("--seats", type=int, choices=(3, 5), default=3)
     walks.add_argument("--seconds-of-simulated-time", type=float, default=60.0, metavar="S")
@@ -145,33 +153,39 @@
         action="store_const",
         const=draw_lease_story,
         default=draw_story,
-        help="faults meet the holders of leases of roles",
+        help="inject faults into the holders of role leases",
     )
     drawing.add_argument(
-        "--reads", dest="draw", action="store_const", const=draw_read_story, help="reads at machines that hear late"
+        "--reads",
+        dest="draw",
+        action="store_const",
+        const=draw_read_story,
+        help="read from cores whose incoming messages are delayed",
     )
     walks.add_argument("--jobs", type=int, default=3)
-    walks.add_argument("--out", type=Path, help="a folder for the counter-examples")
+    walks.add_argument("--out", type=Path, help="folder to which counter-examples are written")
     walks.add_argument(
         "--shrink",
         type=float,
         default=60.0,
         metavar="S",
-        help="seconds of real time to shrink one counter-example, 0 for none",
+        help="seconds of real time to shrink one counter-example; 0 disables shrinking",
     )
     walks.add_argument(
-        "--ignore", nargs="*", default=(), metavar="RULE", help="rules whose breaks are known, to look past them"
+        "--ignore", nargs="*", default=(), metavar="RULE", help="rules whose known violations are ignored"
     )
     walks.set_defaults(run=walk)
-    searches = commands.add_parser("explore", help="all sequences of steps up to a bound, over three replicas")
+    searches = commands.add_parser("explore", help="try all sequences of steps up to a bound, with three replicas")
     searches.add_argument("--rounds", type=int, default=2)
     searches.add_argument("--deviations", type=int, default=1)
     searches.add_argument("--beginnings", nargs="*", choices=tuple(BEGINNINGS), default=tuple(BEGINNINGS))
-    searches.add_argument("--seconds", type=float, default=1e9, metavar="S", help="of real time for each beginning")
+    searches.add_argument(
+        "--seconds", type=float, default=1e9, metavar="S", help="limit of real time for each starting state"
+    )
     searches.add_argument("--jobs", type=int, default=3)
-    searches.add_argument("--out", type=Path, help="a folder for the counter-examples")
+    searches.add_argument("--out", type=Path, help="folder to which counter-examples are written")
     searches.set_defaults(run=explore)
-    replays = commands.add_parser("replay", help="plays the story in a file")
+    replays = commands.add_parser("replay", help="replay the schedule or the counter-example in a file")
     replays.add_argument("file", type=Path)
     replays.set_defaults(run=replay)
     given = parser.parse_args()
--- a/harness/model_checking/canonical.py
+++ b/harness/model_checking/canonical.py
@@ -1,4 +1,4 @@
-"""A short name for a state: equal for states that differ only in the time, or in which follower is which."""
+"""Canonical digest of a cluster state: equal for states that differ only in absolute time or in follower names."""
 
 from collections import deque
 from datetime import timedelta
@@ -17,12 +17,12 @@
     "_encoded",
     "incarnation",
     "last",
-}  # fields that follow from others, or only count
-LONG_AGO = -3.0  # seconds; what lies further back makes no difference
+}  # fields that are derived from other fields or are mere counters
+LONG_AGO = -3.0  # seconds; older timestamps are clamped, since their exact age has no effect
 
 
 def key_of(cluster: Cluster, swaps=()) -> bytes:
-    """The smallest digest of the state over the given renamings of nodes."""
+    """Returns the smallest digest of the state over itself and each given swap of two node names."""
     texts = [_describe(cluster)]
     for one, other in swaps:
         texts.append(_rename(texts[0], one, other))
@@ -49,13 +49,13 @@
 
 
 class _Walker:
-    """Turns objects into plain data, times into distances from now."""
+    """Converts objects to plain data and timestamps to offsets from the current time."""
 
     def __init__(self, now):
         self.now, self.seen = now, {}
 
     def plain(self, value):
-        """What an object holds, without what only its host knows."""
+        """Returns a value as JSON-compatible data; functions and the objects of SKIPPED classes become None."""
         if value is None or isinstance(value, (bool, int, str)):
             return value
         if isinstance(value, timedelta):
@@ -94,7 +94,7 @@
 
 @cache
 def _fields(kind: type) -> tuple:
-    """What objects of this class hold, without what follows from the rest."""
+    """Returns the field or slot names of a class, without the names in DERIVED."""
     names = getattr(kind, "__struct_fields__", None) or [
         name for base in kind.__mro__ for name in getattr(base, "__slots__", ())
     ]
--- a/harness/model_checking/choices.py
+++ b/harness/model_checking/choices.py
@@ -1,8 +1,8 @@
-"""What may happen at a moment of a walk; a story is a list of these.
+"""The faults and operator requests that a walk can contain; a schedule is a list of them.
 
-`at` counts seconds from the moment at which the first configuration stood. A machine is named by "leader", which is
-whoever leads then, by "placer" or "accountant", which is who holds the lease of that role then, or by its place among
-the machines that exist then ("0", "1", ...), so that a story stays playable when choices are taken out of it.
+`at` is in seconds after the first configuration was acknowledged. A machine selector is resolved when the choice is
+applied: "leader" is the current leader, "placer" or "accountant" the current holder of that role's lease, and "0", "1",
+... an index into the machines that exist at that time. So a schedule stays playable when choices are removed from it.
 """
 
 from typing import Literal
@@ -13,14 +13,14 @@
 
 
 class Choice(msgspec.Struct, frozen=True, tag_field="kind", kw_only=True):
-    """One fault or one order."""
+    """Base class of all faults and operator requests in a schedule."""
 
     at: float
 
 
 class Cut(Choice, frozen=True, kw_only=True, tag="cut"):
-    """The machine is cut off from the others (or those of `towards`), both ways or one; with `holds` what was sent
-    arrives late.
+    """Partitions the machine from the others (or from `towards`) in one or both directions; with `holds` the blocked
+    messages are delivered after the partition heals.
     """
 
     machine: str
@@ -31,7 +31,7 @@
 
 
 class CutOperators(Choice, frozen=True, kw_only=True, tag="cut-operators"):
-    """The operators are cut off from a machine; "out": its answers are lost, "in": their requests are."""
+    """Partitions the operators from a machine: "out" drops its responses, "in" drops the requests to it."""
 
     machine: str
     direction: Direction = "both"
@@ -40,14 +40,14 @@
 
 
 class Freeze(Choice, frozen=True, kw_only=True, tag="freeze"):
-    """The process stands still; what is sent to it lies in its buffers until it wakes."""
+    """Suspends the process; messages sent to it stay in its receive buffers until it resumes."""
 
     machine: str
     seconds: float
 
 
 class Kill(Choice, frozen=True, kw_only=True, tag="kill"):
-    """The process ends and is started again; of unsynced writes the first `writes_kept` stay."""
+    """Kills the process and restarts it; the first `writes_kept` unsynced writes survive."""
 
     machine: str
     seconds: float
@@ -55,7 +55,7 @@
 
 
 class PowerLoss(Choice, frozen=True, kw_only=True, tag="power-loss"):
-    """Several machines (all, if none is named) lose power at once; those of `wiped` lose their disks with it."""
+    """Cuts the power of several machines (all if none is named) at once; the machines in `wiped` also lose their disks."""
 
     machines: tuple[str, ...] = ()
     wiped: tuple[str, ...] = ()
@@ -65,26 +65,26 @@
 
 
 class DiskLoss(Choice, frozen=True, kw_only=True, tag="disk-loss"):
-    """The machine comes back at its address with an empty disk."""
+    """Restarts the machine at the same address with an empty disk."""
 
     machine: str
     seconds: float
 
 
 class Replace(Choice, frozen=True, kw_only=True, tag="replace"):
-    """The machine is gone for good; another comes at a new address."""
+    """Removes the machine permanently and starts another one at a new address."""
 
     machine: str
     seconds: float
 
 
 class Join(Choice, frozen=True, kw_only=True, tag="join"):
-    """A machine more, at a new address."""
+    """Adds a machine at a new address."""
 
 
 class Leave(Choice, frozen=True, kw_only=True, tag="leave"):
-    """A planned end (SIGTERM). With `is_final` the machine is removed, and another started at a new address if no spare
-    one stands ready.
+    """Shuts the machine down gracefully (SIGTERM). With `is_final` it is removed, and a replacement is started at a new
+    address unless a spare machine is already running.
     """
 
     machine: str
@@ -93,8 +93,8 @@
 
 
 class AtAcknowledgement(Choice, frozen=True, kw_only=True, tag="at-acknowledgement"):
-    """`delay` seconds after the next order is acknowledged the core that did it, or all cores, lose power; with `wipes`
-    some disks too.
+    """Cuts the power of the acknowledging core, or of all cores, `delay` seconds after the next order is acknowledged;
+    `wipes` is the number of machines that also lose their disks.
     """
 
     scope: Literal["answering", "all"] = "answering"
@@ -104,7 +104,7 @@
 
 
 class SlowDisk(Choice, frozen=True, kw_only=True, tag="slow-disk"):
-    """Each sync takes `delay` seconds."""
+    """Makes each disk sync of the machine take `delay` seconds."""
 
     machine: str
     delay: float
@@ -112,14 +112,14 @@
 
 
 class StalledDisk(Choice, frozen=True, kw_only=True, tag="stalled-disk"):
-    """No sync ends for a while."""
+    """Lets no disk sync of the machine complete for `seconds`."""
 
     machine: str
     seconds: float
 
 
 class SlowLink(Choice, frozen=True, kw_only=True, tag="slow-link"):
-    """What the machine sends, or with "in" what is sent to it, takes `delay` seconds longer."""
+    """Adds `delay` seconds of latency to messages from the machine ("out"), to it ("in") or both."""
 
     machine: str
     direction: Direction = "both"
@@ -128,7 +128,7 @@
 
 
 class SlowMachine(Choice, frozen=True, kw_only=True, tag="slow-machine"):
-    """Each pulse of the process comes `delay` seconds late."""
+    """Delays each timer tick of the process by `delay` seconds."""
 
     machine: str
     delay: float
@@ -136,15 +136,15 @@
 
 
 class ClockStep(Choice, frozen=True, kw_only=True, tag="clock-step"):
-    """The wall clock of the machine jumps."""
+    """Steps the wall clock of the machine by `jump` seconds."""
 
     machine: str
     jump: float
 
 
 class Order(Choice, frozen=True, kw_only=True, tag="order"):
-    """An operator configures, on the newest version that it knows, `behind` versions older; sent to one target after
-    the other.
+    """Sends a configuration change from an operator to each target in turn; its base is `behind` versions older than the
+    newest version that the operator knows.
     """
 
     operator: int
@@ -157,7 +157,7 @@
 
 
 class Resend(Choice, frozen=True, kw_only=True, tag="resend"):
-    """The `back`-th last order is sent once more."""
+    """Sends an earlier configuration order again: 0 for `back` is the most recent one."""
 
     back: int
     targets: tuple[str, ...]
@@ -165,7 +165,7 @@
 
 
 class Evacuate(Choice, frozen=True, kw_only=True, tag="evacuate"):
-    """The area is evacuated, or restored if the last order evacuated it; an order without an answer is sent again
+    """Evacuates the area, or restores it if the last order evacuated it; an order that is still unanswered is sent again
     instead.
     """
 
@@ -175,14 +175,14 @@
 
 
 class Read(Choice, frozen=True, kw_only=True, tag="read"):
-    """An operator reads the configuration back."""
+    """Reads the configuration, or the state of the servers, from one core."""
 
     target: str
     shows: Literal["catalogue", "servers"] = "catalogue"
 
 
 class Calm(Choice, frozen=True, kw_only=True, tag="calm"):
-    """All faults have ended or are ended now; what must hold soon after that is checked (10 s)."""
+    """Ends all faults and starts the recovery phase (10 s), in which the liveness rules are checked."""
 
 
 AnyChoice = (
--- a/harness/model_checking/cluster.py
+++ b/harness/model_checking/cluster.py
@@ -1,8 +1,7 @@
-"""Replicas of the consensus machine with their disks and links, driven one choice at a time.
+"""Replicas of the consensus state machine with their disks and links, driven one step at a time.
 
-Nothing here runs by itself: a message waits on its link until it is delivered, a write is on its way until it is
-synced, and time stands still between rounds. A cluster is copied by `pickle`, so a search can go on from it in many
-ways.
+Nothing here runs by itself: a message stays queued on its link until it is delivered, a write is pending until it is
+synced, and the clock advances only with a tick. A cluster is copied by `pickle`, so that a search can branch from it.
 """
 
 import pickle
@@ -19,52 +18,52 @@
 from sumachook.transport.codec import read_entry
 
 FOUNDERS = ("a", "b", "c")
-CHANGE = "change"  # the kind of the changes that are proposed here
+CHANGE = "change"  # kind of the changes that the checker proposes
 NO_TIME = timedelta(0)
 DRAWS = {"a": 0.3, "b": 0.5, "c": 0.8, "d": 0.6}
 REPLACE_AFTER = timedelta(seconds=1.6)
-MOST_DELIVERED = 2000  # messages of one round; more means that two replicas answer each other for ever
-LOG_ENTRIES = 6  # a snapshot after so few, so that the search meets some
+MOST_DELIVERED = 2000  # passes over all links in one round; more means that replicas answer each other endlessly
+LOG_ENTRIES = 6  # entries in the log before it is compacted; low, so that the search also covers snapshots
 
 
 class FixedRandom:
-    """In the place of a generator of random numbers: each node draws always the same part of a range, so that equal
-    states stay equal.
+    """Deterministic replacement for a random generator: a node always draws the same fraction of a range, so that equal
+    states have equal successors.
     """
 
     def __init__(self, part: float, start: int):
         self.part, self.start = part, start
 
     def uniform(self, low: float, high: float) -> float:
-        """This node's part of the range."""
+        """Returns the value at this node's fixed fraction of the range."""
         return low + (high - low) * self.part
 
     def getrandbits(self, _bits: int) -> int:
-        """A number of its own for each start."""
+        """Returns a number that is unique to this node and this start of its process."""
         return self.start
 
 
 class Application:
-    """The program around a replica: a counter of what was delivered, with a digest of it."""
+    """Replicated application of the checker: the number of the last delivered entry and a digest of all entries."""
 
     def __init__(self):
         self.number, self.digest = 0, 0
 
     def snapshot(self):
-        """Plain data to come back from."""
+        """Returns the state as plain data for `restore`."""
         return {"number": self.number, "digest": self.digest}
 
     def apply(self, number: int, entry: bytes):
-        """Takes one delivered entry."""
+        """Applies one delivered entry."""
         self.number, self.digest = number, hash_of(self.digest, entry)
 
     def restore(self, snapshot):
-        """Takes a snapshot."""
+        """Replaces the state by that of a snapshot; None stands for the empty state."""
         self.number, self.digest = (snapshot["number"], snapshot["digest"]) if snapshot else (0, 0)
 
 
 class Node:
-    """One machine: its replica while it runs, its program, and its disk."""
+    """One machine: its replica while its process runs, its application and its disk."""
 
     def __init__(self, name: str):
         self.name, self.address = name, f"{name}:1"
@@ -74,12 +73,12 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether a process runs, frozen or not."""
+        """Whether the process runs, suspended or not."""
         return self.replica is not None
 
 
 class BrokenRuleError(Exception):
-    """A rule is broken."""
+    """Raised when a step violates an invariant; `rule` is the short name of the invariant."""
 
     def __init__(self, rule: str, text: str):
         super().__init__(f"{rule}: {text}")
@@ -87,7 +86,7 @@
 
 
 class Cluster:
-    """Three founders and perhaps a newcomer, with the rules that must hold after every step."""
+    """Three founding replicas and at most one joining replica, with the invariants that hold after every step."""
 
     def __init__(self, names=FOUNDERS):
         self.now = timedelta(seconds=100)
@@ -97,23 +96,26 @@
         self.lost_disks = set()
 
     def copy(self) -> "Cluster":
-        """Another one in the same state."""
+        """Returns a deep copy of the cluster."""
         return pickle.loads(self.pack())
 
     def pack(self) -> bytes:
-        """The whole as bytes."""
+        """Serializes the cluster with pickle."""
         return pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
 
-    # nodes ------------------------------------------------------------------------------
+    # processes and disks ------------------------------------------------------------------------------
 
     def add(self, name: str):
-        """One node more, with an empty disk."""
+        """Adds a stopped node with an empty disk."""
         for other in self.nodes:
             self.links[(name, other)], self.links[(other, name)] = deque(), deque()
         self.nodes[name] = Node(name)
 
     def start(self, name: str):
-        """A process begins on what its disk holds."""
+        """Starts the process of a node from the records on its disk.
+
+        Raises BrokenRuleError if the restored application is not at the number of the snapshot.
+        """
         node = self.nodes[name]
         node.incarnation += 1
         node.application, node.is_frozen, node.has_departed = Application(), False, False
@@ -133,11 +135,12 @@
         node.application.restore(snapshot)
         if node.application.number != number:
             raise BrokenRuleError(
-                "snapshot", f"{name} starts from a snapshot of change {number} that is one of {node.application.number}"
+                "snapshot",
+                f"{name} starts from a snapshot of change {number}, but the restored state is at {node.application.number}",
             )
 
     def crash(self, name: str, writes_kept: int = 0):
-        """The process ends; of its writes under way the first ones may survive."""
+        """Ends the process; the first `writes_kept` of its unsynced writes reach the disk, the others are lost."""
         node = self.nodes[name]
         for _ in range(min(writes_kept, len(node.writes))):
             self._write(node)
@@ -148,14 +151,14 @@
                 messages.clear()
 
     def lose_disk(self, name: str):
-        """The disk of a node that is down is lost."""
+        """Erases the disk of a stopped node."""
         self.nodes[name].durable.clear()
         self.lost_disks.add(name)
 
-    # messages ------------------------------------------------------------------------------
+    # messages and effects ------------------------------------------------------------------------------
 
     def handle(self, name: str, event):
-        """Gives one event to a replica and carries out what it wants."""
+        """Passes one event to a replica, executes the resulting effects and checks the invariants."""
         node = self.nodes[name]
         queue = [event]
         while queue:
@@ -193,7 +196,7 @@
         if self.entries.setdefault(number, entry) != entry:
             raise BrokenRuleError(
                 "order",
-                f"{node.name} delivers {entry!r} as change {number}, another delivered {self.entries[number]!r}",
+                f"{node.name} delivers {entry!r} as change {number}, another node delivered {self.entries[number]!r}",
             )
         self.delivered_at.setdefault(number, self.now)
         node.application.apply(number, entry)
@@ -203,10 +206,13 @@
         for place in range(1, number + 1):
             digest = hash_of(digest, self.entries.get(place, b""))
         if (node.application.number, node.application.digest) != (number, digest):
-            raise BrokenRuleError("snapshot", f"{node.name} takes a snapshot of change {number} that is not its state")
+            raise BrokenRuleError(
+                "snapshot",
+                f"{node.name} restores a snapshot of change {number} that differs from the state after that change",
+            )
 
     def deliver_next(self, link) -> bool:
-        """The oldest message of a link arrives; whether there was one that could."""
+        """Delivers the oldest message of a link; returns False if there is none or the receiver is suspended."""
         sender, receiver = link
         node = self.nodes[receiver]
         if not self.links[link] or node.is_frozen:
@@ -217,7 +223,7 @@
         return True
 
     def sync(self, name: str):
-        """The oldest write of a node is durable."""
+        """Makes the oldest pending write of a node durable and reports it to the replica."""
         node = self.nodes[name]
         done = self._write(node)
         if done is not None and node.is_running:
@@ -230,10 +236,10 @@
         node.durable.extend(stored(record) for record in records)
         return done
 
-    # rounds -------------------------------------------------------------------------------
+    # rounds of ticks and deliveries -------------------------------------------------------------------------------
 
     def tick(self, seconds: float):
-        """Time passes, and every process that is awake notices."""
+        """Advances the clock and sends a tick to every process that is not suspended; departed processes end."""
         self.now += timedelta(seconds=seconds)
         for name, node in self.nodes.items():
             if node.is_running and not node.is_frozen:
@@ -244,7 +250,7 @@
                 self.crash(node.name)
 
     def settle(self, is_reversed: bool = False):
-        """Delivers and syncs all that may be, until nothing moves."""
+        """Delivers messages and syncs writes until none is left that may proceed."""
         links = sorted(self.links, reverse=is_reversed)
         for _ in range(MOST_DELIVERED):
             moved = False
@@ -257,10 +263,10 @@
                     moved = True
             if not moved:
                 return
-        raise BrokenRuleError("endless", "the replicas never come to rest")
+        raise BrokenRuleError("endless", "the replicas never stop exchanging messages")
 
     def propose(self, name: str):
-        """Somebody wants one more change."""
+        """Proposes the next change at one node, or counts it as skipped if the node does not run."""
         node = self.nodes[name]
         if not node.is_running or node.is_frozen:
             self.skipped += 1
@@ -269,30 +275,30 @@
             self.handle(name, events.ProposalMade((CHANGE, self.proposals)))
 
     def propose_somewhere(self):
-        """At each node in turn."""
+        """Proposes a change at the nodes in round-robin order."""
         names = sorted(self.nodes)
         self.propose(names[(self.proposals + self.skipped) % len(names)])
 
     def taken_proposals(self):
-        """The numbers of the changes proposed here that were delivered."""
+        """Yields the proposal numbers of all delivered changes."""
         for entry in self.entries.values():
             change = read_entry(entry)
             if change[0] == CHANGE:
                 yield change[1]
 
     def hold(self, name: str, is_out: bool, is_in: bool):
-        """Links of this node deliver nothing until they are released."""
+        """Blocks the outgoing and/or incoming links of a node; their messages stay queued."""
         for link in self.links:
             if (is_out and link[0] == name) or (is_in and link[1] == name):
                 self.held.add(link)
 
     def lose_held(self):
-        """What the held links keep is lost."""
+        """Drops all messages that are queued on blocked links."""
         for link in self.held:
             self.links[link].clear()
 
     def end_trouble(self):
-        """All nodes run, are in touch and sync; those that were asked to end have ended, and are started again."""
+        """Ends all faults: releases links, resumes processes and disks, and restarts stopped and leaving nodes."""
         self.held.clear()
         for name, node in self.nodes.items():
             node.is_frozen = node.is_stalled = False
@@ -301,32 +307,32 @@
             if not node.is_running:
                 self.start(name)
 
-    # rules -----------------------------------------------------------------------------------
+    # invariants -----------------------------------------------------------------------------------
 
     def awake(self) -> list:
-        """The nodes whose process runs and is not frozen."""
+        """Returns the nodes whose process runs and is not suspended."""
         return [node for node in self.nodes.values() if node.is_running and not node.is_frozen]
 
     def leaders(self) -> list:
-        """Those that lead under a lease."""
+        """Returns the nodes that lead with a valid lease."""
         return [node for node in self.awake() if node.replica.role == "leading" and node.replica.is_fresh(self.now)]
 
     def check(self, name: str):
-        """What must hold once this node has taken an event."""
+        """Checks the invariants after this node handled an event; raises BrokenRuleError."""
         node, replica = self.nodes[name], self.nodes[name].replica
         committed = max(self.entries, default=0)
         if replica.role == "leading" and replica.log.end < committed:
             raise BrokenRuleError(
                 "lost",
                 f"{name} leads view {replica.view} with a log up to {replica.log.end}, "
-                f"change {committed} was delivered before",
+                f"but change {committed} has been delivered",
             )
         if replica.is_fresh(self.now):
             self._check_fresh(node, committed)
         leaders = self.leaders()
         if len(leaders) > 1:
             raise BrokenRuleError(
-                "leaders", f"{' and '.join(leader.name for leader in leaders)} lead under a lease at the same time"
+                "leaders", f"{' and '.join(leader.name for leader in leaders)} hold a leader lease at the same time"
             )
 
     def _check_fresh(self, node, committed):
@@ -336,12 +342,15 @@
         if node.application.number < acknowledged:
             raise BrokenRuleError(
                 "stale",
-                f"{node.name} ({node.replica.role}) calls its state fresh at change {node.application.number}, "
-                f"{acknowledged} was delivered more than {bound.total_seconds()} s before",
+                f"{node.name} ({node.replica.role}) reports its state as fresh at change {node.application.number}, "
+                f"but {acknowledged} was delivered more than {bound.total_seconds()} s earlier",
             )
 
     def check_durable(self):
-        """What was delivered lies on the disks of a majority of the voters, those that lost theirs left out."""
+        """Checks that every delivered change is on the disks of a majority of the voters.
+
+        Skipped without a leader and after a disk was lost.
+        """
         committed = max(self.entries, default=0)
         leaders = self.leaders()
         if not leaders or self.lost_disks:
@@ -351,18 +360,18 @@
             if len(holding & voters) < len(voters) // 2 + 1:
                 raise BrokenRuleError(
                     "durable",
-                    f"change {committed} was delivered and lies on the disks of {sorted(holding)} only, of the voters "
+                    f"change {committed} was delivered but is only on the disks of {sorted(holding)}, of the voters "
                     f"{sorted(voters)}",
                 )
 
 
 def stored(record):
-    """A record as it would be read back."""
+    """Returns a record as it would be read back from disk."""
     return as_tuples(msgspec.json.decode(msgspec.json.encode(record)))
 
 
 def as_tuples(value):
-    """Lists as tuples, as the storage gives them."""
+    """Converts lists to tuples recursively, because the storage returns tuples."""
     if isinstance(value, list):
         return tuple(as_tuples(item) for item in value)
     if isinstance(value, dict):
@@ -371,7 +380,7 @@
 
 
 def durable_end(records) -> int:
-    """How far a disk holds the log."""
+    """Returns the number of the last log entry that the records of a disk contain."""
     end = 0
     for record in records:
         if record[0] == "snapshot":
@@ -384,5 +393,5 @@
 
 
 def hash_of(digest: int, entry: bytes) -> int:
-    """A digest that is the same in every process."""
+    """Returns the next digest of a chain; unlike `hash`, it is the same in every process."""
     return int.from_bytes(msgspec.json.encode([digest, entry.decode()]), "big") % (2**61 - 1)
--- a/harness/model_checking/control_deployment.py
+++ b/harness/model_checking/control_deployment.py
@@ -1,4 +1,4 @@
-"""A fleet of cores alone, as the checker drives it."""
+"""Simulated deployment of cores, feed followers and operators for the model checker."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 
 class CoresOnly(DeploymentSpec):
-    """A city without servers and traffic."""
+    """Specification of a deployment with three cores and without servers or traffic."""
 
     __slots__ = ()
 
@@ -30,7 +30,7 @@
 
 
 def core_node(number: int) -> dict:
-    """The machine with this number."""
+    """Returns the node settings of the core with this number."""
     return {
         "name": f"core-{number:02}",
         "role": "core",
@@ -41,7 +41,7 @@
 
 
 class FeedFollower:
-    """Follows the feed as an edge does."""
+    """Follows the change feed as an edge does, and reports its state to the invariant checker."""
 
     __slots__ = ("follower", "addresses_of", "invariants", "node")
 
@@ -50,7 +50,7 @@
         self.follower = Follower(State(), random, now)
 
     def take(self, event, now) -> list:
-        """One event of the fleet."""
+        """Passes a tick or a feed message to the follower and returns the messages to send; ignores other events."""
         if isinstance(event, Tick):
             out = self.follower.take(FollowerTick(self.addresses_of(), 0), now)
         elif isinstance(event, MessageReceived) and isinstance(event.message, FOLLOWER_MESSAGES):
@@ -62,8 +62,8 @@
 
 
 class ControlDeployment(Deployment):
-    """Cores, followers of their feed and operators; everything that a core delivers or vouches for goes to the
-    invariant checker.
+    """Cores, followers of their feed and operators; the invariant checker sees every change that a core delivers and
+    every state that a core reports as fresh.
     """
 
     __slots__ = ("invariants", "names", "operators", "identities", "machine_count", "recorded")
@@ -84,7 +84,7 @@
         self.add(name, "follower", make, ZONES[0], f"{name}:1", f"{name}:door")
 
     def add_node(self, node, **more):
-        """A core whose deliveries are recorded."""
+        """Adds a core that reports its deliveries to the invariant checker."""
         self.names.append(node["name"])
         box = super().add_node(node, **more)
         make = box.make
@@ -96,52 +96,54 @@
 
     def _record(self, box, core):
         core.state.__class__ = self.recorded
-        core.membership.seeds = self._core_addresses()[:MOST_SEEDS]  # the platform names machines that there are
+        core.membership.seeds = self._core_addresses()[
+            :MOST_SEEDS
+        ]  # the platform only names existing machines as seeds
         self.identities[box.name] = core.node
         return core
 
     def add_machine(self) -> str:
-        """A core with an empty disk at an address that nobody had; gives its name."""
+        """Adds a core with an empty disk at an unused address and returns its name."""
         self.machine_count += 1
         return self.add_node(core_node(self.machine_count), founding=[]).name
 
     def wipe(self, name):
-        """The disk of a machine that is down is emptied."""
+        """Erases the disk of a stopped machine."""
         self.boxes[name].disk.wipe()
         self.identities.pop(name, None)
 
     def remove(self, name):
-        """The machine is gone for good."""
+        """Removes the machine permanently."""
         self.vanish(name)
         self.names.remove(name)
         self.identities.pop(name, None)
 
     def inside(self, *but) -> list:
-        """All that a cut of the network can part."""
+        """Returns the names of all cores and followers, which a network partition can separate, except `but`."""
         return [name for name in (*self.names, *FOLLOWER_NAMES) if name not in but]
 
-    # whom there is ---------------------------------------------------------------------
+    # selection of machines ---------------------------------------------------------------------
 
     def cores(self) -> list:
-        """The machines of the cores that run and are not frozen."""
+        """Returns the state machines of the cores whose process runs and is not suspended."""
         boxes = [self.boxes[name] for name in self.names]
         return [box.machine for box in boxes if box.machine is not None and not box.is_frozen]
 
     def leader(self):
-        """The core that leads under a lease, or None."""
+        """Returns the core that leads with a valid lease, or None."""
         return next(
             (core for core in self.cores() if observe.is_leading(core) and observe.is_fresh(core, self.now)), None
         )
 
     def name_of(self, selector: str) -> str:
-        """The machine that a choice names."""
+        """Resolves a machine selector of a choice; falls back to the first machine if no machine matches."""
         if selector.isdecimal():
             return self.names[int(selector) % len(self.names)]
         named = [name for name in self.names if self._is_named(self.boxes[name], selector)]
         return named[0] if named else self.names[0]
 
     def _is_named(self, box, selector):
-        """Whether this machine leads, for "leader", or holds the lease of the role with that name."""
+        """Whether this machine leads (selector "leader") or holds the lease of the role that the selector names."""
         if box.machine is None:
             return False
         return (
@@ -161,7 +163,7 @@
 
 
 def _recorded_state(deployment):
-    """A class of states that report to the invariant checker of this deployment what they take."""
+    """Returns a subclass of State that reports each applied change and restored snapshot to the invariant checker."""
 
     class RecordedState(State):
         __slots__ = ()
--- a/harness/model_checking/explore.py
+++ b/harness/model_checking/explore.py
@@ -1,8 +1,8 @@
-"""Every sequence of steps up to a bound, from states where much can go wrong.
+"""Exhaustive search over all sequences of steps up to a bound, from states in which faults are likely to do harm.
 
-A search goes on in rounds (a tick, then everything arrives). Other steps are deviations; the bound is on the number of
-rounds and on the number of deviations, so that all ways to depart that often from the ordinary course are tried. States
-met before, with no more left to try then, are dropped, and so are those that differ only in which follower is which.
+A fault-free round is a tick followed by the delivery of all messages. Any other step is a deviation. The search bounds
+the number of rounds and the number of deviations and tries every placement of that many deviations. It skips a state
+that was visited before with at least as many rounds and deviations left, and one that differs only in follower names.
 """
 
 import pickle
@@ -16,22 +16,22 @@
 
 TICK, SETTLE = Step(Kind.TICK), Step(Kind.SETTLE)
 ROUNDS_TO_RECOVER = 25  # 5 s
-LAG = 2  # changes that a follower may be behind at any moment
+LAG = 2  # changes by which a follower may lag behind the leader at any time
 SWAPS = {"calm_view": (("b", "c"),), "leader_cut_off": (("b", "c"),)}
 
 
 class CounterExample(msgspec.Struct, frozen=True):
-    """Steps from a beginning that break a rule."""
+    """A starting state and the steps from it that break a rule."""
 
     beginning: str
     steps: tuple[Step, ...]
     rule: str
     text: str
-    is_calm_after: bool = False  # whether it shows only after some seconds of calm
+    is_calm_after: bool = False  # whether the rule breaks only in the recovery phase after the steps
 
 
 class Report(msgspec.Struct):
-    """How far a search came."""
+    """Result of a search: the number of states and recoveries checked, and the counter-example if one was found."""
 
     beginning: str
     states: int = 0
@@ -42,7 +42,7 @@
 
 
 class Search:
-    """Depth-first over all deviations, from one beginning."""
+    """Depth-first search over all deviations from one starting state."""
 
     def __init__(self, beginning: str, rounds: int, deviations: int, seconds: float = 1e9, most_states: int = 10**9):
         self.report = Report(beginning, found=[])
@@ -51,14 +51,14 @@
         self.ends_at = time.monotonic() + seconds
 
     def run(self) -> Report:
-        """Tries all, or until a rule is broken or the time is over."""
+        """Searches until all sequences are tried, a rule is broken, or the limit of time or states is reached."""
         cluster = BEGINNINGS[self.report.beginning]()
         is_settled = not any(cluster.links.values())
         self._visit(cluster, 2 * self.rounds - (0 if is_settled else 1), self.deviations, ())
         return self.report
 
     def _visit(self, cluster: Cluster, left: int, deviations: int, path: tuple):
-        """`left` counts half rounds: an even number of them begins with a tick."""
+        """Visits a state and its successors. `left` counts half rounds: with an even number the next one is a tick."""
         if self.report.found or not self._is_within_bounds():
             return
         if self._was_seen(cluster, left, deviations):
@@ -113,12 +113,15 @@
 
 
 def cluster_of(packed: bytes) -> Cluster:
-    """A cluster from its bytes."""
+    """Deserializes a cluster that `Cluster.pack` returned."""
     return pickle.loads(packed)
 
 
 def recover(cluster: Cluster):
-    """After the end of all trouble a change is taken, and everybody who votes has it."""
+    """Ends all faults and checks that a new change is committed and that the voters catch up within 5 s.
+
+    Raises BrokenRuleError with the first condition that still fails after ROUNDS_TO_RECOVER rounds.
+    """
     cluster.end_trouble()
     first, why = cluster.proposals + 1, None
     for _ in range(ROUNDS_TO_RECOVER):
@@ -133,10 +136,10 @@
     leaders = cluster.leaders()
     if not leaders:
         return BrokenRuleError(
-            "no-view", f"no leader under a lease {ROUNDS_TO_RECOVER * ROUND:.0f} s after the trouble"
+            "no-view", f"no leader with a valid lease {ROUNDS_TO_RECOVER * ROUND:.0f} s after the faults ended"
         )
     if not any(number >= first for number in cluster.taken_proposals()):
-        return BrokenRuleError("no-change", "no change is taken after the trouble")
+        return BrokenRuleError("no-change", "no change was committed after the faults ended")
     leader = leaders[0]
     voters = [cluster.nodes[name] for name in leader.replica.voting_members if cluster.nodes[name].is_running]
     behind = [
@@ -144,11 +147,15 @@
         for node in voters
         if node.application.number < leader.application.number - LAG and not node.replica.state.is_leaving
     ]
-    return BrokenRuleError("catch-up", f"{behind} lag behind change {leader.application.number}") if behind else None
+    return (
+        BrokenRuleError("catch-up", f"{behind} (voters) have not caught up with change {leader.application.number}")
+        if behind
+        else None
+    )
 
 
 def replay(example: CounterExample):
-    """Plays a counter-example again; gives the broken rule, or None if none is broken."""
+    """Replays a counter-example; returns the error of the broken rule, or None if no rule is broken."""
     cluster = BEGINNINGS[example.beginning]()
     try:
         for step in example.steps:
--- a/harness/model_checking/faults.py
+++ b/harness/model_checking/faults.py
@@ -1,4 +1,4 @@
-"""How the faults among the choices are brought about and ended, within what is borne."""
+"""Injects and ends the faults of a schedule, within the number of losses that the cluster must tolerate."""
 
 from datetime import timedelta
 from functools import singledispatchmethod
@@ -7,16 +7,16 @@
 from harness.model_checking.control_deployment import ControlDeployment
 from harness.model_checking.losses import Losses
 
-GRACE = 8.0  # a machine that was told to leave is ended after so long at the latest
-LOOK_AGAIN = 0.02  # seconds between two looks whether it has left
+GRACE = 8.0  # seconds after which a machine that was asked to leave is killed
+LOOK_AGAIN = 0.02  # seconds between two checks whether a leaving machine has stopped
 WHOLE_DISK_DELAY = 0.002
 
 
 class Faults:
-    """Applies faults to a town; one that would take away more than is borne is passed over.
+    """Applies faults to a deployment; skips a fault that would exceed the tolerated number of lost machines.
 
-    `is_wild`: trouble that passes may meet any number of machines at once; disks are lost within what is borne all the
-    same.
+    With `is_wild`, transient faults may hit any number of machines at once, but lost disks stay within the tolerated
+    number.
     """
 
     def __init__(self, deployment: ControlDeployment, losses: Losses, is_wild: bool):
@@ -26,16 +26,16 @@
 
     @property
     def now(self) -> float:
-        """Seconds of virtual time."""
+        """Returns the virtual time in seconds."""
         return self.deployment.now.total_seconds()
 
     @singledispatchmethod
     def apply(self, choice):
-        """Brings one choice about."""
-        raise TypeError(f"{choice!r} is no fault")
+        """Injects one fault; raises TypeError for a choice that is not a fault."""
+        raise TypeError(f"{choice!r} is not a fault")
 
     def end_all(self):
-        """The beginning of a calm: all that passes is over, all that is to come back does."""
+        """Ends all transient faults and restarts all stopped machines, for the start of a recovery phase."""
         deployment = self.deployment
         self.armed = []
         for name in list(self.starting):
@@ -52,13 +52,13 @@
         for name in self.losses.trouble_until:
             self.losses.trouble_until[name] = min(self.losses.trouble_until[name], self.now)
 
-    # what several do -----------------------------------------------------------------
+    # shared helpers -----------------------------------------------------------------
 
     def _later(self, seconds, call, *arguments):
         self.deployment._later(_span(seconds), call, *arguments)
 
     def _begin(self, selector, seconds):
-        """The name of the machine, if it may be in trouble for so long, or None."""
+        """Returns the name of the selected machine and records its fault, or None if one more fault is not tolerated."""
         name = self.deployment.name_of(selector)
         if not self.is_wild and not self.losses.may_lose(self.now, {name}):
             return None
@@ -84,7 +84,7 @@
     # the network -------------------------------------------------------------------------
 
     def _links(self, name, others, direction):
-        """Those between the machine and the others that are not cut yet."""
+        """Returns the links in this direction between the machine and the others that are not yet cut."""
         links = set()
         if direction in ("both", "out"):
             links |= {(name, other) for other in others if other != name}
@@ -199,7 +199,7 @@
         self._lose_power(names, wiped, choice.seconds, choice.writes_kept, choice.stagger)
 
     def _lose_power(self, names, wiped, seconds, writes_kept, stagger):
-        """Disks are lost only within what is borne; others only come to no harm that lasts."""
+        """Cuts the power of the machines; the disks of `wiped` are lost only within the tolerated number of losses."""
         if not self.losses.may_lose(self.now, wiped):
             wiped = set()
         if not self.is_wild and not self.losses.may_lose(self.now, set(names) | wiped):
@@ -229,7 +229,7 @@
             order = [name, *(other for other in names if other != name)]
             self._lose_power(names, set(order[: choice.wipes]), choice.seconds, 0, 0.0)
 
-    # machines that come and go -------------------------------------------------------------------
+    # machines that join and leave -------------------------------------------------------------------
 
     @apply.register
     def _(self, choice: choices.Join):
--- a/harness/model_checking/invariants.py
+++ b/harness/model_checking/invariants.py
@@ -1,5 +1,5 @@
-"""The invariant checker of a walk, apart from the product: what was acknowledged, delivered and vouched for, and which
-rule that breaks.
+"""Invariant checker of a walk: records acknowledged, delivered and reported states independently of the product and
+finds violated rules.
 """
 
 from bisect import bisect_right
@@ -9,12 +9,12 @@
 
 from harness.model_checking import observe
 
-FRESH = timedelta(seconds=0.8)  # a core that vouches for its state lacks nothing that was acknowledged longer ago
+FRESH = timedelta(seconds=0.8)  # a core that reports its state as fresh has every change acknowledged before this time
 NO_TIME = timedelta(0)
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One broken rule."""
+    """One violation of a rule, at a virtual time in seconds."""
 
     at: float
     rule: str
@@ -22,7 +22,7 @@
 
 
 class Floor:
-    """The highest value noted up to a time."""
+    """History of a running maximum: the highest value recorded up to any time."""
 
     __slots__ = ("times", "values")
 
@@ -30,19 +30,19 @@
         self.times, self.values = [], []
 
     def note(self, at, value):
-        """Values that do not rise add nothing."""
+        """Records a value; a value that does not exceed the maximum is ignored."""
         if not self.values or value > self.values[-1]:
             self.times.append(at)
             self.values.append(value)
 
     def at(self, at):
-        """The highest value noted at this time or before, 0 if there is none."""
+        """Returns the highest value recorded at or before this time, 0 if there is none."""
         place = bisect_right(self.times, at)
         return self.values[place - 1] if place else 0
 
 
 class ZoneRegister:
-    """What operators did to one area, one order after the other."""
+    """The evacuate and restore orders for one area, in the order in which they were sent."""
 
     __slots__ = ("orders",)
 
@@ -50,44 +50,45 @@
         self.orders = []
 
     def expected(self, since):
-        """Whether it must be evacuated for all that begins at `since`, or None where that is open."""
+        """Whether a read sent at `since` must show the area as evacuated, or None if the last order may still be pending."""
         if not self.orders or self.orders[-1].acknowledged_at is None or self.orders[-1].acknowledged_at > since:
             return None
         return self.orders[-1].kind == "evacuate"
 
 
 class InvariantChecker:
-    """Judges one walk; `findings` holds what was broken."""
+    """Checks the invariants of one walk; `findings` lists the violations."""
 
     def __init__(self):
         self.findings, self.now, self.ignored = [], timedelta(0), frozenset()
         self.entries, self.states = {}, {}  # number -> change, number -> digest of the state after it
-        self.taken = {}  # version -> key of the order that made it
+        self.taken = {}  # version -> key of the order that created it
         self.taken_at = {}  # key of an order -> when it was first delivered
-        self.versions = Floor()  # what was delivered anywhere
-        self.acknowledged, self.numbers = Floor(), Floor()  # what operators may rely on: versions, log numbers
+        self.versions = Floor()  # versions delivered by any core
+        self.acknowledged, self.numbers = Floor(), Floor()  # acknowledged to operators: versions, log numbers
         self.acknowledged_keys, self.zones = {}, {}
         self.fences, self.followed = {}, {}
-        self.on_acknowledged = lambda attempt: None  # what else is to happen then
+        self.on_acknowledged = lambda attempt: None  # callback for faults that follow an acknowledgement
         self.counts = {"acknowledged": 0, "refused": 0, "unclear": 0, "reads": 0, "delivered": 0}
 
     def fail(self, rule: str, text: str):
-        """Notes a broken rule, once."""
+        """Records a violation, unless the rule is ignored or the same text is already recorded."""
         if rule not in self.ignored and all(finding.text != text for finding in self.findings):
             self.findings.append(Finding(self.now.total_seconds(), rule, text))
 
     def zone(self, name: str) -> ZoneRegister:
-        """What was done to this area."""
+        """Returns the register of orders for this area."""
         return self.zones.setdefault(name, ZoneRegister())
 
-    # what cores deliver -----------------------------------------------------------
+    # changes that cores deliver -----------------------------------------------------------
 
     def delivered(self, core, number, change, state, now):
-        """A core applied change `number`."""
+        """Checks that a core applied the same change `number`, with the same resulting state, as all other cores."""
         self.now = now
         if self.entries.setdefault(number, change) != change:
             self.fail(
-                "order", f"{core} delivers another change {number}: {change!r:.120}, not {self.entries[number]!r:.120}"
+                "order",
+                f"{core} delivers a different change {number}: {change!r:.120}, not {self.entries[number]!r:.120}",
             )
         digest = state_digest(state)
         if number not in self.states:
@@ -95,7 +96,7 @@
             self.counts["delivered"] += 1
             self._note_first(state, now)
         elif self.states[number] != digest:
-            self.fail("order", f"{core} has another state after change {number}")
+            self.fail("order", f"{core} has a state that differs from another core's after change {number}")
 
     def _note_first(self, state, now):
         if state.doc and state.version not in self.taken:
@@ -104,18 +105,26 @@
             self.versions.note(now, state.version)
         for duty, (holder, fence) in state.duties.items():
             if holder and self.fences.setdefault((duty, fence), holder) != holder:
-                self.fail("fence", f"{duty} fence {fence} is given to {holder} and to {self.fences[(duty, fence)]}")
+                self.fail(
+                    "fence",
+                    f"{duty}: fencing token {fence} is assigned to {holder} and to {self.fences[(duty, fence)]}",
+                )
 
     def restored(self, core, number, state, now):
-        """A core took a snapshot."""
+        """Checks that a snapshot restored by a core equals the state after that change."""
         self.now = now
         if number in self.states and self.states[number] != state_digest(state):
-            self.fail("order", f"{core} takes a snapshot of change {number} that is not its state")
+            self.fail(
+                "order", f"{core} restores a snapshot of change {number} that differs from the state after that change"
+            )
 
-    # what cores say of themselves ---------------------------------------------------
+    # states that cores report as fresh, and leases that they hold ---------------------------------------------------
 
     def look(self, core, now):
-        """After each message that a core took."""
+        """Checks a core after each message: a state reported as fresh has all changes acknowledged by then.
+
+        The bound is 0 s for a leader and 0.8 s (FRESH) for a member.
+        """
         self.now = now
         if not observe.is_fresh(core, now):
             return
@@ -125,30 +134,30 @@
         if core.state.version < version or core.state.number < number:
             self.fail(
                 "stale",
-                f"{core.node} ({role}) calls its state fresh at version {core.state.version}, "
-                f"change {core.state.number}; "
-                f"version {version}, change {number} was acknowledged more than {bound.total_seconds()} s before",
+                f"{core.node} ({role}) reports its state as fresh at version {core.state.version}, "
+                f"change {core.state.number}, "
+                f"but version {version}, change {number} was acknowledged more than {bound.total_seconds()} s earlier",
             )
 
     def look_at_all(self, cores, now):
-        """At moments, at all running cores that are not frozen."""
+        """Checks that the running cores include at most one leader with a lease and one holder of each role's lease."""
         self.now = now
         leaders = [core.node for core in cores if observe.is_leading(core) and observe.is_fresh(core, now)]
         if len(leaders) > 1:
-            self.fail("leaders", f"{' and '.join(leaders)} lead under a lease at the same time")
+            self.fail("leaders", f"{' and '.join(leaders)} hold a leader lease at the same time")
         holders = {}
         for core in cores:
             for duty, fence in observe.duties_held(core, now).items():
                 if holders.setdefault(duty, core.node) != core.node:
                     self.fail(
                         "fence",
-                        f"{core.node} and {holders[duty]} hold the lease of {duty} at the same time (fence {fence})",
+                        f"{core.node} and {holders[duty]} hold the lease of {duty} at the same time (fencing token {fence})",
                     )
 
     # operators ------------------------------------------------------------------------
 
     def answered(self, attempt, status, body, now):
-        """An operator got an answer, or none (0)."""
+        """Checks the response to an operator's request; status 0 stands for a failed call."""
         self.now, order = now, attempt.order
         if order.kind == "read":
             self._read_answered(attempt, status, body, now)
@@ -169,11 +178,11 @@
             return
         other = self.acknowledged_keys.setdefault(order.version, order.key)
         if other != order.key:
-            self.fail("two-acknowledged", f"version {order.version} is acknowledged for {order.key} and for {other}")
+            self.fail("two-acknowledged", f"version {order.version} was acknowledged for {order.key} and for {other}")
         if self.taken.get(order.version) != order.key:
             self.fail(
                 "lost",
-                f"{order.key} is acknowledged as version {order.version}, which is {self.taken.get(order.version)}",
+                f"{order.key} was acknowledged as version {order.version}, but that version is {self.taken.get(order.version)}",
             )
         self.acknowledged.note(now, order.version)
 
@@ -183,19 +192,19 @@
         if order.key in self.taken_at and self.taken_at[order.key] <= attempt.sent_at:
             self.fail(
                 "refused-resend",
-                f"{order.key} was taken at {self.taken_at[order.key]}, sent again at {attempt.sent_at}, "
-                f"refused with {status} {body[:150]!r}",
+                f"{order.key} was applied at {self.taken_at[order.key]}, resent at {attempt.sent_at} "
+                f"and refused with {status} {body[:150]!r}",
             )
         elif order.kind == "configure" and order.version > order.base and not order.is_invalid:
             before, after = self.versions.at(attempt.sent_at), self.versions.at(now)
             if before == after == order.base:
                 self.fail(
                     "wrong-refusal",
-                    f"{order.key} on base {order.base}, which was current all the while, "
-                    f"is refused with {status} {body[:150]!r}",
+                    f"{order.key} on base {order.base}, which was the current version throughout, "
+                    f"was refused with {status} {body[:150]!r}",
                 )
         if order.kind != "configure" and self.versions.at(attempt.sent_at):
-            self.fail("wrong-refusal", f"{order.key} ({order.kind}) is refused with {status} {body[:150]!r}")
+            self.fail("wrong-refusal", f"{order.key} ({order.kind}) was refused with {status} {body[:150]!r}")
         if order.acknowledged_at is None and order.refused_at is None:
             order.refused_at = now
 
@@ -213,47 +222,51 @@
             self._judge_servers(attempt, shown)
 
     def _judge_catalogue(self, attempt, shown, now):
-        """The configuration is read back linearizably."""
+        """Checks that reads of the configuration are linearizable."""
         floor, version = self.acknowledged.at(attempt.sent_at), (shown["catalogue"] or {}).get("version", 0)
         number = self.numbers.at(attempt.sent_at)
         if version < floor or shown["number"] < number:
             self.fail(
                 "stale-read",
-                f"a read sent at {attempt.sent_at} shows version {version}, change {shown['number']}; version {floor}, "
-                f"change {number} was acknowledged or read before",
+                f"a read sent at {attempt.sent_at} shows version {version}, change {shown['number']}, but version {floor}, "
+                f"change {number} was acknowledged or read earlier",
             )
         if version and version not in self.taken:
-            self.fail("stale-read", f"a read shows version {version}, which nobody delivered")
+            self.fail("stale-read", f"a read shows version {version}, which no core delivered")
         self.acknowledged.note(now, version)
         self.numbers.note(now, shown["number"])
 
     def _judge_servers(self, attempt, shown):
-        """What else a core shows is its own state, which may be as old as a fresh core's."""
+        """Checks a read of the servers, which a core answers from its own state: it may be up to 0.8 s (FRESH) old."""
         since = attempt.sent_at - FRESH
         if shown["number"] < self.numbers.at(since):
-            self.fail("stale-read", f"at {attempt.sent_at} a core shows change {shown['number']} as fresh")
+            self.fail(
+                "stale-read",
+                f"a read sent at {attempt.sent_at} shows change {shown['number']}, older than FRESH allows",
+            )
         for zone, register in self.zones.items():
             expected = register.expected(since)
             if expected is not None and (zone in shown["evacuated"]) != expected:
                 wanted = "evacuate" if expected else "restore"
                 self.fail(
-                    "overtaken", f"the last order for {zone}, acknowledged before, was to {wanted} it, and it is not so"
+                    "overtaken",
+                    f"the last acknowledged order for {zone} was to {wanted} it, but a later read shows the opposite",
                 )
 
     # followers of the feed ----------------------------------------------------------------
 
     def followed_to(self, follower, number, state, now):
-        """A follower of the feed stands at this number."""
+        """Checks that a feed follower only advances and has the same state after change `number` as the cores."""
         self.now = now
         if number < self.followed.get(follower, 0):
-            self.fail("feed", f"{follower} goes back from {self.followed[follower]} to {number}")
+            self.fail("feed", f"{follower} goes back from change {self.followed[follower]} to {number}")
         self.followed[follower] = number
         if number and self.states.get(number) != state_digest(state):
-            self.fail("feed", f"{follower} has another state after change {number} than the cores")
+            self.fail("feed", f"{follower} has a different state after change {number} than the cores")
 
 
 def state_digest(state) -> bytes:
-    """What must be the same wherever a change was applied."""
+    """Encodes the parts of the state that must be identical on every node that applied the same change."""
     order = state.doc["extra"].get("order") if state.doc else None
     routes = len(state.doc.get("httpRoutes", ())) if state.doc else 0
     return msgspec.json.encode(
--- a/harness/model_checking/losses.py
+++ b/harness/model_checking/losses.py
@@ -1,18 +1,16 @@
-"""How many machines count as lost, by the platform's rule."""
+"""Counts the machines that are lost at a time, by the rule of the platform."""
 
-CATCH_UP = (
-    4.0  # so long after the end of its trouble, or after the start of its successor, a machine still counts as lost
-)
+CATCH_UP = 4.0  # seconds for which a machine still counts as lost after its fault ended or its successor started
 NEVER = -1e9
 
 
 class Losses:
-    """Counts lost machines, so that a walk never takes away more than is borne.
+    """Counts lost machines, so that a walk never exceeds the tolerated number of losses.
 
-    A machine is lost while it is in trouble and CATCH_UP after; one that is gone, until its successor has run for
-    CATCH_UP. One that leaves as planned, when its successor has run for so long, does not count; one that is lost
-    unplanned always does, for CATCH_UP. A walk may put more machines into passing trouble than is borne, but then no
-    disk is lost before that is over and CATCH_UP has passed once more.
+    A machine counts as lost during a fault and for CATCH_UP after it. A removed machine counts as lost until its
+    successor has run for CATCH_UP. A planned leave after the successor has run for that long does not count; an
+    unplanned loss always counts for CATCH_UP. A walk may inject more transient faults than tolerated, but then no disk
+    is lost until they have ended and CATCH_UP has passed again.
     """
 
     def __init__(self, voters: int):
@@ -21,11 +19,11 @@
         self.exceeded_at, self.last_trouble_at = NEVER, NEVER
 
     def add_machine(self, name: str, at: float):
-        """A machine that starts with an empty disk; NEVER for those that were there from the beginning."""
+        """Registers a machine that started with an empty disk at `at`; NEVER stands for a founding machine."""
         self.joined_at[name] = at
 
     def remove_machine(self, name: str, now: float, is_planned: bool):
-        """A machine that is gone for good."""
+        """Records the permanent removal of a machine."""
         if not is_planned:
             self.vanished_at[name] = now
         self.last_trouble_at = max(self.last_trouble_at, now)
@@ -33,20 +31,21 @@
             times.pop(name, None)
 
     def add_trouble(self, name: str, now: float, until: float):
-        """Passing trouble of one machine."""
+        """Records a transient fault of one machine that lasts until `until`."""
         self.last_trouble_at = max(self.last_trouble_at, now)
         self.trouble_until[name] = max(self.trouble_until.get(name, NEVER), until)
 
     def add_disk_loss(self, name: str, now: float, starts_at: float):
-        """A machine that comes back with an empty disk."""
+        """Records the loss of a disk; the machine restarts with an empty disk at `starts_at`."""
         self.add_trouble(name, now, starts_at)
         self.blank_since[name] = starts_at
 
     def lost(self, now: float) -> set:
-        """The machines that count as lost, with a stand-in for each that is gone and whose successor has not had its
-        time.
+        """Returns the machines that count as lost, with a placeholder for each removed machine whose successor has run
+        for less than CATCH_UP.
 
-        Those that must learn everything anew began to do so when no more than is borne was lost, at the earliest.
+        A machine with an empty disk can catch up only while no more than the tolerated number is lost, so its CATCH_UP
+        starts no earlier than that.
         """
         since = self.exceeded_at
         counted = {name for name, at in self.joined_at.items() if at == NEVER or now >= max(at, since) + CATCH_UP}
@@ -59,8 +58,8 @@
         return troubled | learning | vanished | {f"missing-{place}" for place in range(missing)}
 
     def note(self, now: float):
-        """Looks at the count; to be called often. Who had its time while no more was lost than is borne is as good as
-        any other.
+        """Updates the count; to be called at short intervals. A machine that ran for CATCH_UP while no more than the
+        tolerated number was lost counts as caught up.
         """
         since = self.exceeded_at + CATCH_UP
         for name, at in self.joined_at.items():
@@ -73,17 +72,17 @@
             self.exceeded_at = now
 
     def may_lose(self, now: float, names) -> bool:
-        """Whether these may be lost too, and no more than is borne is."""
+        """Whether losing these machines as well stays within the tolerated number."""
         return len(self.lost(now) | set(names)) <= self.borne
 
     def may_leave(self, now: float, name: str) -> bool:
-        """Whether this machine may go for good, as planned."""
+        """Whether this machine may be removed permanently by a planned leave."""
         joined_at = self.joined_at.pop(name)
         is_borne = self.may_lose(now, ())
         self.joined_at[name] = joined_at
         return is_borne
 
     def has_stood(self, now: float, seconds: float) -> bool:
-        """Whether for so long nothing began or ended, and no more was lost than is borne."""
+        """Whether for `seconds` no fault began or ended and no more than the tolerated number was lost."""
         ends = [until for until in self.trouble_until.values() if until <= now]
         return now - max(self.exceeded_at, self.last_trouble_at, *ends, NEVER) >= seconds
--- a/harness/model_checking/observe.py
+++ b/harness/model_checking/observe.py
@@ -1,4 +1,4 @@
-"""What the checker looks at inside a core: the only module of the walks that knows the product's names for it."""
+"""Accessors for the internal state of a core: the only module of the walks that uses the product's attribute names."""
 
 from functools import partial
 
@@ -13,27 +13,27 @@
 
 
 def is_fresh(core, now) -> bool:
-    """Whether this core vouches for its state: it would answer reads from it and serve its feed."""
+    """Whether this core regards its state as fresh, so that it would answer reads from it and serve its feed."""
     return core.consensus.is_fresh(now)
 
 
 def members(core) -> tuple:
-    """The members of the installed view."""
+    """Returns the members of the installed view."""
     return tuple(core.consensus.members)
 
 
 def voting_members(core) -> dict:
-    """The voters, as the core's log has them."""
+    """Returns the voters according to the core's log."""
     return core.consensus.voting_members
 
 
 def voter_groups(core) -> list:
-    """The groups of voters of which each needs a majority: two while one voter replaces another."""
+    """Returns the groups of voters that each need a majority: two while one voter replaces another."""
     return groups_of(core.consensus.state.voting_members)
 
 
 def groups_of(whole) -> list:
-    """The groups of a roster that may be in the middle of a replacement."""
+    """Returns the groups of voters of a roster: two during a replacement, otherwise one."""
     voters = set(whole.addresses)
     if whole.joining is None or whole.leaving is None:
         return [voters]
@@ -41,7 +41,7 @@
 
 
 def duties_held(core, now) -> dict:
-    """Duty -> fence of those whose lease this core holds."""
+    """Returns role -> fencing token for each role whose lease this core holds."""
     return {duty: fence for duty in DUTIES if (fence := core.leases.holds(duty, now))}
 
 
@@ -51,8 +51,8 @@
 
 
 class SnapshotBound:
-    """While it stands, replicas put a snapshot in the place of their logs after so many entries (0: as the product
-    does).
+    """Context manager: replicas created within it compact their logs after `entries` entries (0: the product's
+    default).
     """
 
     def __init__(self, entries: int):
--- a/harness/model_checking/operators.py
+++ b/harness/model_checking/operators.py
@@ -1,4 +1,4 @@
-"""Operators of the model: they order, resend, follow redirects and read back, and note what they were told."""
+"""Simulated operators: they send and resend orders, follow redirects, read back, and report each response."""
 
 from datetime import timedelta
 
@@ -11,11 +11,11 @@
 CONNECT_TIMEOUT = timedelta(seconds=1)
 MOST_REDIRECTS = 2
 TURNS = ("evacuate", "restore")
-PART_OF_A_SECOND = 0.3  # the pause before the next target after an answer that does not settle it
+PART_OF_A_SECOND = 0.3  # seconds before an order goes to its next target after an inconclusive response
 
 
 class Attempt:
-    """One request on its way."""
+    """One HTTP request in flight."""
 
     __slots__ = ("order", "target", "sent_at", "redirects")
 
@@ -24,7 +24,7 @@
 
 
 class Order:
-    """What an operator wants, with the targets it is still to be sent to."""
+    """An order or read of an operator, with the targets to which it has not yet been sent."""
 
     __slots__ = (
         "kind",
@@ -56,12 +56,12 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether its operator knows how it ended."""
+        """Whether the operator knows that the order was acknowledged or refused."""
         return self.acknowledged_at is not None or self.refused_at is not None
 
 
 class Operators:
-    """A machine of the fleet; `judge` is told of each answer."""
+    """State machine of all operators; passes each response to `judge`, the invariant checker."""
 
     __slots__ = ("http_address_of", "judge", "attempts", "orders", "number")
 
@@ -70,13 +70,13 @@
         self.attempts, self.orders, self.number = {}, [], 0
 
     def send(self, order: Order, targets, patience: float, now):
-        """Begins, or goes on, to send the order to these targets, one after the other."""
+        """Schedules the order to be sent to these targets in turn, `patience` seconds apart."""
         order.targets, order.patience, order.next_at = list(targets), patience, now
         if order not in self.orders:
             self.orders.append(order)
 
     def take(self, event, now) -> list:
-        """One event of the fleet; gives the requests to be made."""
+        """Handles one event of the host and returns the requests to send."""
         match event:
             case Tick():
                 return self._send_due(now)
@@ -100,7 +100,10 @@
         return out
 
     def _hang_up(self, order):
-        """An order that a later one takes back is not left at one core when it goes to the next."""
+        """Cancels the pending requests of an evacuate or restore order before it goes to the next core.
+
+        A later order reverses it, so that a request left behind could take effect too late.
+        """
         if order.kind not in TURNS:
             return []
         numbers = [number for number, attempt in self.attempts.items() if attempt.order is order]
@@ -114,7 +117,9 @@
         if order.first_sent_at is None:
             order.first_sent_at = now
         body = b""
-        if order.document is not None:  # each request bears an id of its own, as the platform's do: content decides
+        if (
+            order.document is not None
+        ):  # each request has a unique id, as on the platform; a repeat is recognized by its content
             body = msgspec.json.encode({**order.document, "request": f"{order.key}.{self.number}"})
         method = "GET" if order.document is None else "POST"
         url = f"http://{http_address}{order.path}"
--- a/harness/model_checking/orders.py
+++ b/harness/model_checking/orders.py
@@ -1,4 +1,4 @@
-"""How the orders among the choices are sent."""
+"""Sends the operator requests of a schedule."""
 
 from functools import singledispatchmethod
 
@@ -6,28 +6,28 @@
 from harness.model_checking.control_deployment import ZONES, ControlDeployment
 from harness.model_checking.operators import Order
 
-SILENCE = 1.0  # seconds after which an operator goes on to another core
+SILENCE = 1.0  # seconds without a response after which an operator tries another core
 CONFIGURE = "/operator/configure"
 
 
 class Orders:
-    """Sends what operators want; each operator knows the newest version that it was told of."""
+    """Sends orders and reads for the operators; each operator bases its orders on the newest version that it knows."""
 
     def __init__(self, deployment: ControlDeployment):
         self.deployment, self.sent, self.number = deployment, [], 0
 
     @singledispatchmethod
     def apply(self, choice):
-        """Brings one choice about."""
-        raise TypeError(f"{choice!r} is no order")
+        """Sends the request of one choice; raises TypeError for a choice that is not a request."""
+        raise TypeError(f"{choice!r} is not an order")
 
     def first(self) -> Order:
-        """The first configuration, whole."""
+        """Sends the initial configuration as a whole document."""
         whole = {"name": "model", "areas": list(ZONES), "services": [{"name": "service"}]}
         return self._configure(whole, 0, 1, ("0", "1", "2") * 3, 1.0, 0, False, is_part=False)
 
     def probe(self) -> Order:
-        """A change on the newest version that was delivered anywhere, tried at every machine in turn."""
+        """Sends a change based on the newest version delivered by any core, to every machine in turn."""
         version = self.deployment.invariants.versions.at(self.deployment.now)
         return self._configure({}, version, version + 1, ("0", "1", "2", "3", "4") * 6, 0.5, 0, False)
 
@@ -63,8 +63,8 @@
         return order
 
     def _known(self, operator):
-        """What this operator knows: two of three hear of everything that is acknowledged, the third of every third
-        version only.
+        """Returns the newest version that this operator knows: two of three operators know every acknowledged version,
+        the third only every third one.
         """
         version = self.deployment.invariants.acknowledged.at(self.deployment.now)
         return version - version % 3 if operator % 3 == 2 and version >= 3 else version
@@ -93,7 +93,7 @@
         if last is not None and last.acknowledged_at is None:
             order = last
             if order.next_at is not None and self.deployment.now < order.next_at:
-                return  # it is on its way
+                return  # a request is still pending
         else:
             kind = "restore" if last is not None and last.kind == "evacuate" else "evacuate"
             order = Order(kind, f"{kind}-{zone}-{len(register.orders)}", f"/operator/{kind}", {"area": zone})
--- a/harness/model_checking/shrink.py
+++ b/harness/model_checking/shrink.py
@@ -1,4 +1,4 @@
-"""Makes a counter-example small: delta debugging over the list of choices."""
+"""Minimizes a counter-example by delta debugging over its list of choices."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 class Shrinker:
-    """Takes choices out of a story as long as it still breaks the same rule."""
+    """Removes choices from a schedule as long as it still breaks the same rule."""
 
     def __init__(self, story: Story, rule: str, most_seconds: float = MOST_SECONDS, ignored=()):
         self.story, self.rule = msgspec.structs.replace(story, rule=rule), rule
@@ -21,7 +21,7 @@
         return time.monotonic() < self.ends_at
 
     def run(self) -> Story:
-        """The smallest story that was found."""
+        """Returns the smallest schedule found within the time limit."""
         self._cut_the_end()
         parts = 2
         while parts <= 2 * len(self.story.choices) and self._has_time:
@@ -35,19 +35,19 @@
         return self.story
 
     def _breaks(self, story) -> float | None:
-        """When it breaks the rule, or None if it does not."""
+        """Returns the second at which the schedule breaks the rule, or None if it does not."""
         outcome = play(story, self.ignored)
         return outcome.seconds if any(finding.rule == self.rule for finding in outcome.findings) else None
 
     def _cut_the_end(self):
-        """What lies after the break goes."""
+        """Removes all choices after the violation and shortens the schedule to its time."""
         seconds = self._breaks(self.story)
         if seconds is not None:
             kept = tuple(choice for choice in self.story.choices if choice.at <= seconds)
             self.story = msgspec.structs.replace(self.story, choices=kept, seconds=round(seconds + 0.1, 3))
 
     def _take_out_one_of(self, parts) -> bool:
-        """Whether the story breaks without one of so many parts of its choices."""
+        """Removes the first of `parts` equal parts whose removal keeps the violation; returns False if there is none."""
         choices = self.story.choices
         size = -(-len(choices) // parts)
         for first in range(0, len(choices), size):
--- a/harness/model_checking/steps.py
+++ b/harness/model_checking/steps.py
@@ -1,4 +1,4 @@
-"""What may happen between two rounds of a cluster, and what the search begins with."""
+"""Steps of the exhaustive search and its starting states."""
 
 from enum import StrEnum
 
@@ -8,14 +8,14 @@
 from sumachook.consensus import events
 
 ROUND = 0.2  # seconds between two ticks
-PAUSE = 0.9  # seconds in which no process runs
+PAUSE = 0.9  # seconds during which no process runs
 STEPS_TO_BEGIN = 12
 ROUNDS_OF_AN_ELECTION = 10
-UNSHARED_CHANGES = 5  # more than the view that follows takes before one of its members falls
+UNSHARED_CHANGES = 5  # more changes than the next view commits before one of its members crashes
 
 
 class Kind(StrEnum):
-    """What a step does."""
+    """Kinds of steps; the values are the names in recorded counter-examples."""
 
     TICK = "tick"
     SETTLE = "settle"
@@ -40,7 +40,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One step; `node` and `other` as far as its kind has them."""
+    """One step; `node` and `other` are empty if its kind does not use them."""
 
     kind: Kind
     node: str = ""
@@ -48,7 +48,7 @@
 
 
 def enabled(cluster: Cluster) -> list:
-    """The steps, other than the next round, that change something now."""
+    """Returns the deviations, that is all steps outside of a fault-free round, that have an effect in this state."""
     steps = [Step(Kind.PAUSE)]
     for (sender, receiver), messages in cluster.links.items():
         if messages and not cluster.nodes[receiver].is_frozen:
@@ -79,7 +79,7 @@
 
 
 def take(cluster: Cluster, step: Step):
-    """Carries one step out; raises `BrokenRuleError` where a rule is broken."""
+    """Executes one step; raises `BrokenRuleError` if it breaks a rule."""
     match step.kind:
         case Kind.TICK:
             cluster.tick(ROUND)
@@ -104,7 +104,7 @@
 
 
 def _take_at_node(cluster: Cluster, step: Step):
-    """Carries out a step that concerns one node alone."""
+    """Executes a step that affects a single node."""
     node = cluster.nodes[step.node]
     match step.kind:
         case Kind.SYNC:
@@ -121,11 +121,11 @@
             cluster.handle(step.node, events.LeaveRequested())
 
 
-# where a search begins ------------------------------------------------------------------------
+# starting states of a search ------------------------------------------------------------------------
 
 
 def calm_view() -> Cluster:
-    """Three replicas in a view that takes changes; "a" leads."""
+    """Three replicas in a stable view that commits changes; "a" leads."""
     cluster = Cluster()
     for name in FOUNDERS:
         cluster.start(name)
@@ -134,14 +134,14 @@
 
 
 def go_on(cluster: Cluster, rounds: int):
-    """So many rounds without trouble."""
+    """Runs `rounds` rounds, each a tick and the delivery of all messages."""
     for _ in range(rounds):
         take(cluster, Step(Kind.TICK))
         take(cluster, Step(Kind.SETTLE))
 
 
 def leader_cut_off() -> Cluster:
-    """The leader was cut off 0.4 s ago, with late delivery."""
+    """The leader has been partitioned for 0.4 s; messages on its links stay queued."""
     cluster = calm_view()
     take(cluster, Step(Kind.ISOLATE, "a"))
     go_on(cluster, 2)
@@ -149,7 +149,7 @@
 
 
 def view_change_begun() -> Cluster:
-    """The leader is down, and somebody stands for leader."""
+    """The leader has crashed, and a candidate prepares the next view."""
     cluster = calm_view()
     take(cluster, Step(Kind.CRASH, "a"))
     for _ in range(20):
@@ -161,7 +161,7 @@
 
 
 def newcomer_caught_up() -> Cluster:
-    """A fourth replica knows everything, and a voter has been away for nearly as long as it may."""
+    """A fourth replica has caught up, and a voter has been down for almost the time after which it is replaced."""
     cluster = calm_view()
     cluster.add("d")
     cluster.start("d")
@@ -171,7 +171,7 @@
 
 
 def voting_members_step_begun() -> Cluster:
-    """As before, and the roster is being changed."""
+    """As `newcomer_caught_up`, with the replacement of the missing voter in progress."""
     cluster = newcomer_caught_up()
     for _ in range(10):
         take(cluster, Step(Kind.TICK))
@@ -184,7 +184,7 @@
 
 
 def leader_leaving() -> Cluster:
-    """The leader was told to end, and a newcomer stands ready."""
+    """The leader was asked to leave, and a fourth replica has caught up."""
     cluster = calm_view()
     cluster.add("d")
     cluster.start("d")
@@ -194,7 +194,7 @@
 
 
 def followers_disks_stalled() -> Cluster:
-    """The disks of both followers have stood still for a moment, with a change under way."""
+    """The disks of both followers have stalled for one round, with a change in progress."""
     cluster = calm_view()
     take(cluster, Step(Kind.STALL, "b"))
     take(cluster, Step(Kind.STALL, "c"))
@@ -203,7 +203,7 @@
 
 
 def followers_started_anew_behind_a_cut() -> Cluster:
-    """The leader is cut off, and both others were started anew right then; its lease still runs."""
+    """The leader is partitioned and both followers have just restarted, while its lease is still valid."""
     cluster = calm_view()
     take(cluster, Step(Kind.ISOLATE, "a"))
     for name in ("b", "c"):
@@ -213,8 +213,8 @@
 
 
 def member_back_from_a_long_cut() -> Cluster:
-    """A member was cut off for 1.2 s with late delivery; the others have gone on without it, and its links deliver
-    again.
+    """A member was partitioned for 1.2 s with its messages queued; the others continued without it, and its links
+    deliver again.
     """
     cluster = calm_view()
     take(cluster, Step(Kind.ISOLATE, "c"))
@@ -224,8 +224,8 @@
 
 
 def member_back_after_the_others_went_on_without_it() -> Cluster:
-    """As before, but the cut was long enough for changes without the member that are older than what a fresh member may
-    lack; the heartbeats of the leader's lease from before the cut arrive now.
+    """As `member_back_from_a_long_cut`, but the partition lasted longer than the time that a fresh member may lag, and
+    changes were committed without the member; heartbeats from before the partition arrive only now.
     """
     cluster = calm_view()
     take(cluster, Step(Kind.ISOLATE, "c"))
@@ -235,7 +235,7 @@
 
 
 def old_leader_with_a_longer_log() -> Cluster:
-    """An old leader comes back with changes that nobody else has; of the view that followed only one member is left."""
+    """A former leader restarts with entries that no other replica has; one member of the next view is still running."""
     cluster = calm_view()
     take(cluster, Step(Kind.ISOLATE, "a"))
     for _ in range(UNSHARED_CHANGES):
--- a/harness/model_checking/story.py
+++ b/harness/model_checking/story.py
@@ -1,4 +1,4 @@
-"""A story: how a walk began and what happened in it; it can be saved and replayed, always with the same end."""
+"""Schedules of walks: the seed and the timed faults and requests; saving, loading and deterministic replay."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -13,18 +13,23 @@
 from harness.model_checking.losses import NEVER, Losses
 from harness.model_checking.orders import Orders
 
-STEP = 0.05  # seconds between two looks at all machines
-VIEW_WITHIN = 6.0  # so long after the last that began or ended, with no more lost than is borne, a leader stands
-CHANGE_WITHIN = 5.0  # so long after the beginning of a calm a change is taken
-WHOLE_WITHIN = 8.0  # and so long after it every seat is held by a machine that has caught up
-CALM = 10.0
-BETWEEN_VIEWS = timedelta(seconds=1.5)  # a planned change of the view takes no longer
+STEP = 0.05  # seconds between two checks of all machines
+VIEW_WITHIN = 6.0  # seconds within which a leader is elected after the last fault, if no more than tolerated is lost
+CHANGE_WITHIN = 5.0  # seconds from the start of the recovery phase within which a change is committed
+WHOLE_WITHIN = 8.0  # seconds from the start of the recovery phase until all voters run and have caught up
+CALM = 10.0  # seconds of a recovery phase
+BETWEEN_VIEWS = timedelta(seconds=1.5)  # longest planned view change
 LAG = timedelta(seconds=1)
 ORDERS = (Order, Resend, Evacuate, Read)
 
 
 class Story(msgspec.Struct, frozen=True, kw_only=True):
-    """`seed` draws latencies and the cores' own jitter, `entries` bounds the logs, 0 for the product's bound."""
+    """The schedule of one walk: the timed choices and the parameters of the deployment.
+
+    `seed` determines the latencies and the cores' jitter, `entries` the log length that triggers a snapshot (0: the
+    product's default). `is_wild` permits more transient faults at once than are tolerated. `rule` is the rule that the
+    schedule broke when it was recorded.
+    """
 
     seed: int
     voters: int = msgspec.field(default=3, name="seats")
@@ -36,7 +41,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a story came to."""
+    """Result of a walk: violations, counters of events and the length in virtual seconds."""
 
     findings: tuple[Finding, ...]
     counts: dict
@@ -44,25 +49,25 @@
 
 
 def load(path) -> Story:
-    """The story in a file."""
+    """Reads a schedule from a JSON file."""
     return msgspec.json.decode(Path(path).read_bytes(), type=Story)
 
 
 def save(story: Story, path):
-    """Writes the story, one choice a line."""
+    """Writes the schedule as JSON with one choice per line."""
     head = msgspec.json.encode(msgspec.structs.replace(story, choices=())).decode().removesuffix("[]}")
     lines = ",\n ".join(msgspec.json.encode(choice).decode() for choice in story.choices)
     Path(path).write_text(f"{head}[\n {lines}\n]}}\n")
 
 
 def play(story: Story, ignored=()) -> Outcome:
-    """Plays a story until a rule is broken that is not ignored, or to its end."""
+    """Plays a schedule to its end or until a rule that is not ignored is broken."""
     with observe.SnapshotBound(story.entries):
         return _Player(story, ignored).run()
 
 
 class _Player:
-    """One story being played."""
+    """Plays one schedule against a deployment and checks the rules every STEP seconds."""
 
     def __init__(self, story, ignored=()):
         self.story, self.deployment = story, ControlDeployment(story.seed, story.voters)
@@ -73,7 +78,7 @@
         self.leader_numbers, self.led_at = [], timedelta(0)
 
     def run(self):
-        """Sets up, plays, judges."""
+        """Sets up the deployment, plays the choices and returns the outcome."""
         start = self._set_up()
         for choice in self.story.choices:
             self.deployment._later(timedelta(seconds=choice.at), self._apply, choice)
@@ -92,7 +97,7 @@
             self.losses.add_machine(name, NEVER)
         first = self.orders.first()
         is_whole = deployment.run_until(lambda: first.acknowledged_at is not None and self._is_whole(), 30)
-        assert is_whole, "no whole view at the beginning"
+        assert is_whole, "no view with all voters within 30 s of the start"
         deployment.run(1)
         return deployment.now
 
@@ -111,7 +116,7 @@
         elif self.calm_since is None:
             self.faults.apply(choice)
 
-    # looks ----------------------------------------------------------------------------
+    # periodic checks ----------------------------------------------------------------------------
 
     def _look(self):
         now = self.deployment.now
@@ -123,12 +128,12 @@
         elif self.losses.has_stood(now.total_seconds(), VIEW_WITHIN) and now - self.led_at > BETWEEN_VIEWS:
             self.deployment.invariants.fail(
                 "no-view",
-                f"no leader under a lease since {self.led_at}, {VIEW_WITHIN} s after the last trouble that began or "
+                f"no leader with a valid lease since {self.led_at}, {VIEW_WITHIN} s after the last fault began or "
                 "ended",
             )
 
     def _look_at_voting_members(self):
-        """A majority of the voters still has its disk."""
+        """Checks that a majority of each group of voters still has its disk."""
         leader = self.deployment.leader()
         if leader is None:
             return
@@ -139,7 +144,7 @@
             gone = voters - alive
             if len(voters) - len(gone) < len(voters) // 2 + 1:
                 self.deployment.invariants.fail(
-                    "seats", f"of the voters {sorted(voters)} the disks of {sorted(gone)} are gone"
+                    "seats", f"of the voters {sorted(voters)}, {sorted(gone)} have lost their disks"
                 )
 
     def _begin_calm(self):
@@ -152,26 +157,30 @@
             self.probe = self.orders.probe()
         self.is_taken = self.is_taken or self.probe.acknowledged_at is not None
         if calm_for >= CHANGE_WITHIN and not self.is_taken:
-            self.deployment.invariants.fail("no-change", f"no change is taken within {CHANGE_WITHIN} s of calm")
-        reason = self._why_not_whole() if calm_for >= WHOLE_WITHIN else "too early to tell"
+            self.deployment.invariants.fail(
+                "no-change", f"no change was committed within {CHANGE_WITHIN} s of the recovery phase"
+            )
+        reason = self._why_not_whole() if calm_for >= WHOLE_WITHIN else "checked too early"
         self.is_whole = self.is_whole or not reason
         if calm_for >= CALM:
             self.calm_since = None
             if not self.is_whole:
-                self.deployment.invariants.fail("catch-up", f"from {WHOLE_WITHIN} s to {CALM} s of calm: {reason}")
+                self.deployment.invariants.fail(
+                    "catch-up", f"not recovered from {WHOLE_WITHIN} s to {CALM} s of the recovery phase: {reason}"
+                )
 
     def _why_not_whole(self) -> str:
-        """What is missing for every seat to be held by a machine in touch that has caught up, or nothing."""
+        """Returns why the cluster has not recovered, or "" if all voters are members of the view and have caught up."""
         leader = self.deployment.leader()
         if leader is None:
-            return "no leader under a lease"
+            return "no leader with a valid lease"
         number = max((number for at, number in self.leader_numbers if at <= self.deployment.now - LAG), default=0)
         late = [follower for follower, at in self.deployment.invariants.followed.items() if at < number]
         if late:
-            return f"{late} follow the feed behind change {number}"
+            return f"{late} (feed followers) have not caught up with change {number}"
         voters, members = sorted(observe.voting_members(leader)), sorted(observe.members(leader))
         if len(voters) != self.story.voters or members != voters:
-            return f"voters {voters}, view {members}"
+            return f"the voters are {voters}, the members of the view {members}"
         running = {core.node: core.state.number for core in self.deployment.cores()}
         behind = {name: running.get(name, "not running") for name in voters if running.get(name, -1) < number}
-        return f"behind change {number}: {behind}" if behind else ""
+        return f"voters behind change {number}: {behind}" if behind else ""
--- a/harness/model_checking/walk.py
+++ b/harness/model_checking/walk.py
@@ -1,24 +1,24 @@
-"""Long seeded random walks: rare faults are chosen as often as common ones, and right at the ends of other faults."""
+"""Long seeded random walks. Rare faults are drawn as often as common ones, and often at the end of another fault."""
 
 from random import Random
 
 from harness.model_checking import choices
 from harness.model_checking.story import CALM, Story
 
-TROUBLE = (12.0, 30.0)  # seconds of an episode before its calm
-AT_THE_EDGE = 4.0  # a machine counts as lost until so long after its trouble
+TROUBLE = (12.0, 30.0)  # shortest and longest episode of faults in seconds, before its recovery phase
+AT_THE_EDGE = 4.0  # seconds for which a machine still counts as lost after its fault
 SELECTORS = ("leader", "leader", "leader", "0", "1", "2", "3", "4")
 DURATIONS = (0.1, 0.3, 0.5, 0.7, 0.9, 1.1, 1.4, 1.6, 2.0, 3.0, 5.0)
 ROLES = ("placer", "accountant")
 LEASE_DURATIONS = (0.5, 1.1, 1.6, 2.0, 3.0, 5.0)
-LATE_ARRIVALS = (0.1, 0.2, 0.3, 0.5)  # seconds later than else
-READ_INTERVAL = 0.08  # seconds between two reads at a machine that hears late
+LATE_ARRIVALS = (0.1, 0.2, 0.3, 0.5)  # seconds of extra latency
+READ_INTERVAL = 0.08  # seconds between two reads from a machine with delayed incoming messages
 WRITES_KEPT = (0, 0, 1, 2, 5)
 PADDINGS = (0, 0, 0, 0, 200, 20_000)
 
 
 def draw_story(seed: int, voters: int, seconds: float) -> Story:
-    """A walk of about so many seconds; one seed always gives the same."""
+    """Draws a walk of at least `seconds` seconds; the same seed always yields the same schedule."""
     random = Random(seed * 10 + voters)
     is_wild, entries = random.random() < 0.6, random.choice((0, 12, 40))
     drawn, at = [], 0.0
@@ -39,25 +39,26 @@
 
 
 def draw_lease_story(seed: int, voters: int, seconds: float) -> Story:
-    """A walk whose faults meet the machines that hold the leases of roles, and often only their links to the leader.
+    """Draws a walk whose faults hit the holders of role leases, often only their links to the leader.
 
-    While such a link is cut the holder's renewals do not reach the leader, which vacates the role, but the other voters
-    still answer them: only what each voter remembers keeps a successor from holding the lease beside it.
+    While such a link is cut, the leader does not receive the holder's renewals and vacates the role, but the other
+    voters still acknowledge them. Only the voters' record of these acknowledgements prevents a successor from holding
+    the lease at the same time.
     """
     return _draw_story_of(_LeaseEpisode, Random(f"leases {seed} {voters}"), seed, voters, seconds)
 
 
 def draw_read_story(seed: int, voters: int, seconds: float) -> Story:
-    """A walk in which one machine after the other hears late, while operators read the configuration there.
+    """Draws a walk that delays the incoming messages of one machine after the other, while operators read from it.
 
-    Such a machine acknowledges entries and is in touch, but learns late that they are committed. Only the question to
-    the leader keeps it from showing less than what an operator was told before the read.
+    Such a machine acknowledges entries and stays connected, but learns late that they are committed. Only the read
+    index request to the leader prevents a read that is older than what was acknowledged before it.
     """
     return _draw_story_of(_ReadEpisode, Random(f"reads {seed} {voters}"), seed, voters, seconds)
 
 
 def _draw_story_of(episode: type["_Episode"], random: Random, seed: int, voters: int, seconds: float) -> Story:
-    """A walk of such episodes, each with its calm."""
+    """Draws a walk of these episodes, each followed by a recovery phase."""
     drawn, at = [], 0.0
     while at < seconds:
         length = random.uniform(*TROUBLE)
@@ -69,13 +70,13 @@
 
 
 class _Episode:
-    """The choices of one stretch of trouble."""
+    """Draws the choices of one episode of faults."""
 
     def __init__(self, random: Random, start: float, end: float):
         self.random, self.start, self.end, self.drawn = random, start, end, []
 
     def draw_all(self) -> list:
-        """Faults of one manner, with orders and reads all the while."""
+        """Draws faults, overlapping or one after the other, and operator requests for the whole episode."""
         self.random.choice((self._dense, self._dense, self._at_the_edge))()
         self._orders()
         return [choice for choice in self.drawn if choice.at < self.end]
@@ -91,7 +92,7 @@
             at = max(at + 0.3, self.random.choice((at, end)) + self.random.uniform(0.1, 2.5))
 
     def _at_the_edge(self):
-        """One loss after the other, as soon as it is allowed."""
+        """Draws losses in succession, each as soon as the previous one no longer counts."""
         at = self.start
         while at < self.end:
             if self.random.random() < 0.5:
@@ -102,7 +103,7 @@
                 end = max(end, self._loss(at + self.random.uniform(0, 1)))
             at = end + AT_THE_EDGE + self.random.choice((0.01, 0.1, 0.5))
 
-    # one fault each: at which second it ends ------------------------------------------
+    # each method draws one fault and returns the second at which it ends ------------------------------------------
 
     def _add(self, make, at, seconds=0.0, **more):
         fields = {"seconds": seconds} if "seconds" in make.__struct_fields__ else {}
@@ -188,7 +189,7 @@
         )
 
     def _loss(self, at):
-        """A disk or a machine, planned or not."""
+        """Draws the loss of a disk, or the planned or unplanned loss of a machine."""
         kind = self.random.choice((choices.DiskLoss, choices.Replace, choices.Leave, choices.Leave))
         more = {"is_final": True} if kind is choices.Leave else {}
         return self._add(kind, at, self._seconds(), machine=self._machine(), **more)
@@ -238,7 +239,7 @@
             wipes=self.random.choice((0, 0, 1)),
         )
 
-    # operators -----------------------------------------------------------------------------
+    # operator requests -----------------------------------------------------------------------------
 
     def _targets(self):
         return tuple(self.random.choice(("0", "1", "2", "3", "4")) for _ in range(self.random.choice((1, 2, 4))))
@@ -279,10 +280,10 @@
 
 
 class _LeaseEpisode(_Episode):
-    """Trouble of the holders of leases, one holder after the other."""
+    """Draws faults of the holders of role leases, one after the other."""
 
     def draw_all(self) -> list:
-        """Faults of holders, with orders and reads all the while."""
+        """Draws faults of lease holders and operator requests for the whole episode."""
         at = self.start
         while at < self.end:
             at = self._lease_fault(at) + self.random.uniform(0.2, 2.0)
@@ -311,10 +312,10 @@
 
 
 class _ReadEpisode(_Episode):
-    """Machines that hear late, one after the other, and reads there."""
+    """Draws delayed incoming messages for one machine after the other, with reads from it."""
 
     def draw_all(self) -> list:
-        """Slow links to one machine at a time, with orders all the while and reads at that machine."""
+        """Draws slow links to one machine at a time, reads from that machine and orders for the whole episode."""
         at = self.start
         while at < self.end:
             at = self._hear_late(at) + self.random.uniform(0.2, 1.0)
