--- a/harness/model_checking/__main__.py
+++ b/harness/model_checking/__main__.py
@@ -118,7 +118,7 @@
 
 
 def replay(given) -> int:
-    """Replays a file that holds a schedule of a walk or the steps of a search; returns exit code 1 if it breaks a rule."""
+    """Replays the schedule of a walk or the steps of a search from a file; returns exit code 1 if a rule is broken."""
     if "beginning" in msgspec.json.decode(given.file.read_bytes()):
         return _replay_steps(msgspec.json.decode(given.file.read_bytes(), type=CounterExample))
     story = load(given.file)
--- a/harness/model_checking/choices.py
+++ b/harness/model_checking/choices.py
@@ -55,7 +55,7 @@
 
 
 class PowerLoss(Choice, frozen=True, kw_only=True, tag="power-loss"):
-    """Cuts the power of several machines (all if none is named) at once; the machines in `wiped` also lose their disks."""
+    """Cuts the power of several machines (all if none is named) at once; those in `wiped` also lose their disks."""
 
     machines: tuple[str, ...] = ()
     wiped: tuple[str, ...] = ()
@@ -143,8 +143,8 @@
 
 
 class Order(Choice, frozen=True, kw_only=True, tag="order"):
-    """Sends a configuration change from an operator to each target in turn; its base is `behind` versions older than the
-    newest version that the operator knows.
+    """Sends a configuration change from an operator to each target in turn; its base is `behind` versions older than
+    the newest version that the operator knows.
     """
 
     operator: int
@@ -165,8 +165,8 @@
 
 
 class Evacuate(Choice, frozen=True, kw_only=True, tag="evacuate"):
-    """Evacuates the area, or restores it if the last order evacuated it; an order that is still unanswered is sent again
-    instead.
+    """Evacuates the area, or restores it if the last order evacuated it; an order that is still unanswered is sent
+    again instead.
     """
 
     zone: int = msgspec.field(name="area")
--- a/harness/model_checking/cluster.py
+++ b/harness/model_checking/cluster.py
@@ -136,7 +136,7 @@
         if node.application.number != number:
             raise BrokenRuleError(
                 "snapshot",
-                f"{name} starts from a snapshot of change {number}, but the restored state is at {node.application.number}",
+                f"{name} starts from a snapshot of change {number}, but its state is at {node.application.number}",
             )
 
     def crash(self, name: str, writes_kept: int = 0):
--- a/harness/model_checking/faults.py
+++ b/harness/model_checking/faults.py
@@ -58,7 +58,7 @@
         self.deployment._later(_span(seconds), call, *arguments)
 
     def _begin(self, selector, seconds):
-        """Returns the name of the selected machine and records its fault, or None if one more fault is not tolerated."""
+        """Returns the name of the selected machine and records its fault, or None if the fault is not tolerated."""
         name = self.deployment.name_of(selector)
         if not self.is_wild and not self.losses.may_lose(self.now, {name}):
             return None
--- a/harness/model_checking/invariants.py
+++ b/harness/model_checking/invariants.py
@@ -50,7 +50,7 @@
         self.orders = []
 
     def expected(self, since):
-        """Whether a read sent at `since` must show the area as evacuated, or None if the last order may still be pending."""
+        """Whether a read sent at `since` must show the area as evacuated; None if the last order may be pending."""
         if not self.orders or self.orders[-1].acknowledged_at is None or self.orders[-1].acknowledged_at > since:
             return None
         return self.orders[-1].kind == "evacuate"
@@ -151,7 +151,8 @@
                 if holders.setdefault(duty, core.node) != core.node:
                     self.fail(
                         "fence",
-                        f"{core.node} and {holders[duty]} hold the lease of {duty} at the same time (fencing token {fence})",
+                        f"{core.node} and {holders[duty]} hold the lease of {duty} at the same time "
+                        f"(fencing token {fence})",
                     )
 
     # operators ------------------------------------------------------------------------
@@ -182,7 +183,8 @@
         if self.taken.get(order.version) != order.key:
             self.fail(
                 "lost",
-                f"{order.key} was acknowledged as version {order.version}, but that version is {self.taken.get(order.version)}",
+                f"{order.key} was acknowledged as version {order.version}, "
+                f"but that version is {self.taken.get(order.version)}",
             )
         self.acknowledged.note(now, order.version)
 
@@ -228,8 +230,8 @@
         if version < floor or shown["number"] < number:
             self.fail(
                 "stale-read",
-                f"a read sent at {attempt.sent_at} shows version {version}, change {shown['number']}, but version {floor}, "
-                f"change {number} was acknowledged or read earlier",
+                f"a read sent at {attempt.sent_at} shows version {version}, change {shown['number']}, "
+                f"but version {floor}, change {number} was acknowledged or read earlier",
             )
         if version and version not in self.taken:
             self.fail("stale-read", f"a read shows version {version}, which no core delivered")
--- a/harness/model_checking/shrink.py
+++ b/harness/model_checking/shrink.py
@@ -47,7 +47,7 @@
             self.story = msgspec.structs.replace(self.story, choices=kept, seconds=round(seconds + 0.1, 3))
 
     def _take_out_one_of(self, parts) -> bool:
-        """Removes the first of `parts` equal parts whose removal keeps the violation; returns False if there is none."""
+        """Removes the first of `parts` equal parts that the violation does not need; returns False if there is none."""
         choices = self.story.choices
         size = -(-len(choices) // parts)
         for first in range(0, len(choices), size):
