--- a/harness/mutations/__init__.py
+++ b/harness/mutations/__init__.py
@@ -1,1 +1,1 @@
-"""Mutation tests: each mutation takes one guard out of the product, and the tests named with it must fail."""
+"""Mutation tests: each mutation removes one guard from the product, and the tests named with it must then fail."""
--- a/harness/mutations/answers.py
+++ b/harness/mutations/answers.py
@@ -1,4 +1,4 @@
-"""Guards of answers to clients: none mixed, run twice, refused falsely or out of order, one at a time, for `python -m harness breaches`."""
+"""Mutations that mix up responses, run requests twice, refuse them wrongly or corrupt streams, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -11,7 +11,7 @@
 ANSWERS_MUTATIONS = (
     Mutation(
         "MIXED",
-        "an answer to another request is taken",
+        "a response with another request's id is accepted",
         "        if not has_id and (response.request_id or request.is_reused):",
         "        if False:",
         PROXY_PIPELINE,
@@ -19,7 +19,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer without an id is taken on a connection that was used before",
+        "a response without a request id is accepted on a reused connection",
         "if not has_id and (response.request_id or request.is_reused):",
         "if not has_id and response.request_id:",
         KEPT,
@@ -27,7 +27,7 @@
     ),
     Mutation(
         "MIXED",
-        "a success without an id is taken",
+        "a successful response without a request id is accepted",
         "if not has_id or status < 200:",
         "if status < 200:",
         FORWARD,
@@ -35,7 +35,7 @@
     ),
     Mutation(
         "MIXED",
-        "a change of protocol is passed on",
+        "a 1xx response that switches protocols is forwarded",
         "if not has_id or status < 200:",
         "if not has_id:",
         FORWARD,
@@ -43,7 +43,7 @@
     ),
     Mutation(
         "MIXED",
-        "a head that cannot be handed on unchanged is",
+        "a response head that cannot be forwarded unchanged is forwarded",
         "return is_proper and (answer",
         "return (answer",
         FORWARD,
@@ -51,7 +51,7 @@
     ),
     Mutation(
         "MIXED",
-        "a stream of unknown end is begun",
+        "a stream without a detectable end is forwarded",
         "(answer.status >= 300 or _has_end(answer))",
         "True",
         FORWARD,
@@ -59,7 +59,7 @@
     ),
     Mutation(
         "MIXED",
-        "bytes that come while nothing is asked are read as the next answer",
+        "bytes received on an idle connection are parsed as the next response",
         "if self.is_idle and data:",
         "if False:",
         FETCH,
@@ -67,7 +67,7 @@
     ),
     Mutation(
         "MIXED",
-        "what comes while nothing is asked costs a try",
+        "bytes received on an idle connection fail the next attempt",
         "if self.is_idle and data:",
         "if False:",
         KEPT,
@@ -75,7 +75,7 @@
     ),
     Mutation(
         "MIXED",
-        "orders and reports share a connection",
+        "orders and reports share a connection pool",
         'Pool.REPORTS if method == "GET" else Pool.ORDERS',
         "Pool.ORDERS",
         FETCH,
@@ -83,7 +83,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer without the seal is passed on",
+        "a response without a valid seal is forwarded",
         "if status < 300 and (not response.is_sealed or names",
         "if status < 300 and (names",
         PROXY_PIPELINE,
@@ -91,7 +91,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer with an encoding is passed on",
+        "a response with a content encoding is forwarded",
         ' or names.get("content-encoding", "identity") != "identity")',
         ")",
         PROXY_PIPELINE,
@@ -99,7 +99,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer whose end cannot be told counts as whole",
+        "a response without a detectable end counts as complete",
         "return ResponseEnded(call_id) if _has_end(answer) else CallFailed(call_id, CallFailure.RESET)",
         "return ResponseEnded(call_id)",
         FORWARD,
@@ -107,7 +107,7 @@
     ),
     Mutation(
         "MIXED",
-        "bodies of servers are unpacked on their way",
+        "compressed response bodies are decompressed by the proxy",
         "auto_decompress=False",
         "auto_decompress=True",
         FORWARD,
@@ -115,7 +115,7 @@
     ),
     Mutation(
         "MIXED",
-        "what may not run twice goes on a kept connection",
+        "a non-repeatable request always uses a kept-alive connection",
         "return ConnectionReuse.ALWAYS if request.is_repeatable else ConnectionReuse.WHEN_ALIVE",
         "return ConnectionReuse.ALWAYS",
         KEPT,
@@ -123,7 +123,7 @@
     ),
     Mutation(
         "TWICE",
-        "what may not run twice goes on a connection that its server may have forgotten unseen",
+        "a non-repeatable request uses a connection that the server may have closed unnoticed",
         "return rested <= JUST_USED.total_seconds()",
         "return True",
         KEPT,
@@ -131,7 +131,7 @@
     ),
     Mutation(
         "HELD",
-        "a connection is used for longer than its server keeps it",
+        "a connection is reused after the server's keep-alive timeout",
         "return rested > (default_s if self.keep_alive_s is None else min(default_s, self.keep_alive_s))",
         "return rested > default_s",
         KEPT,
@@ -139,7 +139,7 @@
     ),
     Mutation(
         "HELD",
-        "any number of idle connections is kept",
+        "the number of idle connections is not limited",
         "elif len(self._conns.get(key, ())) >= protocol.max_kept:",
         "elif False:",
         KEPT,
@@ -147,7 +147,7 @@
     ),
     Mutation(
         "TWICE",
-        "what may not run twice is sent again",
+        "a non-repeatable request is retried although it may have run",
         "return request.run_history.may_send_again(request.is_repeatable) and has_tries_left",
         "return has_tries_left",
         PROXY_PIPELINE,
@@ -155,7 +155,7 @@
     ),
     Mutation(
         "TWICE",
-        "what went out counts as not run",
+        "a request whose first byte was sent counts as not run",
         "        request.run_history.note_first_byte()\n        request.arrivals",
         "        request.arrivals",
         PROXY_PIPELINE,
@@ -163,7 +163,7 @@
     ),
     Mutation(
         "TWICE",
-        "the client library sends again by itself",
+        "the HTTP client library retries on its own",
         "session._retry_connection = False",
         "pass",
         FORWARD,
@@ -171,7 +171,7 @@
     ),
     Mutation(
         "TWICE",
-        "a refused connection takes an earlier send back",
+        "a refused connection resets the run status of an earlier attempt",
         "return self._attempt if self._earlier is RunStatus.NOT_RUN else self._earlier",
         "return self._attempt",
         PROXY_PIPELINE,
@@ -179,7 +179,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a full server takes an earlier send back",
+        "a refusal by a full server resets the run status of an earlier attempt",
         "self._earlier, self._attempt = self.status, RunStatus.NOT_RUN",
         "self._earlier, self._attempt = RunStatus.NOT_RUN, RunStatus.NOT_RUN",
         PROXY_PIPELINE,
@@ -187,7 +187,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a mark counts with any status",
+        "the not-run mark is accepted with any status code",
         "is_marked and status in REFUSING_STATUSES",
         "is_marked",
         FORWARD,
@@ -195,7 +195,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a failure after the first byte passes for one before it",
+        "a failure after the first byte is reported as one before it",
         "if call_id not in self.sent:",
         "if True:",
         FETCH,
@@ -203,7 +203,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a closed connection counts as one that never stood",
+        "a connection closed after the first byte counts as never established",
         "        if not failure.was_before_first_byte:\n            self.note_first_byte()",
         "        pass",
         "sumachook/calls",
@@ -211,7 +211,7 @@
     ),
     Mutation(
         "REFUSED",
-        "503 is told of what may have run",
+        "a request that may have run is answered with 503",
         "    if has_not_run:\n        return 503\n",
         "    if True:\n        return 503\n",
         PROXY_PIPELINE,
@@ -219,7 +219,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a server's 503 without its mark is passed on",
+        "a server's 503 without the not-run mark is forwarded",
         "if status in NOT_RUN_STATUSES:",
         "if False:",
         PROXY_PIPELINE,
@@ -227,7 +227,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a running try is not called off by a refusal",
+        "a running attempt is not cancelled when the request is refused",
         "[CancelCall(request.attempt_id)] if request.attempt_id is not None and request.is_at_server else []",
         "[]",
         PROXY_PIPELINE,
@@ -235,7 +235,7 @@
     ),
     Mutation(
         "ORDER",
-        "a resume that does not go on is joined",
+        "a resumed stream that does not continue the sequence is appended",
         'if request.reached_client and not _continues(request.last_event_id or "", events):',
         "if False:",
         STREAMS,
@@ -243,7 +243,7 @@
     ),
     Mutation(
         "ORDER",
-        "a resume may repeat the last event",
+        "a resumed stream may repeat the last event",
         "return int(first) > int(last_event_id)",
         "return int(first) >= int(last_event_id)",
         STREAMS,
@@ -251,7 +251,7 @@
     ),
     Mutation(
         "ORDER",
-        "a cut stream is closed in good order",
+        "an interrupted stream is ended as if it were complete",
         "[*effects, AbortResponse(request.call_id)]",
         "[*effects, EndResponse(request.call_id)]",
         STREAMS,
@@ -259,7 +259,7 @@
     ),
     Mutation(
         "ORDER",
-        "the connection of a cut stream gets its closing chunk",
+        "the connection of an interrupted stream receives the terminating chunk",
         "            else:\n                self._abort(request)",
         "            else:\n                await answer.write_eof()\n                return answer",
         FORWARD,
@@ -267,7 +267,7 @@
     ),
     Mutation(
         "ORDER",
-        "an end within an event counts as the end",
+        "the end of a stream within an event counts as complete",
         "if request.buffer or not request.reached_client:",
         "if False:",
         STREAMS,
@@ -275,7 +275,7 @@
     ),
     Mutation(
         "ORDER",
-        "a stream that may not be resumed is",
+        "a stream on a route that is not resumable is resumed",
         "return bool(request.route.resumable and request.last_event_id",
         "return bool(request.last_event_id",
         STREAMS,
@@ -283,7 +283,7 @@
     ),
     Mutation(
         "ORDER",
-        "half an event is passed on",
+        "a partial event is forwarded",
         "end = max(request.buffer.rfind(mark) + len(mark) if mark in request.buffer else 0 for mark in EVENT_ENDS)",
         "end = len(request.buffer)",
         STREAMS,
@@ -291,7 +291,7 @@
     ),
     Mutation(
         "ORDER",
-        "a stream is taken up without end",
+        "the number of resumes is not limited",
         "request.route.resumable and request.last_event_id and request.resumes < MAX_RESUMES",
         "request.route.resumable and request.last_event_id",
         STREAMS,
@@ -299,7 +299,7 @@
     ),
     Mutation(
         "ORDER",
-        "a whole body is joined to a stream",
+        "a response that is not a stream is appended to a stream",
         '        if request.reached_client:\n            return self.resend.take(request, FailureKind.CUT.because("no stream',
         '        if False:\n            return self.resend.take(request, FailureKind.CUT.because("no stream',
         STREAMS,
@@ -307,7 +307,7 @@
     ),
     Mutation(
         "ORDER",
-        "a refused resume is joined to a stream",
+        "the error response to a resume is appended to a stream",
         "if status >= 300 and request.reached_client:",
         "if False:",
         STREAMS,
--- a/harness/mutations/configuration.py
+++ b/harness/mutations/configuration.py
@@ -1,4 +1,4 @@
-"""Guards of operators' configurations, one at a time, for `python -m harness breaches`."""
+"""Mutations of configuration changes by operators, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -8,7 +8,7 @@
 CONFIGURATION_MUTATIONS = (
     Mutation(
         "CONFIG",
-        "a change on an older base is taken",
+        "a change with an outdated base version is accepted",
         "    if base_version != state.version:\n        return stale",
         "    if False:\n        return stale",
         CONFIGURE,
@@ -16,7 +16,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a version that does not rise is taken",
+        "a version that does not increase is accepted",
         "if version <= state.version:",
         "if False:",
         CONFIGURE,
@@ -24,7 +24,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a repeat is not known again",
+        "a resent change is not recognized as a repeat",
         "return version is not None and self.digests.get(version) == content_digest",
         "return False",
         CONFIGURE,
@@ -32,7 +32,7 @@
     ),
     Mutation(
         "CONFIG",
-        "any content under a version taken is a repeat",
+        "any content with an accepted version counts as a repeat",
         "return version is not None and self.digests.get(version) == content_digest",
         "return version in self.digests",
         CONFIGURE,
@@ -40,7 +40,7 @@
     ),
     Mutation(
         "CONFIG",
-        "the order of fields makes other content",
+        "the order of fields changes the content digest",
         'encode(content, order="deterministic")',
         "encode(content)",
         CONFIGURE,
@@ -48,7 +48,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a refused version is used up",
+        "the version of a refused change is recorded as accepted",
         "    if result.outcome is Outcome.ACCEPTED and identity.version is not None:\n        state.accepted_versions",
         "    if True:\n        state.accepted_versions",
         CONFIGURE,
@@ -56,7 +56,7 @@
     ),
     Mutation(
         "CONFIG",
-        "what was forgotten counts as never taken",
+        "a version dropped from the memory counts as never accepted",
         "return version is not None and base_version < version <= self.forgotten",
         "return False",
         CONFIGURE,
@@ -64,7 +64,7 @@
     ),
     Mutation(
         "CONFIG",
-        "the memory of what was taken has no bound",
+        "the memory of accepted versions is not bounded",
         "while len(self.digests) > MAX_ACCEPTED_VERSIONS:",
         "while False:",
         CONFIGURE,
@@ -72,7 +72,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a copy of a refused change is taken once its base is there",
+        "a late copy of a refused change is accepted once its base version exists",
         "if is_overtaken(seen, state.version_changed_at):",
         "if False:",
         ORDERS,
@@ -80,7 +80,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a claim is judged without its faults",
+        "a forwarded change is accepted despite its validation errors",
         "    if change.issues:",
         "if False:",
         ORDERS,
@@ -88,7 +88,7 @@
     ),
     Mutation(
         "CONFIG",
-        "refused and repeated changes are ordered as whole documents",
+        "refused and repeated changes are proposed with the whole document",
         "if change.base_version != state.version or state.accepted_versions.contains(identity.version, identity.digest):",
         "if False:",
         ORDERS,
@@ -96,7 +96,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an id used for other content is called done",
+        "a reused request id with other content is reported as completed",
         "return completed.result if is_repeat else",
         "return completed.result if True else",
         ORDERS,
@@ -104,7 +104,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an order is answered by another's delivery",
+        "an order is answered when another core's attempt is delivered",
         "if attempt.origin == self.origin else None",
         "if True else None",
         ORDERS,
@@ -112,7 +112,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a copy's delivery changes the answer",
+        "the delivery of a duplicate overwrites the result",
         "if order is not None and order.result is None:",
         "if order is not None:",
         ORDERS,
@@ -120,7 +120,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an order is proposed though its caller hung up",
+        "an order is proposed after its client disconnected",
         "            self.remove(order)\n\n    # the proposal",
         "            pass\n\n    # the proposal",
         ORDERS,
@@ -128,7 +128,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an order is answered when its caller has given up",
+        "an order is answered after the client's timeout",
         "if now >= order.answer_by:",
         "if False:",
         ORDERS,
@@ -136,7 +136,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an order's answer waits for edges beyond its time",
+        "the response waits for edge confirmations beyond its deadline",
         "min(order.delivered_at + self.confirm_within, order.answer_by)",
         "order.delivered_at + self.confirm_within",
         ORDERS,
@@ -144,7 +144,7 @@
     ),
     Mutation(
         "CONFIG",
-        "any number of orders waits at a core",
+        "the number of pending orders at a core is not limited",
         "if len(self.orders) >= MAX_ORDERS:",
         "if False:",
         ORDERS,
@@ -152,7 +152,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a document of any depth is walked",
+        "the nesting depth of documents is not limited",
         "if is_deeper(document, MAX_DEPTH):",
         "if False:",
         ORDERS,
@@ -160,7 +160,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a core that has just started says nothing",
+        "a core does not report after its start that it is starting",
         "if isinstance(event, HttpRequestReceived):\n            effects.append(starting",
         "if isinstance(event, HttpRequestReceived) and self.is_new:\n            effects.append(starting",
         ORDERS,
@@ -168,7 +168,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a core's first call is lost",
+        "the first request to a core is not handled",
         "if isinstance(event, HttpRequestReceived):\n            effects.append(starting",
         "if isinstance(event, HttpRequestReceived) and not self.is_new:\n            effects.append(starting",
         ORDERS,
@@ -176,7 +176,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a member sends long orders to its leader",
+        "a member forwards orders of any size to its leader",
         "if len(event.body) > MAX_FORWARDED_BYTES and",
         "if False and",
         ORDERS,
--- a/harness/mutations/consensus.py
+++ b/harness/mutations/consensus.py
@@ -1,4 +1,4 @@
-"""The guards of the consensus protocol, one at a time, for `python -m harness breaches` (rule 0: the order of changes)."""
+"""Mutations of the consensus protocol for `python -m harness breaches` (rule 0: the order of changes)."""
 
 from harness.mutations.mutation import Mutation
 
@@ -13,7 +13,7 @@
 
 CONSENSUS_MUTATIONS = (
     _mutation(
-        "the ack does not wait for the disks of all members",
+        "a change is committed before all members have stored it",
         "leader",
         "reached = min(self.progress.acked.get(name, 0) for name in state.members)",
         "reached = max(self.progress.acked.get(name, 0) for name in state.members)",
@@ -21,7 +21,7 @@
         "not_by_a_majority",
     ),
     _mutation(
-        "a member takes entries though it promised a higher view",
+        "a member accepts entries after promising a higher view",
         "state",
         "return self.role is Role.MEMBER and self.view == self.promised",
         "return self.role in (Role.MEMBER, Role.IDLE)",
@@ -29,7 +29,7 @@
         "promised_a_higher_view",
     ),
     _mutation(
-        "the longest log counts, not the highest view's",
+        "the candidate adopts the longest log instead of the log of the highest view",
         "candidate",
         "key=lambda name: (self.promises[name].installed, self.promises[name].end, name == state.name)",
         "key=lambda name: (self.promises[name].end, name == state.name)",
@@ -37,7 +37,7 @@
         "highest_view",
     ),
     _mutation(
-        "a member that doubted its leader stays out",
+        "a member that gave up its leader does not become a member again",
         "follower",
         "if state.role is Role.IDLE and is_installed and state.name in message.members:",
         "if False:",
@@ -45,7 +45,7 @@
         "member_again",
     ),
     _mutation(
-        "an acknowledgement proves its sender as of when it arrives",
+        "a heartbeat acknowledgement counts from its arrival instead of the send time",
         "leader",
         "self.lease.prove(sender, message.round)",
         "self.lease.proved_at[sender] = now",
@@ -53,7 +53,7 @@
         "lease_counts_from_when",
     ),
     _mutation(
-        "an acknowledgement of one that promised a higher view proves it",
+        "an acknowledgement extends the lease after its sender promised a higher view",
         "leader",
         "if message.promised <= state.view:",
         "if True:",
@@ -61,7 +61,7 @@
         "promised_a_higher_view_proves_nothing",
     ),
     _mutation(
-        "a leader does not forget its proofs after a pause",
+        "a leader keeps old heartbeat acknowledgements after a pause",
         "replica",
         "            self.leader.lease.forget()\n",
         "",
@@ -69,7 +69,7 @@
         "who_was_away",
     ),
     _mutation(
-        "who acknowledged a round promises a view to anybody",
+        "a voter promises a view while a lease that it acknowledged is valid",
         "voter",
         "if not state.guard.permits(sender, message.released, now, message.start):",
         "if False:",
@@ -77,7 +77,7 @@
         "who_acknowledged_a_round",
     ),
     _mutation(
-        "no guard after a start",
+        "a restarted voter is not bound by leases that it may have acknowledged",
         "state",
         "            self.guard.start(now, random.getrandbits(NONCE_BITS) + 1)\n",
         "            pass\n",
@@ -85,7 +85,7 @@
         "started_anew_may_have",
     ),
     _mutation(
-        "a view need not wait for leases though a voter did not answer",
+        "a candidate skips the wait for old leases although a voter did not respond",
         "candidate",
         "return is_free and set(self.state.other_voters) <= self.accepted | set(self.starts)",
         "return is_free",
@@ -93,7 +93,7 @@
         "every_voter_was_just_started",
     ),
     _mutation(
-        "who acknowledged a round since it told its run promises all the same",
+        "a voter's released guard stays released after a later heartbeat acknowledgement",
         "lease",
         "        self.run = 0\n        self.until = now",
         "        self.until = now",
@@ -101,7 +101,7 @@
         "since_it_told_its_run",
     ),
     _mutation(
-        "after a start any leader passes the guard",
+        "a restarted voter lets any leader release it from its guard",
         "lease",
         "        if not self._is_unknown(now):\n            self.view = view\n",
         "        self.view = view\n",
@@ -109,7 +109,7 @@
         "obeys_a_leader_that_holds",
     ),
     _mutation(
-        "a member is fresh as of when a heartbeat arrives",
+        "a member's state counts as fresh from the arrival of a heartbeat",
         "follower",
         "state.freshness.confirm(message.echo)",
         "state.freshness.complete_as_of = now",
@@ -117,7 +117,7 @@
         "member_is_fresh_as_of",
     ),
     _mutation(
-        "a member is fresh though it has not delivered what is committed",
+        "a member counts as fresh before delivering all committed entries",
         "follower",
         "and state.delivered >= message.committed:",
         "and True:",
@@ -125,7 +125,7 @@
         "member_is_fresh_as_of",
     ),
     _mutation(
-        "a member is fresh by a leader without a lease",
+        "a member counts as fresh by heartbeats of a leader without a lease",
         "follower",
         "if not message.has_lease or not state.freshness.was_sent(message.echo):",
         "if not state.freshness.was_sent(message.echo):",
@@ -133,7 +133,7 @@
         "member_is_fresh_as_of",
     ),
     _mutation(
-        "the rounds of every process begin with the same number",
+        "heartbeat rounds start at the same number in every process",
         "state",
         "Freshness(random.getrandbits(NONCE_BITS))",
         "Freshness()",
@@ -141,7 +141,7 @@
         "process_before",
     ),
     _mutation(
-        "reads of every process begin with the same number",
+        "read tokens start at the same number in every process",
         "reads",
         "self.last = state.random.getrandbits(NONCE_BITS)",
         "self.last = 0",
@@ -149,7 +149,7 @@
         "process_before",
     ),
     _mutation(
-        "entries of a lower view are taken again",
+        "a replica accepts entries of a lower view than it has followed",
         "follower",
         "known = max(state.followed, state.guard.view)",
         "known = max(state.view, state.guard.view)",
@@ -157,7 +157,7 @@
         "never_takes_entries_of_a_lower_view",
     ),
     _mutation(
-        "a fetch drops the whole tail",
+        "a fetch truncates the log even where the entries match",
         "log",
         "if number <= self.base or (number <= self.end and self.entry(number) == entry):",
         "if number <= self.base:",
@@ -165,7 +165,7 @@
         "cuts_its_log_at_the_first_difference",
     ),
     _mutation(
-        "a snapshot is not copied when it is taken",
+        "a snapshot shares mutable state with the application",
         "log",
         "return as_tuples(msgspec.json.decode(snapshot.state))",
         "return None",
@@ -173,7 +173,7 @@
         "later_changes_of_the_state",
     ),
     _mutation(
-        "large entries are sent whole",
+        "large entries are not split into chunks",
         "log_server",
         "data = entry[offset : offset + CHUNK_BYTES]",
         "data = entry[offset:]",
@@ -181,7 +181,7 @@
         "fetched_in_parts",
     ),
     _mutation(
-        "a candidate with a worse log is accepted",
+        "a voter accepts a candidate whose log is less up to date",
         "voter",
         "if is_bound or (state.view, state.log.end) > (message.installed, message.end):",
         "if is_bound:",
@@ -189,7 +189,7 @@
         "worse_log",
     ),
     _mutation(
-        "a change of the roster is committed by the members alone",
+        "a roster change is committed without a quorum of the new roster",
         "leader",
         "if not self._is_held_by_quorum(reached):\n            reached",
         "if False:\n            reached",
@@ -197,7 +197,7 @@
         "quorum_of_the_roster_that_it_makes",
     ),
     _mutation(
-        "the one that is replaced goes before the other is in the view",
+        "a replaced voter is removed before its successor is a member of the view",
         "membership",
         "if voting_members.joining in state.members:",
         "if True:",
@@ -205,7 +205,7 @@
         "until_the_other_is_in_the_view",
     ),
     _mutation(
-        "a replacement counts as four plain voters",
+        "a replacement in progress uses one majority of four voters",
         "voting_members",
         "if self.joining is None or self.leaving is None:",
         "if True:",
@@ -213,7 +213,7 @@
         "dies_while",
     ),
     _mutation(
-        "one that replaces a voter at its own address speaks to itself",
+        "a voter that replaces another one at the same address sends messages to itself",
         "state",
         "if name != self.name and address != self.address}",
         "if name != self.name}",
@@ -221,7 +221,7 @@
         "own_address",
     ),
     _mutation(
-        "a leader answers reads without a lease",
+        "a leader confirms read indexes without a lease",
         "reads",
         "is_valid = self.leader.has_lease(now)",
         "is_valid = True",
@@ -229,7 +229,7 @@
         "answers_no_read",
     ),
     _mutation(
-        "a leader that is no voter any more goes on",
+        "a leader that is no longer a voter does not step down",
         "departure",
         "return not state.is_voter and state.log.last_voting_members_change <= state.committed",
         "return False",
@@ -237,7 +237,7 @@
         "no_voter_any_more",
     ),
     _mutation(
-        "the log is bounded in entries only",
+        "the log is bounded by entries but not by bytes",
         "state",
         "return size > bound and",
         "return False and",
@@ -245,7 +245,7 @@
         "long_log",
     ),
     _mutation(
-        "a learner that was started anew never says that it lacks nothing",
+        "a restarted learner never reports that it has caught up",
         "followed_log",
         "if new is None and matched <= self.stored and state.followed == self.view:",
         "if new is None and matched <= self.matched and state.followed == self.view:",
@@ -253,7 +253,7 @@
         "lacks_nothing",
     ),
     _mutation(
-        "the roster grows beyond what the view is a majority of",
+        "the roster grows although the view is not a majority of it",
         "membership",
         "return (is_uneven or is_pair) and len(self.state.members) >= majority_of(grown)",
         "return is_uneven or is_pair",
@@ -261,7 +261,7 @@
         "no_majority_of_it",
     ),
     _mutation(
-        "an empty disk at a voter's address proves nothing",
+        "a voter with an empty disk at its address is not replaced at once",
         "membership",
         "if name in superseded or away[name] > state.options.replace_after]",
         "if away[name] > state.options.replace_after]",
@@ -269,7 +269,7 @@
         "old_address",
     ),
     _mutation(
-        "a removed replica does not offer itself again",
+        "a removed replica does not request to be added again",
         "learners",
         "if not is_outside and not state.may_be_removed(now):",
         "if True:",
@@ -277,7 +277,7 @@
         "let_in_again",
     ),
     _mutation(
-        "a leader that steps back does not say so",
+        "a leader that steps down does not notify the voters",
         "leader",
         "*state.send_to_voters(Yield(state.view))]",
         "]",
--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -1,4 +1,4 @@
-"""Guards of the control plane of the brief: changes, servers that leave, zones, roles and loads, one at a time, for `python -m harness breaches`."""
+"""Mutations of the control plane: changes, draining servers, zones, the feed, membership, roles and loads, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -14,7 +14,7 @@
 CONTROL_PLANE_MUTATIONS = (
     Mutation(
         4,
-        "leaving servers are drawn",
+        "draining servers are selected for requests",
         'not server["leaving"]\n            and self.avoided_until.get(name, now) <= now\n            and ',
         "",
         PLACEMENT,
@@ -23,7 +23,7 @@
     ),
     Mutation(
         4,
-        "only the leader reads the list",
+        "only the leader reads the list of servers",
         "if not self.is_leading and not was_seen:",
         "if not self.is_leading:",
         PLACEMENT,
@@ -31,7 +31,7 @@
     ),
     Mutation(
         4,
-        "no word goes ahead of the order",
+        "edges receive no early notice of draining servers",
         "effects.append(BroadcastToEdges(ServersLeaving(leaving)))",
         "pass",
         PLACEMENT,
@@ -39,7 +39,7 @@
     ),
     Mutation(
         4,
-        "an old comparison may be ordered",
+        "a comparison with an outdated server list is committed",
         "if change.basis != state.listed_at:",
         "if False:",
         "tests/control_state",
@@ -47,7 +47,7 @@
     ),
     Mutation(
         5,
-        "a follower stays with a silent core",
+        "a feed follower stays with an unresponsive core",
         "is_silent = not has_answered or now - self.proved_at > PROOF_TIMEOUT",
         "is_silent = False",
         FEED,
@@ -55,7 +55,7 @@
     ),
     Mutation(
         5,
-        "a follower goes back to a core that it left",
+        "a feed follower returns to the core that it just abandoned",
         "if self.abandoned_at.get(core, never) == earliest]",
         "if core]",
         FEED,
@@ -64,7 +64,7 @@
     ),
     Mutation(
         5,
-        "a follower stays with a core that gives less than others hold",
+        "a feed follower stays with a core that lags behind the others",
         "or (self.behind_since is not None and now - self.behind_since > MAX_LAG)",
         "",
         FEED,
@@ -72,7 +72,7 @@
     ),
     Mutation(
         5,
-        "a beat counts from when it arrives",
+        "a feed heartbeat counts from its arrival instead of the request time",
         "self.proved_at = max(self.proved_at, request.sent_at)",
         "self.proved_at = now",
         FEED,
@@ -80,7 +80,7 @@
     ),
     Mutation(
         5,
-        "an older image is accepted",
+        "a feed follower accepts an older snapshot",
         "        if number <= self.number:\n            return []\n        self.state.restore",
         "        self.state.restore",
         FEED,
@@ -88,7 +88,7 @@
     ),
     Mutation(
         5,
-        "an image of which a part is missing is put together",
+        "a snapshot is assembled from parts that are not contiguous",
         " and part.offset == len(self.received)",
         "",
         FEED,
@@ -96,7 +96,7 @@
     ),
     Mutation(
         5,
-        "what is overtaken goes out entry by entry",
+        "the feed sends superseded entries one by one instead of a snapshot",
         "if follower.sent + 1 < self.first_number or self._is_overtaken(follower.sent):",
         "if follower.sent + 1 < self.first_number:",
         FEED,
@@ -104,7 +104,7 @@
     ),
     Mutation(
         5,
-        "a changed route is not checked against what others match",
+        "a changed route is not checked against the matches of other routes",
         "    if len(routes) != len(revision.items.documents):\n        raise _UnprovenError\n",
         "",
         CHECKED,
@@ -112,7 +112,7 @@
     ),
     Mutation(
         5,
-        "a changed route is not checked for its services",
+        "a changed route is not checked for unknown services",
         "            _prove(split_issues(change.position, change.document, names))",
         "            pass",
         CHECKED,
@@ -120,7 +120,7 @@
     ),
     Mutation(
         5,
-        "routes are not checked when a service goes",
+        "routes are not checked when a service is removed",
         "if services and services.removed:",
         "if False:",
         CHECKED,
@@ -128,7 +128,7 @@
     ),
     Mutation(
         5,
-        "equal values of other types count as unchanged",
+        "values of different types that compare equal count as unchanged",
         "return msgspec.json.encode(one) == msgspec.json.encode(other)",
         "return one == other",
         CHECKED,
@@ -136,7 +136,7 @@
     ),
     Mutation(
         5,
-        "a difference is taken whatever comes of it",
+        "a difference is applied without comparing the resulting digest",
         "if document_digest(wanted) != change.document_digest:",
         "if False:",
         DIFFERENCES,
@@ -144,7 +144,7 @@
     ),
     Mutation(
         5,
-        "an edge's file lacks what came after its snapshot",
+        "an edge does not store the feed entries after its snapshot",
         "self.waiting += entries",
         "pass",
         STARTS,
@@ -153,7 +153,7 @@
     ),
     Mutation(
         5,
-        "the ack does not wait for the disks of all members",
+        "a change is committed before all members have stored it",
         "reached = min(self.progress.acked.get(name, 0) for name in state.members)",
         "reached = max(self.progress.acked.get(name, 0) for name in state.members)",
         "tests/consensus/test_replica.py",
@@ -161,7 +161,7 @@
     ),
     Mutation(
         5,
-        "an edge goes on by the catalogue that it read first",
+        "an edge keeps using the first configuration that it read",
         "if table.generation == table.state.generation and table.callers:",
         "if table.callers:",
         CONTROL,
@@ -169,7 +169,7 @@
     ),
     Mutation(
         5,
-        "a node asks nothing of who probes it unknown",
+        "a node does not introduce itself to an unknown node that probes it",
         "if sender not in self.members and now >= self._next_introduction_at:",
         "if False:",
         CONTROL,
@@ -177,7 +177,7 @@
     ),
     Mutation(
         5,
-        "replaced seeds wait for their turn",
+        "replaced seeds are not contacted at once",
         "                self.seeds = tuple(event.addresses)\n                return self._compare_views(now)",
         "                self.seeds = tuple(event.addresses)\n                return []",
         "tests/platform_adapters/test_platform_settings.py",
@@ -185,7 +185,7 @@
     ),
     Mutation(
         5,
-        "a Join is answered with all members whatever the sender knows",
+        "a Join is answered with all members regardless of the sender's digest",
         "        updates = self._updates_of(differing_buckets(self._digest(), join.digest))",
         '        updates = self._updates_of(differing_buckets(self._digest(), b""))',
         VIEWS,
@@ -193,7 +193,7 @@
     ),
     Mutation(
         5,
-        "one that leaves is told all members",
+        "a leaving node receives the member list",
         "        if any(update.status in REMOVED_STATUSES for update in join.updates):",
         "        if False:",
         VIEWS,
@@ -201,7 +201,7 @@
     ),
     Mutation(
         5,
-        "only the live members of a difference are told, so that nobody can object",
+        "removed members are left out of a difference, so that nobody can refute them",
         "        return tuple(member.to_update() for member in members if bucket_of(member.node) in buckets)",
         "        return tuple(\n            member.to_update()\n            for member in members\n"
         "            if bucket_of(member.node) in buckets and member.status in LIVE_STATUSES\n        )",
@@ -210,7 +210,7 @@
     ),
     Mutation(
         5,
-        "members learned from a list are told on",
+        "members learned from a full list are gossiped again",
         "                self.gossip.remove(update.node)",
         "                pass",
         VIEWS,
@@ -218,7 +218,7 @@
     ),
     Mutation(
         5,
-        "an objection to a list is not told on",
+        "the refutation of a listed member is not gossiped",
         "update.node not in self.members and update.node != self.local_member.node",
         "update.node not in self.members",
         VIEWS,
@@ -226,7 +226,7 @@
     ),
     Mutation(
         5,
-        "older news heard from others counts as told",
+        "receiving an older update counts as a transmission of the newer one",
         "            if not _is_older(update, known):\n",
         "            if True:\n",
         VIEWS,
@@ -234,7 +234,7 @@
     ),
     Mutation(
         5,
-        "members that are gone count in the digest",
+        "removed members are included in the membership digest",
         "        if member.status in LIVE_STATUSES:\n            bucket",
         "        if True:\n            bucket",
         VIEWS,
@@ -242,7 +242,7 @@
     ),
     Mutation(
         5,
-        "pings of strangers are each answered with a Join",
+        "every probe of an unknown node triggers a Join",
         "            self._next_introduction_at = now + self.JOIN_RETRY_INTERVAL\n",
         "",
         VIEWS,
@@ -250,7 +250,7 @@
     ),
     Mutation(
         5,
-        "nothing is compared while there is news",
+        "member lists are not compared while updates are pending",
         "        if len(self.gossip) and self._comparisons_skipped < self.MAX_COMPARISONS_SKIPPED:",
         "        if len(self.gossip):",
         VIEWS,
@@ -258,7 +258,7 @@
     ),
     Mutation(
         0,
-        "an image goes on with the state",
+        "a snapshot of the state changes with the state",
         '"duties": {role: tuple(holder) for role, holder in state.duties.items()}',
         '"duties": state.duties',
         "tests/control_state",
@@ -266,7 +266,7 @@
     ),
     Mutation(
         6,
-        "evacuated areas are drawn",
+        "servers in evacuated zones are selected for requests",
         'self.state.is_open(server["area"])\n            and is_reachable_zone',
         "is_reachable_zone",
         PLACEMENT,
@@ -275,7 +275,7 @@
     ),
     Mutation(
         6,
-        "an edge in the area goes on admitting",
+        "an edge in an evacuated zone continues to admit requests",
         "if not table.state.is_open(table.zone):\n            return FailureKind.EVACUATED",
         "if False:\n            return FailureKind.EVACUATED",
         PLACEMENT,
@@ -283,7 +283,7 @@
     ),
     Mutation(
         6,
-        "what came in just after waking is not looked at again",
+        "requests received just after a resume are not checked again",
         "        request.needs_recheck = self.table.follower.trust(now) is Trust.UNPROVEN\n",
         "",
         PLACEMENT,
@@ -291,7 +291,7 @@
     ),
     Mutation(
         6,
-        "a beat from a buffer is believed on waking",
+        "a buffered feed heartbeat is accepted after a resume",
         "        self.round_trips.clear()\n",
         "",
         FEED,
@@ -300,7 +300,7 @@
     ),
     Mutation(
         9,
-        "room is not counted",
+        "free server memory is not checked",
         "            if self._free_memory(server) >= size:\n",
         "            if True:\n",
         "tests/placement/test_orders.py",
@@ -308,7 +308,7 @@
     ),
     Mutation(
         9,
-        "adapter places are not counted",
+        "adapter slots are not limited",
         'if len(present) + len(unloading) < self.servers[server]["places"]:',
         "if True:",
         PLACEMENT,
@@ -316,7 +316,7 @@
     ),
     Mutation(
         9,
-        "a duty is kept without a lease",
+        "a role is kept after its lease has expired",
         "lease is not None and lease.fence == fence and now < lease.until",
         "lease is not None",
         DUTY,
@@ -324,7 +324,7 @@
     ),
     Mutation(
         10,
-        "the store's pace is not kept",
+        "the load rate of the weight store is not limited",
         "if size > self.budget - self.gigabytes:",
         "if False:",
         "tests/placement/test_orders.py",
@@ -332,7 +332,7 @@
     ),
     Mutation(
         10,
-        "several orders go to a server at once",
+        "several load orders are sent to a server at the same time",
         "            if order.server in self.unanswered:\n                self.budget += order.gigabytes if order.verb == LOAD else 0.0\n                continue\n",
         "",
         PLACEMENT,
--- a/harness/mutations/model_checker.py
+++ b/harness/mutations/model_checker.py
@@ -1,4 +1,4 @@
-"""Guards that the model checker sees missing within its budget in CI, for `python -m harness breaches`."""
+"""Mutations that the model checker detects within its budget in CI, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -12,7 +12,7 @@
 MODEL_CHECKER_MUTATIONS = (
     _mutation(
         "leaders",
-        "who acknowledged a round promises a view to anybody",
+        "a voter promises a view while a lease that it acknowledged is valid",
         "consensus/lease.py",
         "if self.until is None or now >= self.until or (run and run == self.run):",
         "if True:",
@@ -20,7 +20,7 @@
     ),
     _mutation(
         "leaders",
-        "who was started anew is bound by nothing",
+        "a restarted voter is not bound by leases that it may have acknowledged",
         "consensus/state.py",
         "            self.guard.start(now, random.getrandbits(NONCE_BITS) + 1)\n",
         "            pass\n",
@@ -28,14 +28,14 @@
     ),
     _mutation(
         "leaders",
-        "a leader that heard a majority once keeps its lease",
+        "heartbeat acknowledgements of any age extend the leader lease",
         "consensus/lease.py",
         "if now - sent_at < LEASE}",
         "}",
     ),
     _mutation(
         "stale",
-        "a member is fresh as of when a heartbeat arrives",
+        "a member's state counts as fresh from the arrival of a heartbeat",
         "consensus/follower.py",
         "state.freshness.confirm(message.echo)",
         "state.freshness.complete_as_of = now",
@@ -43,7 +43,7 @@
     ),
     _mutation(
         "durable",
-        "a change is committed when the leader alone has it on its disk",
+        "a change is committed when only the leader has stored it",
         "consensus/leader.py",
         "reached = min(self.progress.acked.get(name, 0) for name in state.members)\n"
         "        if reached <= state.committed:\n            return []\n        if not self._is_held_by_quorum(reached):",
@@ -53,7 +53,7 @@
     ),
     _mutation(
         "order",
-        "the longest log counts, not that of the highest view",
+        "the candidate adopts the longest log instead of the log of the highest view",
         "consensus/candidate.py",
         "key=lambda name: (self.promises[name].installed, self.promises[name].end, name == state.name)",
         "key=lambda name: (self.promises[name].end, name == state.name)",
@@ -61,28 +61,28 @@
     ),
     _mutation(
         "seats",
-        "a voter that is gone is never replaced",
+        "a lost voter is never replaced",
         "consensus/membership.py",
         'return ("seat-replace", lost, name, address)',
         "return None",
     ),
     _mutation(
         "no-change",
-        "a replica that hears no leader never stands",
+        "a replica without a leader never becomes a candidate",
         "consensus/candidate.py",
         "if not state.hears_no_leader(now) or not state.is_voter:",
         "if True:",
     ),
     _mutation(
         "catch-up",
-        "who is out of the view stays out",
+        "a member that was removed from the view never rejoins",
         "consensus/view_maintenance.py",
         "return self._is_new(name) or self.progress.healthy_for(name, now) > REJOIN_AFTER",
         "return self._is_new(name)",
     ),
     _mutation(
         "stale-read",
-        "reads are answered from what is at hand",
+        "reads are answered from local state without a leader lease",
         "consensus/reads.py",
         "if self.leader.has_lease(now):",
         "if True:",
@@ -90,28 +90,28 @@
     ),
     _mutation(
         "two-acknowledged",
-        "any content under a version that was taken is a repeat",
+        "any content with an accepted version counts as a repeat",
         "control_state/configurations.py",
         "if state.accepted_versions.contains(version, identity.digest):\n        return accepted",
         "if version <= state.version:\n        return accepted",
     ),
     _mutation(
         "wrong-refusal",
-        "a change on the current version is refused",
+        "a change based on the current version is refused",
         "control_state/configurations.py",
         "    if base_version != state.version:\n        return stale",
         "    if state.version > 3:\n        return stale",
     ),
     _mutation(
         "refused-resend",
-        "a configuration that was taken is not known again",
+        "an accepted configuration is not recognized when it is resent",
         "control_state/configurations.py",
         "state.accepted_versions.record(identity.version, identity.digest)",
         "pass",
     ),
     _mutation(
         "fence",
-        "a voter votes for a successor while a lease that it helped to prolong may stand",
+        "a voter votes for a successor while a lease that it renewed may be valid",
         "leases/voting.py",
         "return not was_ever_held or now - self.answered_at.get(role, self.started_at) > self.timing.vacant_after",
         "return True",
@@ -119,7 +119,7 @@
     ),
     Mutation(
         "MODEL",
-        "overtaken: an evacuation goes out however late the read before it comes back",
+        "overtaken: an evacuation is proposed however late the read before it completes",
         "        if self._is_late(order, now):\n",
         "        if False:\n",
         "tests/nodes/test_operator_changes.py",
--- a/harness/mutations/mutation.py
+++ b/harness/mutations/mutation.py
@@ -1,4 +1,4 @@
-"""One guard of the product that `harness breaches` takes out, and the tests that should fail without it."""
+"""One mutation of `harness breaches`: a guard of the product that is removed and the tests that must then fail."""
 
 import os
 import shutil
@@ -9,25 +9,25 @@
 from typing import NamedTuple
 
 ROOT = Path(__file__).parents[2]
-LONGEST = 400  # seconds that the stories may take
+LONGEST = 400  # timeout of the test run of one mutation in seconds
 CAUGHT, NOT_CAUGHT = "caught", "not caught"
-VERDICTS = {0: NOT_CAUGHT, 1: CAUGHT}  # by pytest's exit code
+VERDICTS = {0: NOT_CAUGHT, 1: CAUGHT}  # by the exit code of pytest
 
 
 class GuardNotFoundError(Exception):
-    """The guard of a mutation does not stand exactly once in the product: nothing was tried."""
+    """Raised when the text of a guard does not occur exactly once in the product, so that no test was run."""
 
     def __init__(self, mutation: "Mutation", times: int):
-        super().__init__(f"the guard's text stands {times} times, not once")
+        super().__init__(f"the text of the guard occurs {times} times instead of once")
         self.mutation, self.times = mutation, times
 
 
 class Mutation(NamedTuple):
-    """What is taken out, and where that should be seen.
+    """A replacement of one piece of source text and the tests that must detect it.
 
-    `rule`: a number of the brief's rules, or a word for a rule of the platform's pages; `what`: the fault that it
-    makes, in words; `guard`: a text that stands once in the product, or once in `file` where that is given; `instead`:
-    what stands in its place; `where`: the file of the stories; `stories`: pytest's expression for their names.
+    `rule` is the number of a rule of the brief or the word for a rule of the platform, `what` describes the resulting
+    fault. `guard` is a text that occurs exactly once in the product, or once in `file` if that is set, and `instead` is
+    its replacement. `where` is the path of the tests and `stories` the pytest `-k` expression that selects them.
     """
 
     rule: int | str
@@ -39,7 +39,7 @@
     file: str = ""
 
     def verdict(self) -> str:
-        """Tries it in a scratch copy: 'caught', 'not caught', or why it could not be tried."""
+        """Applies the mutation to a temporary copy and runs its tests: 'caught', 'not caught', or why they could not run."""
         with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
             copy = Path(folder) / "copy"
             shutil.copytree(ROOT, copy, ignore=shutil.ignore_patterns(".git", "__pycache__", ".pytest_cache", "target"))
@@ -51,7 +51,7 @@
             return self._run_stories(copy)
 
     def find_guard(self, root: Path) -> Path:
-        """The file of the product under `root` in which the guard stands; raises GuardNotFoundError unless it stands
+        """Returns the product file under `root` that contains the guard; raises GuardNotFoundError unless it occurs exactly
         once.
         """
         times = {path: path.read_text().count(self.guard) for path in self._files(root)}
@@ -72,4 +72,4 @@
             text=True,
             timeout=LONGEST,
         )
-        return VERDICTS.get(done.returncode, f"pytest ended with {done.returncode}")
+        return VERDICTS.get(done.returncode, f"pytest exited with code {done.returncode}")
--- a/harness/mutations/placement.py
+++ b/harness/mutations/placement.py
@@ -1,4 +1,4 @@
-"""Guards of placement on the users' platform: room, pace of loads, one holder, updates, one at a time, for `python -m harness breaches`."""
+"""Mutations of placement: server memory, the load budget, the lease of the placer and its updates, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
--- a/harness/mutations/quotas.py
+++ b/harness/mutations/quotas.py
@@ -1,4 +1,4 @@
-"""Guards of quotas of tenants, one at a time, for `python -m harness breaches`."""
+"""Mutations of the quotas of tenants, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -10,7 +10,7 @@
 QUOTAS_MUTATIONS = (
     Mutation(
         13,
-        "a lease lasts from when its answer came",
+        "a quota lease starts when the response arrives instead of when the request was sent",
         "quota.leases.append(Lease(grant.requests, grant.tokens, answered.sent_at + LEASE))",
         "quota.leases.append(Lease(grant.requests, grant.tokens, now + LEASE))",
         LIMITER,
@@ -18,7 +18,7 @@
     ),
     Mutation(
         13,
-        "an answer that is older than its lease counts",
+        "a grant that arrives after its lease expired is accepted",
         "is_expired = now - answered.sent_at >= LEASE",
         "is_expired = False",
         LIMITER,
@@ -26,7 +26,7 @@
     ),
     Mutation(
         13,
-        "an older lender is believed",
+        "a grant with an older fencing token is accepted",
         "if message.fence < self.fence or message.number not in self.open_requests:",
         "if message.number not in self.open_requests:",
         LIMITER,
@@ -34,7 +34,7 @@
     ),
     Mutation(
         13,
-        "a lender without its duty lends",
+        "a lender grants leases after losing its role",
         "        if not fence:\n            return False\n        self._refresh_terms(now)",
         "        self._refresh_terms(now)",
         SHARES,
@@ -42,7 +42,7 @@
     ),
     Mutation(
         13,
-        "what is lent is not counted",
+        "granted quota is not withdrawn from the budget",
         "        budget.ceiling.withdraw(requests, tokens)\n",
         "",
         SHARES,
@@ -50,7 +50,7 @@
     ),
     Mutation(
         13,
-        "a new lender begins with all of the burst",
+        "a new lender starts with the full burst budget",
         "        self.ceiling.add(*terms.floor_burst)\n",
         "        self.ceiling.add(*terms.burst)\n",
         SHARES,
@@ -58,7 +58,7 @@
     ),
     Mutation(
         13,
-        "floors do not come first",
+        "requests within the floor have no precedence",
         "is_in_floor = budget.floor.covers(requests, tokens)",
         "is_in_floor = False",
         SHARES,
@@ -66,7 +66,7 @@
     ),
     Mutation(
         13,
-        "the capacity is not counted",
+        "grants are not withdrawn from the total capacity",
         "        self.pool.withdraw(requests, tokens)\n",
         "",
         SHARES,
@@ -74,7 +74,7 @@
     ),
     Mutation(
         13,
-        "near the ceiling the first who asks has it",
+        "near the ceiling grants go to the first edge that asks",
         "if not (is_free or budget.is_within_floor or share.covers(requests, tokens)):",
         "if False:",
         SHARES,
@@ -82,7 +82,7 @@
     ),
     Mutation(
         13,
-        "all that is there is lent ahead",
+        "the whole budget may be granted in advance",
         "            min(max(own, MAX_AHEAD_PART * unreserved), MAX_AHEAD_PART * level) / amount",
         "            max(own, MAX_AHEAD_PART * unreserved) / amount",
         SHARES,
@@ -90,7 +90,7 @@
     ),
     Mutation(
         13,
-        "while nobody lends each router has the whole floor",
+        "without a lender each edge admits the whole floor",
         "        part = 1 / edge_count if edge_count else 0.0\n",
         "        part = 1.0\n",
         SHARES,
@@ -98,7 +98,7 @@
     ),
     Mutation(
         13,
-        "while nobody lends nothing is let in",
+        "without a lender no request is admitted",
         "            if self.is_alone and quota.spend_local(tokens, now):",
         "            if False:",
         SHARES,
@@ -106,7 +106,7 @@
     ),
     Mutation(
         13,
-        "neighbours lend each other nothing",
+        "without a lender edges do not borrow from each other",
         "        if now < quota.next_borrow_at or not self.peers:",
         "        if True:",
         SHARES,
@@ -114,7 +114,7 @@
     ),
     Mutation(
         13,
-        "what is lent to a neighbour stays",
+        "quota lent to another edge is not withdrawn locally",
         "                quota.local.withdraw(*spare)",
         "                ()",
         SHARES,
@@ -122,7 +122,7 @@
     ),
     Mutation(
         13,
-        "a router that starts has a part at once",
+        "a starting edge gets a local share before it knows the other edges",
         "edge_count = len(table.peers) if table.knows_edges else 0",
         "edge_count = len(table.peers)",
         TOWNS,
@@ -130,7 +130,7 @@
     ),
     Mutation(
         13,
-        "a core looks at its lease only with its pulse",
+        "a core checks its role lease only on its periodic tick",
         'fence = self.core.leases.holds("accountant", now)\n        request',
         "fence = self.core.quota_lease_issuer.fence\n        request",
         TOWNS,
@@ -138,7 +138,7 @@
     ),
     Mutation(
         13,
-        "each refusal is asked for",
+        "an edge requests quota again for every refused request",
         "if now < quota.exhausted_until or len(quota.pending) >= MAX_PENDING:",
         "if len(quota.pending) >= MAX_PENDING:",
         SHARES,
@@ -146,7 +146,7 @@
     ),
     Mutation(
         13,
-        "charges are not set right",
+        "charges are not corrected after a request ends",
         "        quota.give_back(event.requests, event.tokens)\n        if self.is_alone:",
         "        if self.is_alone:",
         SHARES,
@@ -154,7 +154,7 @@
     ),
     Mutation(
         13,
-        "what lapsed is not given back",
+        "unused quota of an expired lease is not returned",
         "            if now - lease.expires_at < stale_after:",
         "            if False:",
         LIMITER,
@@ -162,7 +162,7 @@
     ),
     Mutation(
         13,
-        "what did not run is charged",
+        "a request that did not run is charged",
         "        if request.run_status is RunStatus.NOT_RUN and not is_done:\n            return [UsageSettled(",
         "        if False:\n            return [UsageSettled(",
         ADMISSION,
@@ -170,7 +170,7 @@
     ),
     Mutation(
         13,
-        "a refusal bears a status that is none of a tenant's",
+        "a quota refusal is answered with another status code",
         "    if failure.kind in FINAL_REFUSALS:\n        return failure.status\n",
         "",
         ADMISSION,
@@ -178,7 +178,7 @@
     ),
     Mutation(
         13,
-        "the day's log does not say whose allowance it was",
+        "the day log omits the quota details of a request",
         "            **request.quota_details,\n",
         "",
         ADMISSION,
@@ -187,7 +187,7 @@
     ),
     Mutation(
         13,
-        "what yields takes all places",
+        "low-priority requests may use all slots of a server",
         "            limit = (limit + 1) // 2  # it runs where room is left\n",
         "            pass\n",
         ADMISSION,
@@ -195,7 +195,7 @@
     ),
     Mutation(
         13,
-        "a row is sent before it has its leave",
+        "a request is sent before its quota is granted",
         "        if tenant is None:\n            return self.entry.take(request)",
         "        if True:\n            return self.entry.take(request)",
         ADMISSION,
@@ -203,7 +203,7 @@
     ),
     Mutation(
         13,
-        "prompts that yield take all places",
+        "low-priority prompts may use all slots of a server",
         "            limit = max(1, limit // 2)  # it runs where room is left\n",
         "            pass\n",
         TOWNS,
@@ -211,7 +211,7 @@
     ),
     Mutation(
         13,
-        "prompts that yield keep their line's turn",
+        "low-priority prompts keep the turn of their queue",
         "sorted(queues.turns(weights), key=lambda turn: turn[1].is_yielding)",
         "queues.turns(weights)",
         TOWNS,
@@ -219,7 +219,7 @@
     ),
     Mutation(
         13,
-        "what yields keeps its turn",
+        "low-priority requests keep their place in the queue",
         "return request.is_yielding, request.tenant_priority, request.route.priority, request.number",
         "return request.tenant_priority, request.route.priority, request.number",
         ADMISSION,
@@ -227,7 +227,7 @@
     ),
     Mutation(
         13,
-        "prompts keep their charge",
+        "prompts are charged their estimate instead of their usage",
         "return [] if unused is None else [UsageSettled(admission_key, request.tenant, 0, max(0, unused))]",
         "return [] if unused is None else [UsageSettled(admission_key, request.tenant, 0, 0)]",
         TOWNS,
@@ -235,7 +235,7 @@
     ),
     Mutation(
         13,
-        "one caller may be in two tenants",
+        "a caller may belong to two tenants",
         "elif name in owners:",
         "elif False:",
         "tests/configuration",
@@ -243,7 +243,7 @@
     ),
     Mutation(
         13,
-        "floors may be more than the capacity",
+        "the sum of the floors may exceed the capacity",
         "sum(floors) > capacity[figure]",
         "False",
         "tests/configuration",
--- a/harness/mutations/requests.py
+++ b/harness/mutations/requests.py
@@ -1,4 +1,4 @@
-"""Guards of requests of the brief: attempts, streams, warming up, queues and the ledger, one at a time, for `python -m harness breaches`."""
+"""Mutations of attempts, streams, slow start, queues and the ledger of prompts, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -10,7 +10,7 @@
 REQUESTS_MUTATIONS = (
     Mutation(
         1,
-        "an unsafe prompt is sent again after it was sent",
+        "an unsafe prompt is retried after it was sent",
         "may_repeat = request.run_history.may_send_again(request.is_safe)",
         "may_repeat = True",
         REQUESTS,
@@ -18,7 +18,7 @@
     ),
     Mutation(
         1,
-        "'not run' is told although it was sent",
+        "a prompt that was sent is reported as not run",
         "def _handle_sent(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:\n        request.run_history.note_first_byte()\n",
         "def _handle_sent(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:\n",
         REQUESTS,
@@ -27,7 +27,7 @@
     ),
     Mutation(
         1,
-        "a key counts at one keeper only",
+        "a duplicate idempotency key is not detected between ledger keepers",
         "if isinstance(message, OpenRecords) and first is not None and first != request:",
         "if False:",
         REQUESTS,
@@ -35,7 +35,7 @@
     ),
     Mutation(
         2,
-        "a resume is not checked for the next id",
+        "a resumed stream is not checked for the next event id",
         "if not event.event_id or next_id(request.resume_from) != event.event_id:",
         "if False:",
         REQUESTS,
@@ -43,7 +43,7 @@
     ),
     Mutation(
         2,
-        "a stream whose first token is out is sent again",
+        "a stream is restarted after its first token was sent",
         "        if request.reached_client:\n            return effects + self._resume(request, failure, now)\n",
         "",
         REQUESTS,
@@ -51,7 +51,7 @@
     ),
     Mutation(
         3,
-        "an end without a finish reason counts as the end",
+        "a stream without a finish reason counts as complete",
         "if request.finish_reason is None:",
         "if False:",
         REQUESTS,
@@ -59,17 +59,24 @@
     ),
     Mutation(
         3,
-        "a cut stream is closed in good order",
+        "an interrupted stream is ended as if it were complete",
         "AbortResponse(request.call_id)]",
         'SendChunk(request.call_id, b"data: [DONE]\\n\\n")]',
         REQUESTS,
         "never_stitched",
         file="inference/settle.py",
     ),
-    Mutation(7, "resends cost nothing", "        bucket.balance -= 1\n", "", REQUESTS, "do_not_follow_every_refusal"),
     Mutation(
         7,
-        "credit is saved up without end",
+        "retries do not use the retry budget",
+        "        bucket.balance -= 1\n",
+        "",
+        REQUESTS,
+        "do_not_follow_every_refusal",
+    ),
+    Mutation(
+        7,
+        "the retry budget has no upper bound",
         (
             "        if bucket.balance < self.cap:\n"
             "            bucket.balance = min(self.cap, bucket.balance + self.ratio)\n"
@@ -80,7 +87,7 @@
     ),
     Mutation(
         8,
-        "no slow start of a model",
+        "a newly loaded model has no slow start",
         "self._allows_slow_start(name, item, is_warming, in_use.get(item, 0), now) and ",
         "",
         PLACEMENT,
@@ -88,7 +95,7 @@
     ),
     Mutation(
         8,
-        "no slow start of a server",
+        "a restarted server has no slow start",
         "name, WHOLE_SERVER, is_cold, server_window.in_use, now",
         "name, WHOLE_SERVER, False, 0, now",
         PLACEMENT,
@@ -96,7 +103,7 @@
     ),
     Mutation(
         8,
-        "a new edge takes itself for the only one",
+        "a new edge assumes that it is the only edge",
         "        if not self.table.knows_edges:\n            return False",
         "        if False:\n            return False",
         "tests/nodes/test_edge_alone.py",
@@ -104,7 +111,7 @@
     ),
     Mutation(
         11,
-        "heavy lines have no share",
+        "heavy queues are not limited to their share of the slots",
         "queue_limit = max(1, int(limit * queue.share)) if queue else 1",
         "queue_limit = limit",
         REQUESTS,
@@ -112,7 +119,7 @@
     ),
     Mutation(
         11,
-        "lookups stand in lines like prompts",
+        "lookups wait in the same queues as prompts",
         "        if request.kind == LOOKUP:\n            self.table.add_to_queue(request)\n            return []",
         "        if request.kind == LOOKUP:\n            self.table.queues.push(request.queue, request)\n            return []",
         REQUESTS,
@@ -120,7 +127,7 @@
     ),
     Mutation(
         12,
-        "open rows of a lost edge stay open",
+        "open ledger records of a lost edge are never closed",
         "        if not lost:\n            return []\n        ended_at = ",
         "        if True:\n            return []\n        ended_at = ",
         LEDGER,
@@ -128,7 +135,7 @@
     ),
     Mutation(
         12,
-        "only closings are in the day's log",
+        "the day log omits the opening of a request",
         '            record = self.find(copy.record["request"]) or copy.record\n',
         '            record = self.find(copy.record["request"]) or copy.record\n            if record["state"] == OPEN:\n                continue\n',
         LEDGER,
@@ -136,7 +143,7 @@
     ),
     Mutation(
         12,
-        "refusals at admission are not recorded",
+        "requests refused at admission are not recorded in the ledger",
         "        self.table.unstamped_records.append((now, record))\n",
         "",
         LEDGER,
@@ -144,7 +151,7 @@
     ),
     Mutation(
         12,
-        "nobody carries the records of an edge that is cut off",
+        "records of a partitioned edge are not relayed",
         "return [Send(address, message) for address in relays[:RELAY_COUNT]] if late else []",
         "return []",
         LEDGER,
@@ -152,7 +159,7 @@
     ),
     Mutation(
         12,
-        "each node believes its own wall clock",
+        "each node uses its own wall clock instead of the agreed time",
         "            self.offset = median_low(agreeing)",
         "            self.offset = self._wall() - UNIX_EPOCH - now",
         DAYS,
@@ -160,7 +167,7 @@
     ),
     Mutation(
         12,
-        "a retry is sent for the keepers only once",
+        "ledger records are resent to the keepers only once",
         "        if now - pending.sent_at > RESEND_AFTER:",
         "        if False:",
         LEDGER,
--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -1,4 +1,4 @@
-"""Guards of routing: routes, draining, evacuation, slow start, ejection, held requests and the retry budget, one at a time, for `python -m harness breaches`."""
+"""Mutations of routing, draining, evacuation, slow start, ejection, unresponsive servers and the retry budget, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -15,7 +15,7 @@
 ROUTING_MUTATIONS = (
     Mutation(
         "ROUTE",
-        "a request does not say whom it is meant for",
+        "a forwarded request lacks the header that names the intended server instance",
         ", (self.INSTANCE, instance), ",
         ", ",
         PROXY_PIPELINE,
@@ -23,7 +23,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a client's own word of whom it is meant for goes on",
+        "a client's own instance header is forwarded",
         "own = {self.DEADLINE, self.INSTANCE, ",
         "own = {self.DEADLINE, ",
         PROXY_PIPELINE,
@@ -31,7 +31,7 @@
     ),
     Mutation(
         "ROUTE",
-        "servers of other services are asked",
+        "servers of other services are selected",
         'if server.get("service") == service and self.is_usable',
         "if self.is_usable",
         PROXY_PIPELINE,
@@ -39,7 +39,7 @@
     ),
     Mutation(
         "ROUTE",
-        "what came in just after waking goes by the old catalogue",
+        "a request received just after a resume uses the outdated configuration",
         "if request.needs_recheck and not self._has_same_route(request):",
         "if False:",
         PROXY_PIPELINE,
@@ -47,7 +47,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a node that is not in touch says 404",
+        "a node with an unproven configuration answers 404",
         "if trust is not Trust.FRESH:  # just",
         "if False:  # just",
         PROXY_PIPELINE,
@@ -55,7 +55,7 @@
     ),
     Mutation(
         "ROUTE",
-        "bytes that would be sent in another form are passed",
+        "a request target that would be re-encoded is forwarded",
         'request.method == "CONNECT"\n        or "#" in request.raw_path\n        or ',
         "False and ",
         FORWARD,
@@ -63,7 +63,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a field that cannot be sent as it came is passed",
+        "a header value that cannot be sent unchanged is forwarded",
         "if any(UNSENDABLE.search(value) for value in request.headers.values()):",
         "if False:",
         FORWARD,
@@ -71,7 +71,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a coding of the transfer that is not passed on is lost",
+        "an unsupported transfer coding is dropped silently",
         '"chunked").lower() != "chunked":',
         '"chunked").lower() == "":',
         FORWARD,
@@ -79,7 +79,7 @@
     ),
     Mutation(
         "DRAIN",
-        "leaving servers are asked",
+        "draining servers are selected",
         'not server["leaving"]\n            and ',
         "",
         PROXY_PIPELINE,
@@ -88,7 +88,7 @@
     ),
     Mutation(
         "DRAIN",
-        "word that servers leave does not count",
+        "the early notice of draining servers is ignored",
         "            and self.avoided_until.get(name, now) <= now\n",
         "",
         PROXY_PIPELINE,
@@ -97,7 +97,7 @@
     ),
     Mutation(
         "DRAIN",
-        "a holder orders loads at leaving servers",
+        "a placer sends load orders to draining servers",
         'server.is_draining = bool(item["leaving"]) or',
         "server.is_draining =",
         PROVISION,
@@ -105,7 +105,7 @@
     ),
     Mutation(
         "EVAC",
-        "servers in a closed area are asked",
+        "servers in an evacuated zone are selected",
         '            and self.state.is_open(server["area"])\n',
         "",
         PROXY_PIPELINE,
@@ -114,7 +114,7 @@
     ),
     Mutation(
         "EVAC",
-        "a node that is cut off goes on in other areas",
+        "a partitioned node continues to use servers in other zones",
         'is_reachable_zone = trust is not Trust.DISCONNECTED or server["area"] == self.zone',
         "is_reachable_zone = True",
         PROXY_PIPELINE,
@@ -123,7 +123,7 @@
     ),
     Mutation(
         "EVAC",
-        "a node that just woke goes on sending",
+        "a node that has just resumed sends requests before its state is confirmed",
         "if trust in (Trust.EMPTY, Trust.UNPROVEN):\n            return []\n        table.refresh()",
         "if trust is Trust.EMPTY:\n            return []\n        table.refresh()",
         PROXY_PIPELINE,
@@ -132,7 +132,7 @@
     ),
     Mutation(
         "EVAC",
-        "a holder orders loads in closed areas",
+        "a placer sends load orders in evacuated zones",
         ' or item["area"] in evacuated',
         "",
         PROVISION,
@@ -140,7 +140,7 @@
     ),
     Mutation(
         "BUDGET",
-        "resends cost nothing",
+        "retries do not use the retry budget",
         "request.needs_credit = request.needs_credit or bool(request.sent_to)",
         "request.needs_credit = False",
         PROXY_PIPELINE,
@@ -148,7 +148,7 @@
     ),
     Mutation(
         "BUDGET",
-        "requests for one service pay for resends at another",
+        "retries of one service use the retry budget of another",
         "        if key not in self._buckets:\n",
         '        key = ""\n        if key not in self._buckets:\n',
         BUDGETS,
@@ -156,7 +156,7 @@
     ),
     Mutation(
         "BUDGET",
-        "an edge that was cut off for long keeps its part of the savings",
+        "an edge that was isolated for long keeps its share of the retry budget",
         "return 0.0 if is_isolated else share_of_savings(slack, rank, edge_count)",
         "return share_of_savings(slack, rank, edge_count)",
         BUDGETS,
@@ -164,7 +164,7 @@
     ),
     Mutation(
         "BUDGET",
-        "what all edges saved up is not bounded",
+        "the retry budget of all edges together is not bounded",
         "self.retry_budget.cap = self._savings(self.settings.resend_slack, rank, len(peers), now)",
         "pass",
         PROXY_PIPELINE,
@@ -172,7 +172,7 @@
     ),
     Mutation(
         "BUDGET",
-        "every edge may save up a credit, however many there are",
+        "every edge may save a retry credit regardless of the number of edges",
         "return 1.0 if rank < int(total) else 0.0",
         "return 1.0",
         BUDGETS,
@@ -180,7 +180,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a request goes back at once to the server that shed it",
+        "a request is retried at once at the server that shed it",
         "return name in request.failed_servers and self.table.server_window(name).is_overloaded(now)",
         "return False",
         BUDGETS,
@@ -188,7 +188,7 @@
     ),
     Mutation(
         "HELD",
-        "a request waits for a rest that is too long for it",
+        "a request waits for a back-off that ends after its deadline",
         "if until > _room_by(request):",
         "if False:",
         BUDGETS,
@@ -196,7 +196,7 @@
     ),
     Mutation(
         "BUDGET",
-        "what was borrowed is kept",
+        "borrowed retry credit does not expire",
         "if bucket.balance > self.cap and now >= bucket.borrowed_until:",
         "if False:",
         BUDGETS,
@@ -204,7 +204,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a request goes to any number of servers",
+        "the number of servers tried per request is not limited",
         "if len(request.sent_to) < request.route.tries:\n        return usable",
         "if True:\n        return usable",
         STREAMS,
@@ -212,7 +212,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a request goes round for ever",
+        "the number of attempts per request is not limited",
         "has_tries_left = request.arrivals - request.stale_arrivals < request.route.tries",
         "has_tries_left = True",
         PROXY_PIPELINE,
@@ -220,7 +220,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a dead kept connection is no try however often",
+        "every failure of a stale connection is exempt from the attempt limit",
         "is_stale = failure.kind is FailureKind.RESET and request.is_reused and request.response is None\n        if is_stale and not request.stale_arrivals:",
         "is_stale = failure.kind is FailureKind.RESET and request.is_reused and request.response is None\n        if is_stale:",
         PROXY_PIPELINE,
@@ -228,7 +228,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a dead kept connection uses a try up",
+        "the failure of a stale connection counts as an attempt",
         "            request.stale_arrivals += 1",
         "            pass",
         PROXY_PIPELINE,
@@ -236,7 +236,7 @@
     ),
     Mutation(
         "HELD",
-        "a silent server is left without credit for another",
+        "an unresponsive server is abandoned without retry budget for another",
         "(is_paid and not self.table.retry_budget.spend(service_key(request.service)))",
         "False",
         PROXY_PIPELINE,
@@ -244,7 +244,7 @@
     ),
     Mutation(
         "HELD",
-        "a silent server is left for none",
+        "an unresponsive server is abandoned although there is no other server",
         "            or not self.server_selection.has_other_server(request, now)\n",
         "",
         PROXY_PIPELINE,
@@ -252,7 +252,7 @@
     ),
     Mutation(
         "HELD",
-        "a silent server is left when no try is left",
+        "an unresponsive server is abandoned after the last permitted attempt",
         "            not self.resend.may_resend(request)\n            or not self.server_selection",
         "            not self.server_selection",
         PROXY_PIPELINE,
@@ -260,7 +260,7 @@
     ),
     Mutation(
         "HELD",
-        "a path on which nothing is acknowledged ends what can go on nowhere",
+        "an unacknowledged connection is ended although its request cannot be retried",
         "protocol.set_watched(call.reuse is ConnectionReuse.ALWAYS)",
         "protocol.set_watched(True)",
         KEPT,
@@ -269,7 +269,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "cold servers are not bounded",
+        "the request rate to cold servers is not limited",
         "return not self._is_cold(name, service, now) or ",
         "return True or ",
         PROXY_PIPELINE,
@@ -277,7 +277,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "each edge takes all that a cold server bears",
+        "each edge uses the whole cold-start rate of a server",
         "server_window.may_send_cold(rate / self.edges, now)",
         "server_window.may_send_cold(rate, now)",
         PROXY_PIPELINE,
@@ -285,7 +285,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "what goes to a cold server is not counted",
+        "requests to a cold server are not counted",
         "            table.count_cold_request(server_window, request.service, now)",
         "            pass",
         PROXY_PIPELINE,
@@ -293,7 +293,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "what a cold server bears is saved up",
+        "the token bucket of a cold server has no upper limit",
         "self.cold_tokens = min(1.0, self.cold_tokens + per_second * (now - self.cold_tokens_at).total_seconds())",
         "self.cold_tokens += per_second * (now - self.cold_tokens_at).total_seconds()",
         PROXY_PIPELINE,
@@ -301,7 +301,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "each edge begins with a whole request for a cold server",
+        "each edge starts with a full token for a cold server",
         "return self.edges > self._saved(rate)",
         "return False",
         COLD,
@@ -309,7 +309,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "the windows of all edges at a cold server are open at once",
+        "the edges do not stagger their requests to a cold server",
         "agreed.total_seconds() - self.rank / rate",
         "agreed.total_seconds()",
         COLD,
@@ -317,7 +317,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a silent server is left for one that rests",
+        "an unresponsive server is abandoned for one that is backing off",
         "self._has_room(request, name, server, now) and not self._is_backing_off(request, name, now)",
         "self._has_room(request, name, server, now)",
         PROXY_PIPELINE,
@@ -325,7 +325,7 @@
     ),
     Mutation(
         "OUTLIER",
-        "each edge keeps what it saw of failing servers to itself",
+        "edges do not share their failure counts of servers",
         "own.failures < MIN_FAILURES or failure_rate < MIN_FAILURE_RATE",
         "True",
         OUTLIERS,
@@ -333,7 +333,7 @@
     ),
     Mutation(
         "OUTLIER",
-        "what fails everywhere is ejected",
+        "a server is ejected although the failure rate is high everywhere",
         "return failure_rate >= MIN_RATE_RATIO * failures / max(successes + failures, 1.0)",
         "return True",
         OUTLIERS,
@@ -341,7 +341,7 @@
     ),
     Mutation(
         "OUTLIER",
-        "any number of servers is ejected at once",
+        "the number of ejected servers is not limited",
         "candidates[: max(0, len(of_service) // SERVERS_PER_EJECTION - ejected_count)]",
         "candidates",
         OUTLIERS,
@@ -349,7 +349,7 @@
     ),
     Mutation(
         "OUTLIER",
-        "an ejected server is drawn as any other",
+        "an ejected server is selected like any other",
         "EJECTED_COST_MS * table.is_ejected(name, now)",
         "0",
         OUTLIERS,
@@ -357,7 +357,7 @@
     ),
     Mutation(
         "FAILBACK",
-        "a server's word that it is cold does not count",
+        "a server's own report that it is cold is ignored",
         "if response.cold_ms:",
         "if False:",
         PROXY_PIPELINE,
@@ -365,7 +365,7 @@
     ),
     Mutation(
         "EVAC",
-        "a start that was held up overtakes the finish",
+        "a delayed evacuation order takes effect after the later restore",
         "if is_overtaken(seen, state.evacuation_changed_at.get(zone, 0)):",
         "if False:",
         ORDERS,
--- a/harness/mutations/runner.py
+++ b/harness/mutations/runner.py
@@ -1,4 +1,4 @@
-"""python -m harness breaches: takes one guard out at a time, in a scratch copy, and runs the tests that should fail."""
+"""python -m harness breaches: removes one guard at a time from a temporary copy and runs the tests that must fail."""
 
 import argparse
 from collections.abc import Sequence
@@ -37,14 +37,15 @@
 def main(arguments: Sequence[str] | None = None):
     parser = argparse.ArgumentParser(prog="python -m harness mutations", description=__doc__)
     parser.add_argument(
-        "--rule", help="only those of one rule (0: the order of changes; or a rule of the platform's pages, as MIXED)"
+        "--rule",
+        help="run only the mutations of one rule (0: the order of changes; or a rule of the platform, such as MIXED)",
     )
-    parser.add_argument("--workers", type=int, default=8, help="how many are tried at once")
+    parser.add_argument("--workers", type=int, default=8, help="number of mutations tested in parallel")
     given = parser.parse_args(arguments)
     chosen = [mutation for mutation in MUTATIONS if given.rule is None or str(mutation.rule) == given.rule]
     if not chosen:
-        parser.error(f"no mutation is of rule {given.rule}")
-    print("| rule | taken out | stories | |\n|---|---|---|---|")
+        parser.error(f"there is no mutation of rule {given.rule}")
+    print("| rule | fault | tests | result |\n|---|---|---|---|")
     with ThreadPoolExecutor(given.workers) as pool:
         verdicts = list(pool.map(Mutation.verdict, chosen))
     for mutation, verdict in zip(chosen, verdicts, strict=True):
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -1,4 +1,4 @@
-"""Guards of graceful shutdown, limits of clients and requests that wait for the configuration, one at a time, for `python -m harness breaches`."""
+"""Mutations of graceful shutdown, client limits and requests parked for a configuration, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -10,7 +10,14 @@
 CONNECTION_ENDS = "tests/transport/test_connection_ends.py"
 
 SHUTDOWN_MUTATIONS = (
-    Mutation("LOST", "a shut front lets in", "if table.is_closed:", "if False:", LEAVING, "once_the_front_is_shut"),
+    Mutation(
+        "LOST",
+        "a closed proxy server admits requests",
+        "if table.is_closed:",
+        "if False:",
+        LEAVING,
+        "once_the_front_is_shut",
+    ),
     Mutation(
         "LOST",
         "a request is handled on a connection that this node has closed",
@@ -21,7 +28,7 @@
     ),
     Mutation(
         "LOST",
-        "a shut front goes on taking connections",
+        "a closed proxy server continues to accept connections",
         "        self.listener.close()\n        resting",
         "        resting",
         LEAVING,
@@ -29,7 +36,7 @@
     ),
     Mutation(
         "LOST",
-        "idle connections stay when the front is shut",
+        "idle connections stay open when the proxy server closes",
         "self._close_resting(resting, TURNS_LEFT_UNREAD)",
         "pass",
         LEAVING,
@@ -37,7 +44,7 @@
     ),
     Mutation(
         "LOST",
-        "the sweep closes a connection whose request lies unread",
+        "the idle sweep closes a connection with an unread request",
         "return ConnectionEnd.IDLE if self.may_be_ended else None",
         "return ConnectionEnd.IDLE",
         CONNECTION_ENDS,
@@ -45,7 +52,7 @@
     ),
     Mutation(
         "LOST",
-        "a shut front closes a connection whose request lies unread",
+        "a closing proxy server closes a connection with an unread request",
         "if connection.may_be_ended]",
         "if connection.is_resting]",
         CONNECTION_ENDS,
@@ -53,7 +60,7 @@
     ),
     Mutation(
         "LOST",
-        "bytes of a request leave its connection resting until the handler begins",
+        "a connection counts as idle until the handler of its request starts",
         "            self._change_state(ConnectionState.READING)\n        super()",
         "            pass\n        super()",
         CONNECTION_ENDS,
@@ -61,7 +68,7 @@
     ),
     Mutation(
         "LOST",
-        "a shut front goes on reading what it will not answer",
+        "a closed proxy server continues to read requests that it will not answer",
         "connection.pause()  # what",
         "pass  # what",
         LEAVING,
@@ -69,7 +76,7 @@
     ),
     Mutation(
         "LOST",
-        "a leaving node's answers do not say that they are the last",
+        'responses of a draining node lack "Connection: close"',
         'return (*headers, ("Connection", "close")) if self.is_draining else headers',
         "return headers",
         PROXY_PIPELINE,
@@ -77,7 +84,7 @@
     ),
     Mutation(
         "LOST",
-        "the front is shut before anybody can have seen that it is not ready",
+        "the proxy server closes before load balancers can notice the failing readiness check",
         " or open_for < MIN_OPEN_TIME:",
         ":",
         LEAVING,
@@ -85,7 +92,7 @@
     ),
     Mutation(
         "LOST",
-        "the front is shut while clients come",
+        "the proxy server closes while clients still connect",
         "return now - self.quiet_since > QUIET_TIME or",
         "return True or",
         LEAVING,
@@ -93,16 +100,23 @@
     ),
     Mutation(
         "LOST",
-        "the front is never shut while clients come",
+        "the proxy server never closes while clients still connect",
         " or open_for >= MAX_OPEN_FRACTION * self.grace",
         "",
         LEAVING,
         "clients_go_on",
     ),
-    Mutation("LOST", "no last words", "effects += pipeline.take(DrainEnded(), now)", "pass", LEAVING, "last_words"),
     Mutation(
         "LOST",
-        "last words are spoken as soon as the front is shut",
+        "a draining edge does not send its final messages",
+        "effects += pipeline.take(DrainEnded(), now)",
+        "pass",
+        LEAVING,
+        "last_words",
+    ),
+    Mutation(
+        "LOST",
+        "the final messages are sent as soon as the proxy server is closed",
         "if self.stop_by is not None and now >= self.stop_by:",
         "if self.is_proxy_server_closed:",
         LEAVING,
@@ -110,7 +124,7 @@
     ),
     Mutation(
         "LOST",
-        "the node leaves with requests in hand",
+        "the node stops while requests are in progress",
         "is_done and self.is_proxy_server_closed and not has_requests",
         "self.is_proxy_server_closed",
         LEAVING,
@@ -118,7 +132,7 @@
     ),
     Mutation(
         "LOST",
-        "a leaving node says that it is ready",
+        "a draining node reports that it is ready",
         "and not is_leaving and is_open",
         "and is_open",
         LEAVING,
@@ -126,7 +140,7 @@
     ),
     Mutation(
         "LOST",
-        "the process ends before its last words are out",
+        "the process ends before its final messages are sent",
         "await asyncio.sleep(LAST_MESSAGES.total_seconds())",
         "pass",
         LEAVING,
@@ -134,7 +148,7 @@
     ),
     Mutation(
         "LOST",
-        "half a head keeps its connection for ever",
+        "an incomplete request head keeps its connection open forever",
         "            if not self.is_resting:\n                return ConnectionEnd.SLOW_HEAD\n",
         "            if not self.is_resting:\n                return None\n",
         HTTP_ADDRESS,
@@ -142,7 +156,7 @@
     ),
     Mutation(
         "LOST",
-        "the sweep closes connections in use",
+        "the idle sweep closes connections in use",
         "        if self.state is ConnectionState.SERVING:\n            return None\n",
         "",
         HTTP_ADDRESS,
@@ -150,7 +164,7 @@
     ),
     Mutation(
         "LOST",
-        "idle time before an answer counts after it",
+        "idle time before a response counts towards the timeout after it",
         "        self.state = state\n        self.swept_since = None",
         "        self.state = state",
         HTTP_ADDRESS,
@@ -158,7 +172,7 @@
     ),
     Mutation(
         "LOST",
-        "each signal to leave begins the grace anew",
+        "each further stop signal restarts the grace period",
         "        if self.shutdown.has_begun:\n            return []\n",
         "",
         LEAVING,
@@ -167,7 +181,7 @@
     ),
     Mutation(
         "LOST",
-        "an edge leaves while requests wait for its routes",
+        "an edge stops while requests are parked for a configuration",
         "proxy_pipeline.table.requests or proxy_pipeline.table.parked_requests",
         "proxy_pipeline.table.requests",
         LEAVING,
@@ -175,7 +189,7 @@
     ),
     Mutation(
         "LOST",
-        "an effect that fails takes the others with it",
+        "an effect that raises prevents the remaining effects",
         '        except Exception as error:\n            fields = {"kind": type(effect).__name__, "error": repr(error)}',
         '        except ArithmeticError as error:\n            fields = {"kind": type(effect).__name__, "error": repr(error)}',
         DAEMON,
@@ -183,7 +197,7 @@
     ),
     Mutation(
         "LOST",
-        "a process ends before its answers have left it",
+        "a process ends before its responses are written",
         "while loop.time() < self.write_until and any(",
         "while False and any(",
         DAEMON,
@@ -191,7 +205,7 @@
     ),
     Mutation(
         "LOST",
-        "a call that is cancelled with its client's task tells nothing",
+        "a call that is cancelled with its client's task reports no failure",
         "            if call_id not in self.tasks:\n                raise\n",
         "            raise\n",
         "tests/transport/test_http_client.py",
@@ -199,7 +213,7 @@
     ),
     Mutation(
         "LOST",
-        "a resting connection is closed though a request has begun on it meanwhile",
+        "an idle connection is closed although a request has started on it",
         "            if connection.is_resting:\n                connection.end(ConnectionEnd.LEAVING)\n            else:",
         "            if True:\n                connection.end(ConnectionEnd.LEAVING)\n            else:",
         CONNECTION_ENDS,
@@ -207,7 +221,7 @@
     ),
     Mutation(
         "LOST",
-        "a connection rests by the limit at the first sweep",
+        "a connection uses the idle timeout of the first sweep instead of its own",
         "        self.idle_limit = idle_limit\n        self._change_state",
         "        self.idle_limit = 0.0\n        self._change_state",
         LIMITS,
@@ -215,7 +229,7 @@
     ),
     Mutation(
         "LOST",
-        "a core ends with operators' calls unanswered",
+        "a core stops without answering pending operator requests",
         "[*effects, *core.api.close(), *end] if end else effects",
         "[*effects, *end]",
         "tests/nodes/test_core_shutdown.py",
@@ -223,7 +237,7 @@
     ),
     Mutation(
         "LIMITS",
-        "any head is taken",
+        "the size of request heads is not limited",
         "if header_size(request) > self.limits.header_bytes:",
         "if False:",
         LIMITS,
@@ -231,7 +245,7 @@
     ),
     Mutation(
         "LIMITS",
-        "half a body keeps its connection",
+        "an incomplete request body keeps its connection open",
         "async with asyncio.timeout(self.limits.idle_timeout):",
         "async with asyncio.timeout(None):",
         LIMITS,
@@ -239,7 +253,7 @@
     ),
     Mutation(
         "LIMITS",
-        "half a head is given the idle time",
+        "an incomplete request head gets the idle timeout instead of the header timeout",
         "now - self.head_since > limits.header_timeout",
         "False",
         LIMITS,
@@ -247,7 +261,7 @@
     ),
     Mutation(
         "LIMITS",
-        "a shorter limit ends connections that rest already",
+        "a shorter idle timeout applies to connections that are already idle",
         "max(self.idle_limit, limits.idle_timeout)",
         "limits.idle_timeout",
         LIMITS,
@@ -255,7 +269,7 @@
     ),
     Mutation(
         "LIMITS",
-        "a longer limit comes too late for connections that rest",
+        "a longer idle timeout does not apply to connections that are already idle",
         "max(self.idle_limit, limits.idle_timeout)",
         "self.idle_limit",
         LIMITS,
@@ -263,7 +277,7 @@
     ),
     Mutation(
         "LIMITS",
-        "the library's own timer ends connections that rest",
+        "the HTTP library's own keep-alive timer closes idle connections",
         '"keepalive_timeout": NEVER',
         '"keepalive_timeout": 15.0',
         LIMITS,
@@ -271,7 +285,7 @@
     ),
     Mutation(
         "LIMITS",
-        "an edge does not tell its front",
+        "an edge does not pass the client limits to its proxy server",
         "return [ApplyClientLimits(catalogue.limits)]",
         "return []",
         LIMITS,
@@ -279,7 +293,7 @@
     ),
     Mutation(
         "PARKED",
-        "any number of requests waits for a catalogue",
+        "the number of requests parked for a configuration is not limited",
         " or len(parked) >= MAX_REQUESTS:",
         ":",
         PROXY_PIPELINE,
@@ -287,7 +301,7 @@
     ),
     Mutation(
         "PARKED",
-        "a request waits for a catalogue for ever",
+        "a request is parked for a configuration without a timeout",
         "if now - arrived_at >= min(MAX_PARK_TIME, patience * PARK_FRACTION) or",
         "if",
         PROXY_PIPELINE,
@@ -295,7 +309,7 @@
     ),
     Mutation(
         "PARKED",
-        "what hung up while it waited is let in",
+        "a parked request is admitted after its client disconnected",
         "self.table.parked_requests.pop(event.call_id, None)",
         "pass",
         PROXY_PIPELINE,
@@ -303,7 +317,7 @@
     ),
     Mutation(
         "PARKED",
-        "any number of requests is in hand",
+        "the number of requests in progress is not limited",
         "if len(table.requests) >= MAX_REQUESTS:",
         "if False:",
         PROXY_PIPELINE,
--- a/harness/mutations/storage.py
+++ b/harness/mutations/storage.py
@@ -1,4 +1,4 @@
-"""Guards of files on disk, one at a time, for `python -m harness breaches`."""
+"""Mutations of the storage of files on disk, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -7,7 +7,7 @@
 STORAGE_MUTATIONS = (
     Mutation(
         "DISK",
-        "a batch does not know its number",
+        "a batch header with a wrong generation or sequence number is accepted",
         "if not (is_of_this_generation and follows):",
         "if False:",
         STORAGE,
@@ -15,7 +15,7 @@
     ),
     Mutation(
         "DISK",
-        "a batch of an earlier life of the file proves damage",
+        "a batch of an earlier generation of the file is reported as damage",
         "if header is not None and (position.number == 0 or header.generation == position.generation):",
         "if header is not None:",
         STORAGE,
@@ -23,7 +23,7 @@
     ),
     Mutation(
         "DISK",
-        "the end of an unsynced batch is kept",
+        "a torn batch at the end of a file is accepted",
         "if len(body) < header.length or zlib.crc32(body) != header.checksum:",
         "if len(body) < header.length:",
         STORAGE,
@@ -31,7 +31,7 @@
     ),
     Mutation(
         "DISK",
-        "a later batch proves nothing",
+        "an intact later batch does not reveal damage before it",
         "if header.number > position.number + 1 or (position.number == 0 and offset > position.length):",
         "if False:",
         STORAGE,
@@ -39,7 +39,7 @@
     ),
     Mutation(
         "DISK",
-        "after a refusal it goes on where the bytes end",
+        "a write after a failed one does not truncate the partial bytes",
         "            self.file_system.truncate(name, position.length)\n        self.unsynced",
         "            pass\n        self.unsure",
         STORAGE,
@@ -48,7 +48,7 @@
     ),
     Mutation(
         "DISK",
-        "a file is made under its own name",
+        "a new file is created under its final name",
         "if step.kind is WriteKind.REWRITE or step.file not in self.positions:",
         "if step.kind is WriteKind.REWRITE:",
         STORAGE,
@@ -57,7 +57,7 @@
     ),
     Mutation(
         "DISK",
-        "a renamed file's folder is not synced",
+        "the folder is not synced after a rename",
         "        self.file_system.rename(temporary, name)\n        self.file_system.sync_folder()\n",
         "        self.file_system.rename(temporary, name)\n",
         STORAGE,
@@ -65,7 +65,7 @@
     ),
     Mutation(
         "DISK",
-        "what a killed process left is not synced",
+        "files left by a killed process are not synced at the start",
         "            self.file_system.sync(name)",
         "            pass",
         STORAGE,
@@ -74,7 +74,7 @@
     ),
     Mutation(
         "DISK",
-        "a start does not sync the folder",
+        "the folder is not synced at the start",
         "            self._settle(name, content.position)\n        files.sync_folder()\n",
         "            self._settle(name, content.position)\n",
         STORAGE,
@@ -83,7 +83,7 @@
     ),
     Mutation(
         "DISK",
-        "a new folder's parent is not synced",
+        "the parent of a new folder is not synced",
         "            _sync_folder(folder.parent)",
         "            pass",
         STORAGE,
@@ -91,7 +91,7 @@
     ),
     Mutation(
         "DISK",
-        "a core without its ledger is who it was",
+        "a core that lost its ledger keeps its identity",
         '            damaged = dict.fromkeys(given_up, f"given up together with {lost[0]}") | damaged\n',
         "            pass\n",
         STORAGE,
@@ -99,7 +99,7 @@
     ),
     Mutation(
         "DISK",
-        "a damaged file is read as far as it goes",
+        "a damaged file is read up to the damage",
         "for name, content in contents.items() if content.damage}",
         "for name, content in contents.items() if False}",
         "tests/nodes/test_disk_faults.py",
@@ -108,7 +108,7 @@
     ),
     Mutation(
         "DISK",
-        "rows are acknowledged before the lines of the day",
+        "ledger records are acknowledged before the day log is written",
         "return (file != self.first_file, waiting.kind is not WriteKind.DAY_LOG, waiting.since)",
         "return (file != self.first_file, waiting.since)",
         STORAGE,
@@ -116,7 +116,7 @@
     ),
     Mutation(
         "DISK",
-        "what waits for a rewrite is kept too",
+        "records queued before a rewrite are written in addition",
         "        if step.kind is WriteKind.REWRITE:\n            waiting.records = []\n",
         "",
         STORAGE,
@@ -124,7 +124,7 @@
     ),
     Mutation(
         "DISK",
-        "half a line stays before the next",
+        "a partial line stays in the day log before the next one",
         "        if whole != raw:",
         "        if False:",
         STORAGE,
@@ -132,7 +132,7 @@
     ),
     Mutation(
         "DISK",
-        "a day's file is made before the one before it has its name",
+        "the next day log is created before the rename of the previous one is synced",
         "        self.file_system.sync_folder()  # else the new name",
         "        # else the new name",
         STORAGE,
@@ -140,7 +140,7 @@
     ),
     Mutation(
         "DISK",
-        "day logs grow without bound",
+        "the total size of the day logs is not limited",
         "            if sum(sizes.values()) + self.segment_bytes <= self.max_bytes:",
         "            if True:",
         STORAGE,
@@ -148,7 +148,7 @@
     ),
     Mutation(
         "DISK",
-        "the ledger is bounded by rows only",
+        "the ledger is bounded by records but not by bytes",
         "self.stored_records <= self.rewrite_above.records and self.stored_bytes <= self.rewrite_above.bytes",
         "self.stored_records <= self.rewrite_above.records",
         STORAGE,
@@ -156,7 +156,7 @@
     ),
     Mutation(
         "DISK",
-        "a core whose disk is full goes on as if it were not",
+        "a core with a full disk does not step aside",
         "        self.is_disk_taking = False\n        return effects",
         "        return effects",
         "tests/nodes/test_disk_faults.py",
@@ -164,7 +164,7 @@
     ),
     Mutation(
         "DISK",
-        "a duty that was given back is held again",
+        "a role that was released is held again under the same fencing token",
         "return fence <= self.released.get(role, 0)",
         "return False",
         "tests/nodes/test_disk_faults.py",
@@ -172,7 +172,7 @@
     ),
     Mutation(
         "DISK",
-        "a core whose disk is full keeps its duties",
+        "a core with a full disk keeps its role leases",
         "        released = self.leases.take(lease_events.Quit(), now)\n        effects",
         "        released = []\n        effects",
         "tests/nodes/test_disk_faults.py",
@@ -180,7 +180,7 @@
     ),
     Mutation(
         "DISK",
-        "a refused write ends the disk's task",
+        "a failed write ends the disk task",
         "            except OSError as error:\n                self.queue.fail_step(str(error))\n                self.check_state()\n",
         "            except ValueError:\n                pass\n",
         "tests/nodes/test_disk_faults.py",
@@ -188,7 +188,7 @@
     ),
     Mutation(
         "DISK",
-        "a process waits for its hanging disk",
+        "a hanging disk write blocks the event loop",
         "await worker.call(self.folder.write, step)",
         "self.folder.write(step)",
         "tests/nodes/test_disk_faults.py",
@@ -197,7 +197,7 @@
     ),
     Mutation(
         "DISK",
-        "an image changes with the state",
+        "a stored snapshot changes with the state",
         '"duties": {role: tuple(holder) for role, holder in state.duties.items()}',
         '"duties": state.duties',
         "tests/control_state",
--- a/harness/mutations/tenants.py
+++ b/harness/mutations/tenants.py
@@ -1,4 +1,4 @@
-"""Guards of tenants and keys on the path of forwarded requests, one at a time, for `python -m harness breaches`."""
+"""Mutations of the tenants and API keys of forwarded requests, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -10,7 +10,7 @@
 TENANT_MUTATIONS = (
     Mutation(
         "UNASKED",
-        "a server is handed the client's key",
+        "the client's API key is forwarded to the server",
         "self.LAST_EVENT, self.CREDENTIAL, self.TENANT}",
         "self.LAST_EVENT, self.TENANT}",
         TENANTS,
@@ -18,7 +18,7 @@
     ),
     Mutation(
         "UNASKED",
-        "a client names its tenant itself",
+        "a tenant header sent by the client is forwarded",
         "self.LAST_EVENT, self.CREDENTIAL, self.TENANT}",
         "self.LAST_EVENT, self.CREDENTIAL}",
         TENANTS,
@@ -26,7 +26,7 @@
     ),
     Mutation(
         "UNASKED",
-        "a deciding header may be stated twice",
+        "a repeated header that determines the routing is accepted",
         "        if metadata.repeated_headers:",
         "        if False:",
         TENANTS,
@@ -34,7 +34,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a request without a key runs",
+        "a request without an API key is admitted",
         "if owner is None and not route.public:",
         "if False:",
         TENANTS,
@@ -42,7 +42,7 @@
     ),
     Mutation(
         "ROUTE",
-        "of two keys the first counts",
+        "the first of two API keys is used",
         "        if len(credentials) > 1:",
         "        if False:",
         TENANTS,
@@ -50,7 +50,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a tenant without keys leaves the routes open",
+        "the routes of a tenant without API keys are open",
         "return bool(self.keys) or not (self.callers or self.http_routes)",
         "return bool(self.keys)",
         REVOKED,
@@ -58,7 +58,7 @@
     ),
     Mutation(
         "CONFIG",
-        "what waits keeps the key that it came with",
+        "a waiting request keeps a revoked API key",
         "        if request.checked_generation == table.generation:\n            return None",
         "        return None",
         REVOKED,
@@ -66,7 +66,7 @@
     ),
     Mutation(
         "CONFIG",
-        "the tenant of a key is the one that it was at first",
+        "a request continues although its API key now belongs to another tenant",
         "return None if tenant == request.tenant else",
         "return None if True else",
         REVOKED,
@@ -74,7 +74,7 @@
     ),
     Mutation(
         "CONFIG",
-        "an unknown key is refused for good by a node that may be behind",
+        "a node with a possibly outdated configuration rejects an unknown API key permanently",
         "if trust is not Trust.FRESH:  # a key may be new",
         "if False:  # a key may be new",
         REVOKED,
@@ -82,7 +82,7 @@
     ),
     Mutation(
         "CONFIG",
-        "keys are believed for as long as a node is cut off",
+        "API keys never expire on a partitioned node",
         "return lifetime is not None and now - self.follower.proved_at > lifetime",
         "return False",
         REVOKED,
@@ -90,7 +90,7 @@
     ),
     Mutation(
         "CONFIG",
-        "what is carried is replaced as a whole",
+        "the extra fields of a document are replaced as a whole",
         "changed[EXTRA] = _change_carried(base.get(EXTRA, {}), part.get(EXTRA, {}), removals.get(EXTRA, {}))",
         "changed[EXTRA] = part.get(EXTRA, {})",
         PARTS,
@@ -98,7 +98,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a key may be of two tenants",
+        "an API key may belong to two tenants",
         "holders.setdefault(key, index) != index:",
         "False:",
         DOCUMENTS,
@@ -106,7 +106,7 @@
     ),
     Mutation(
         "QUOTA",
-        "the burst that an operator states counts for nothing",
+        "the configured burst of a tenant is ignored",
         "if requests is None or rates.requests == UNBOUND:",
         "if True:",
         DOCUMENTS,
@@ -114,7 +114,7 @@
     ),
     Mutation(
         "QUOTA",
-        "the whole floor of a burst is let in uncounted",
+        "the whole floor share of a burst is admitted without accounting",
         "min(MAX_UNCOUNTED_BURST, tenant.burst * tenant.floor)",
         "tenant.burst * tenant.floor",
         "tests/quotas/test_quota_bound.py",
@@ -122,7 +122,7 @@
     ),
     Mutation(
         "CONFIG",
-        "a route's priority goes before the tenant's",
+        "the priority of a route takes precedence over that of the tenant",
         "request.is_yielding, request.tenant_priority, request.route.priority, request.number",
         "request.is_yielding, request.route.priority, request.tenant_priority, request.number",
         REVOKED,
