--- a/harness/model_checking/__main__.py
+++ b/harness/model_checking/__main__.py
@@ -12,21 +12,21 @@
 
 from harness.model_checking.explore import CounterExample, Search
 from harness.model_checking.explore import replay as replay_steps
+from harness.model_checking.schedule import Schedule, load, play, save
 from harness.model_checking.shrink import Shrinker
 from harness.model_checking.steps import BEGINNINGS
-from harness.model_checking.story import Story, load, play, save
-from harness.model_checking.walk import draw_lease_story, draw_read_story, draw_story
+from harness.model_checking.walk import draw_lease_schedule, draw_read_schedule, draw_schedule
 
-MOST_SEEDS = 20_000
+MAX_SEEDS = 20_000
 
 
 def _walk(seed: int, draw, voters: int, seconds: float, shrink_for: float, ignored: tuple):
     """Plays one walk and returns (schedule, outcome, schedule after shrinking)."""
-    story = draw(seed, voters, seconds)
-    outcome = play(story, ignored)
+    schedule = draw(seed, voters, seconds)
+    outcome = play(schedule, ignored)
     if not outcome.findings or not shrink_for:
-        return story, outcome, story
-    return story, outcome, Shrinker(story, outcome.findings[0].rule, shrink_for, ignored).run()
+        return schedule, outcome, schedule
+    return schedule, outcome, Shrinker(schedule, outcome.findings[0].rule, shrink_for, ignored).run()
 
 
 def walk(given) -> int:
@@ -35,7 +35,7 @@
     Returns exit code 1 if a walk broke a rule, or if a walk or the whole run checked nothing.
     """
     first, last = given.seeds
-    seeds = range(first, min(last, first + MOST_SEEDS) + 1)
+    seeds = range(first, min(last, first + MAX_SEEDS) + 1)
     rules, counts, seconds, tried, empty = Counter(), Counter(), 0.0, 0, 0
     work = partial(
         _walk,
@@ -46,14 +46,14 @@
         ignored=tuple(given.ignore),
     )
     with ProcessPoolExecutor(given.jobs) as pool:
-        for story, outcome, small in pool.map(work, seeds):
+        for schedule, outcome, shrunk in pool.map(work, seeds):
             counts.update(outcome.counts)
             empty += not outcome.findings and not (outcome.counts["delivered"] and outcome.counts["acknowledged"])
             seconds += outcome.seconds
-            tried += len(story.choices)
+            tried += len(schedule.choices)
             if outcome.findings:
                 rules[outcome.findings[0].rule] += 1
-                _report(story, outcome, small, given.out)
+                _report(schedule, outcome, shrunk, given.out)
     print(
         f"{len(seeds)} walks with {given.seats} cores, {tried} choices, {seconds / 3600:.2f} simulated hours, "
         f"{dict(counts)}"
@@ -63,14 +63,14 @@
     return 1 if rules or empty or not seeds else 0
 
 
-def _report(story: Story, outcome, small: Story, folder: Path | None):
+def _report(schedule: Schedule, outcome, shrunk: Schedule, folder: Path | None):
     finding = outcome.findings[0]
-    print(f"seed {story.seed}: {finding.rule} after {outcome.seconds:.1f} s: {finding.text}", flush=True)
+    print(f"seed {schedule.seed}: {finding.rule} after {outcome.seconds:.1f} s: {finding.text}", flush=True)
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
-        path = folder / f"{finding.rule}-{story.voters}-{story.seed}.json"
-        save(small, path)
-        print(f"    {len(small.choices)} choices: {path}", flush=True)
+        path = folder / f"{finding.rule}-{schedule.voters}-{schedule.seed}.json"
+        save(shrunk, path)
+        print(f"    {len(shrunk.choices)} choices: {path}", flush=True)
 
 
 def _search(beginning: str, rounds: int, deviations: int, seconds: float):
@@ -91,7 +91,7 @@
                 empty.append(report.beginning)
             end = "search complete" if report.is_complete else "search stopped at its limit"
             print(
-                f"{report.beginning}: {report.states} states, {report.dropped} duplicates skipped, "
+                f"{report.beginning}: {report.states} states, {report.duplicates} duplicates skipped, "
                 f"{report.recoveries} recoveries, {end}",
                 flush=True,
             )
@@ -121,10 +121,10 @@
     """Replays the schedule of a walk or the steps of a search from a file; returns exit code 1 if a rule is broken."""
     if "beginning" in msgspec.json.decode(given.file.read_bytes()):
         return _replay_steps(msgspec.json.decode(given.file.read_bytes(), type=CounterExample))
-    story = load(given.file)
-    for choice in story.choices:
+    schedule = load(given.file)
+    for choice in schedule.choices:
         print(f"{choice.at:8.3f}  {choice}")
-    outcome = play(story)
+    outcome = play(schedule)
     for finding in outcome.findings:
         print(f"{finding.rule} at {finding.at:.3f}: {finding.text}")
     print(f"{outcome.seconds:.1f} s, {outcome.counts}")
@@ -151,15 +151,15 @@
         "--leases",
         dest="draw",
         action="store_const",
-        const=draw_lease_story,
-        default=draw_story,
+        const=draw_lease_schedule,
+        default=draw_schedule,
         help="inject faults into the holders of role leases",
     )
     drawing.add_argument(
         "--reads",
         dest="draw",
         action="store_const",
-        const=draw_read_story,
+        const=draw_read_schedule,
         help="read from cores whose incoming messages are delayed",
     )
     walks.add_argument("--jobs", type=int, default=3)
--- a/harness/model_checking/choices.py
+++ b/harness/model_checking/choices.py
@@ -181,7 +181,7 @@
     shows: Literal["catalogue", "servers"] = "catalogue"
 
 
-class Calm(Choice, frozen=True, kw_only=True, tag="calm"):
+class Recover(Choice, frozen=True, kw_only=True, tag="calm"):
     """Ends all faults and starts the recovery phase (10 s), in which the liveness rules are checked."""
 
 
@@ -205,5 +205,5 @@
     | Resend
     | Evacuate
     | Read
-    | Calm
+    | Recover
 )
--- a/harness/model_checking/cluster.py
+++ b/harness/model_checking/cluster.py
@@ -20,10 +20,10 @@
 FOUNDERS = ("a", "b", "c")
 CHANGE = "change"  # kind of the changes that the checker proposes
 NO_TIME = timedelta(0)
-DRAWS = {"a": 0.3, "b": 0.5, "c": 0.8, "d": 0.6}
+RANDOM_FRACTIONS = {"a": 0.3, "b": 0.5, "c": 0.8, "d": 0.6}
 REPLACE_AFTER = timedelta(seconds=1.6)
-MOST_DELIVERED = 2000  # passes over all links in one round; more means that replicas answer each other endlessly
-LOG_ENTRIES = 6  # entries in the log before it is compacted; low, so that the search also covers snapshots
+MAX_PASSES = 2000  # passes over all links in one round; more means that replicas answer each other endlessly
+MAX_LOG_ENTRIES = 6  # entries in the log before it is compacted; low, so that the search also covers snapshots
 
 
 class FixedRandom:
@@ -31,12 +31,12 @@
     states have equal successors.
     """
 
-    def __init__(self, part: float, start: int):
-        self.part, self.start = part, start
+    def __init__(self, fraction: float, start: int):
+        self.fraction, self.start = fraction, start
 
     def uniform(self, low: float, high: float) -> float:
         """Returns the value at this node's fixed fraction of the range."""
-        return low + (high - low) * self.part
+        return low + (high - low) * self.fraction
 
     def getrandbits(self, _bits: int) -> int:
         """Returns a number that is unique to this node and this start of its process."""
@@ -120,12 +120,14 @@
         node.incarnation += 1
         node.application, node.is_frozen, node.has_departed = Application(), False, False
         founders = tuple(f"{founder}:1" for founder in FOUNDERS) if name in FOUNDERS else ()
-        options = Options(replace_after=REPLACE_AFTER, max_log_entries=LOG_ENTRIES)
+        options = Options(replace_after=REPLACE_AFTER, max_log_entries=MAX_LOG_ENTRIES)
         node.replica = Replica(
             name,
             node.address,
             founders,
-            FixedRandom(DRAWS[name], node.incarnation * len(DRAWS) + sorted(DRAWS).index(name)),
+            FixedRandom(
+                RANDOM_FRACTIONS[name], node.incarnation * len(RANDOM_FRACTIONS) + sorted(RANDOM_FRACTIONS).index(name)
+            ),
             node.application.snapshot,
             tuple(node.durable),
             options,
@@ -203,8 +205,8 @@
 
     def _compare(self, node, number):
         digest = 0
-        for place in range(1, number + 1):
-            digest = hash_of(digest, self.entries.get(place, b""))
+        for index in range(1, number + 1):
+            digest = hash_of(digest, self.entries.get(index, b""))
         if (node.application.number, node.application.digest) != (number, digest):
             raise BrokenRuleError(
                 "snapshot",
@@ -233,7 +235,7 @@
         verb, records, done = node.writes.popleft()
         if verb == "replace":
             node.durable.clear()
-        node.durable.extend(stored(record) for record in records)
+        node.durable.extend(read_back(record) for record in records)
         return done
 
     # rounds of ticks and deliveries -------------------------------------------------------------------------------
@@ -252,7 +254,7 @@
     def settle(self, is_reversed: bool = False):
         """Delivers messages and syncs writes until none is left that may proceed."""
         links = sorted(self.links, reverse=is_reversed)
-        for _ in range(MOST_DELIVERED):
+        for _ in range(MAX_PASSES):
             moved = False
             for link in links:
                 if link not in self.held and self.deliver_next(link):
@@ -279,7 +281,7 @@
         names = sorted(self.nodes)
         self.propose(names[(self.proposals + self.skipped) % len(names)])
 
-    def taken_proposals(self):
+    def delivered_proposals(self):
         """Yields the proposal numbers of all delivered changes."""
         for entry in self.entries.values():
             change = read_entry(entry)
@@ -292,12 +294,12 @@
             if (is_out and link[0] == name) or (is_in and link[1] == name):
                 self.held.add(link)
 
-    def lose_held(self):
+    def drop_held(self):
         """Drops all messages that are queued on blocked links."""
         for link in self.held:
             self.links[link].clear()
 
-    def end_trouble(self):
+    def end_faults(self):
         """Ends all faults: releases links, resumes processes and disks, and restarts stopped and leaving nodes."""
         self.held.clear()
         for name, node in self.nodes.items():
@@ -309,13 +311,15 @@
 
     # invariants -----------------------------------------------------------------------------------
 
-    def awake(self) -> list:
+    def active_nodes(self) -> list:
         """Returns the nodes whose process runs and is not suspended."""
         return [node for node in self.nodes.values() if node.is_running and not node.is_frozen]
 
     def leaders(self) -> list:
         """Returns the nodes that lead with a valid lease."""
-        return [node for node in self.awake() if node.replica.role == "leading" and node.replica.is_fresh(self.now)]
+        return [
+            node for node in self.active_nodes() if node.replica.role == "leading" and node.replica.is_fresh(self.now)
+        ]
 
     def check(self, name: str):
         """Checks the invariants after this node handled an event; raises BrokenRuleError."""
@@ -365,7 +369,7 @@
                 )
 
 
-def stored(record):
+def read_back(record):
     """Returns a record as it would be read back from disk."""
     return as_tuples(msgspec.json.decode(msgspec.json.encode(record)))
 
--- a/harness/model_checking/control_deployment.py
+++ b/harness/model_checking/control_deployment.py
@@ -14,9 +14,9 @@
 from sumachook.simulation.deployment import Deployment, DeploymentSpec
 
 ZONES = ("hall-a", "hall-b", "hall-c")
-MOST_SEEDS = 3
+MAX_SEEDS = 3
 FOLLOWER_NAMES = ("follower-1", "follower-2")
-DEPLOYED = {"voter_away": 1.6, "confirm_within": 0.8, "order_within": 3.5, "fenced": True, "list_readers": "leader"}
+SETTINGS = {"voter_away": 1.6, "confirm_within": 0.8, "order_within": 3.5, "fenced": True, "list_readers": "leader"}
 
 
 class CoresOnly(DeploymentSpec):
@@ -57,7 +57,7 @@
             out = self.follower.take(event, now)
         else:
             return []
-        self.invariants.followed_to(self.node, self.follower.number, self.follower.state, now)
+        self.invariants.feed_advanced(self.node, self.follower.number, self.follower.state, now)
         return [effect for effect in out if isinstance(effect, Send)]
 
 
@@ -66,12 +66,12 @@
     every state that a core reports as fresh.
     """
 
-    __slots__ = ("invariants", "names", "operators", "identities", "machine_count", "recorded")
+    __slots__ = ("invariants", "names", "operators", "identities", "machine_count", "state_class")
 
     def __init__(self, seed: int, voters: int):
         self.invariants, self.names, self.identities, self.machine_count = InvariantChecker(), [], {}, 3
-        self.recorded = _recorded_state(self)
-        super().__init__(CoresOnly(), seed, 0, wanted_voters=voters, **DEPLOYED)
+        self.state_class = _recorded_state_class(self)
+        super().__init__(CoresOnly(), seed, 0, wanted_voters=voters, **SETTINGS)
         self.operators = Operators(self._http_address_of, self.invariants)
         self.add("operators", "operator", lambda box: self.operators, "", "", "operators")
         for name in FOLLOWER_NAMES:
@@ -95,10 +95,8 @@
         return box
 
     def _record(self, box, core):
-        core.state.__class__ = self.recorded
-        core.membership.seeds = self._core_addresses()[
-            :MOST_SEEDS
-        ]  # the platform only names existing machines as seeds
+        core.state.__class__ = self.state_class
+        core.membership.seeds = self._core_addresses()[:MAX_SEEDS]  # the platform names only existing machines as seeds
         self.identities[box.name] = core.node
         return core
 
@@ -118,7 +116,7 @@
         self.names.remove(name)
         self.identities.pop(name, None)
 
-    def inside(self, *but) -> list:
+    def partitionable(self, *but) -> list:
         """Returns the names of all cores and followers, which a network partition can separate, except `but`."""
         return [name for name in (*self.names, *FOLLOWER_NAMES) if name not in but]
 
@@ -159,10 +157,10 @@
     def _hand(self, box, message):
         super()._hand(box, message)
         if box.role == "core" and box.machine is not None and not box.is_frozen:
-            self.invariants.look(box.machine, self.now)
+            self.invariants.check_core(box.machine, self.now)
 
 
-def _recorded_state(deployment):
+def _recorded_state_class(deployment):
     """Returns a subclass of State that reports each applied change and restored snapshot to the invariant checker."""
 
     class RecordedState(State):
--- a/harness/model_checking/explore.py
+++ b/harness/model_checking/explore.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from harness.model_checking.canonical import key_of
+from harness.model_checking.canonical import state_key
 from harness.model_checking.cluster import BrokenRuleError, Cluster
-from harness.model_checking.steps import BEGINNINGS, ROUND, Kind, Step, enabled, go_on, take
+from harness.model_checking.steps import BEGINNINGS, ROUND_SECONDS, Kind, Step, enabled, execute, run_rounds
 
 TICK, SETTLE = Step(Kind.TICK), Step(Kind.SETTLE)
-ROUNDS_TO_RECOVER = 25  # 5 s
-LAG = 2  # changes by which a follower may lag behind the leader at any time
+RECOVERY_ROUNDS = 25  # 5 s
+MAX_LAG = 2  # changes by which a follower may lag behind the leader at any time
 SWAPS = {"calm_view": (("b", "c"),), "leader_cut_off": (("b", "c"),)}
 
 
@@ -35,7 +35,7 @@
 
     beginning: str
     states: int = 0
-    dropped: int = 0
+    duplicates: int = 0
     recoveries: int = 0
     is_complete: bool = True
     found: list[CounterExample] = []
@@ -44,9 +44,9 @@
 class Search:
     """Depth-first search over all deviations from one starting state."""
 
-    def __init__(self, beginning: str, rounds: int, deviations: int, seconds: float = 1e9, most_states: int = 10**9):
+    def __init__(self, beginning: str, rounds: int, deviations: int, seconds: float = 1e9, max_states: int = 10**9):
         self.report = Report(beginning, found=[])
-        self.rounds, self.deviations, self.most_states = rounds, deviations, most_states
+        self.rounds, self.deviations, self.max_states = rounds, deviations, max_states
         self.seen, self.recovered = {}, set()
         self.ends_at = time.monotonic() + seconds
 
@@ -62,26 +62,26 @@
         if self.report.found or not self._is_within_bounds():
             return
         if self._was_seen(cluster, left, deviations):
-            self.report.dropped += 1
+            self.report.duplicates += 1
             return
         self.report.states += 1
         if left == 0:
             self._recover(cluster, path)
             return
         packed = cluster.pack()
-        self._go(cluster, SETTLE if left % 2 else TICK, left - 1, deviations, path)
+        self._try_step(cluster, SETTLE if left % 2 else TICK, left - 1, deviations, path)
         if deviations:
-            for step in enabled(cluster_of(packed)):
-                self._go(cluster_of(packed), step, left, deviations - 1, path)
+            for step in enabled(unpack(packed)):
+                self._try_step(unpack(packed), step, left, deviations - 1, path)
 
     def _is_within_bounds(self):
-        if time.monotonic() < self.ends_at and self.report.states < self.most_states:
+        if time.monotonic() < self.ends_at and self.report.states < self.max_states:
             return True
         self.report.is_complete = False
         return False
 
     def _was_seen(self, cluster, left, deviations):
-        key = key_of(cluster, SWAPS.get(self.report.beginning, ()))
+        key = state_key(cluster, SWAPS.get(self.report.beginning, ()))
         tried = self.seen.setdefault(key, [])
         if any(
             left <= other_left and left % 2 == other_left % 2 and deviations <= other for other_left, other in tried
@@ -90,14 +90,14 @@
         tried.append((left, deviations))
         return False
 
-    def _go(self, cluster, step, left, deviations, path):
+    def _try_step(self, cluster, step, left, deviations, path):
         if self.report.found:
             return
         path = (*path, step)
         try:
-            take(cluster, step)
+            execute(cluster, step)
         except BrokenRuleError as broken:
-            self._note(path, broken, False)
+            self._record(path, broken, False)
         else:
             self._visit(cluster, left, deviations, path)
 
@@ -106,13 +106,13 @@
         try:
             recover(cluster)
         except BrokenRuleError as broken:
-            self._note(path, broken, True)
+            self._record(path, broken, True)
 
-    def _note(self, path, broken, is_calm_after):
+    def _record(self, path, broken, is_calm_after):
         self.report.found.append(CounterExample(self.report.beginning, path, broken.rule, broken.text, is_calm_after))
 
 
-def cluster_of(packed: bytes) -> Cluster:
+def unpack(packed: bytes) -> Cluster:
     """Deserializes a cluster that `Cluster.pack` returned."""
     return pickle.loads(packed)
 
@@ -120,32 +120,32 @@
 def recover(cluster: Cluster):
     """Ends all faults and checks that a new change is committed and that the voters catch up within 5 s.
 
-    Raises BrokenRuleError with the first condition that still fails after ROUNDS_TO_RECOVER rounds.
+    Raises BrokenRuleError with the first condition that still fails after RECOVERY_ROUNDS rounds.
     """
-    cluster.end_trouble()
-    first, why = cluster.proposals + 1, None
-    for _ in range(ROUNDS_TO_RECOVER):
-        go_on(cluster, 1)
-        why = _why_not_recovered(cluster, first)
-        if why is None:
+    cluster.end_faults()
+    first, error = cluster.proposals + 1, None
+    for _ in range(RECOVERY_ROUNDS):
+        run_rounds(cluster, 1)
+        error = _recovery_error(cluster, first)
+        if error is None:
             return
-    raise why
+    raise error
 
 
-def _why_not_recovered(cluster, first) -> BrokenRuleError | None:
+def _recovery_error(cluster, first) -> BrokenRuleError | None:
     leaders = cluster.leaders()
     if not leaders:
         return BrokenRuleError(
-            "no-view", f"no leader with a valid lease {ROUNDS_TO_RECOVER * ROUND:.0f} s after the faults ended"
+            "no-view", f"no leader with a valid lease {RECOVERY_ROUNDS * ROUND_SECONDS:.0f} s after the faults ended"
         )
-    if not any(number >= first for number in cluster.taken_proposals()):
+    if not any(number >= first for number in cluster.delivered_proposals()):
         return BrokenRuleError("no-change", "no change was committed after the faults ended")
     leader = leaders[0]
     voters = [cluster.nodes[name] for name in leader.replica.voting_members if cluster.nodes[name].is_running]
     behind = [
         node.name
         for node in voters
-        if node.application.number < leader.application.number - LAG and not node.replica.state.is_leaving
+        if node.application.number < leader.application.number - MAX_LAG and not node.replica.state.is_leaving
     ]
     return (
         BrokenRuleError("catch-up", f"{behind} (voters) have not caught up with change {leader.application.number}")
@@ -159,7 +159,7 @@
     cluster = BEGINNINGS[example.beginning]()
     try:
         for step in example.steps:
-            take(cluster, step)
+            execute(cluster, step)
         if example.is_calm_after:
             recover(cluster)
     except BrokenRuleError as broken:
--- a/harness/model_checking/faults.py
+++ b/harness/model_checking/faults.py
@@ -7,9 +7,9 @@
 from harness.model_checking.control_deployment import ControlDeployment
 from harness.model_checking.losses import Losses
 
-GRACE = 8.0  # seconds after which a machine that was asked to leave is killed
-LOOK_AGAIN = 0.02  # seconds between two checks whether a leaving machine has stopped
-WHOLE_DISK_DELAY = 0.002
+LEAVE_GRACE = 8.0  # seconds after which a machine that was asked to leave is killed
+LEAVE_POLL_INTERVAL = 0.02  # seconds between two checks whether a leaving machine has stopped
+NORMAL_DISK_DELAY = 0.002
 
 
 class Faults:
@@ -46,23 +46,27 @@
         deployment.slow_links.clear()
         for name in deployment.names:
             box = deployment.boxes[name]
-            box.disk.stalled_until, box.slow, box.disk.delay = deployment.now, _span(0), _span(WHOLE_DISK_DELAY)
+            box.disk.stalled_until, box.slow, box.disk.delay = (
+                deployment.now,
+                _duration(0),
+                _duration(NORMAL_DISK_DELAY),
+            )
             if box.is_frozen:
                 deployment.wake(name)
-        for name in self.losses.trouble_until:
-            self.losses.trouble_until[name] = min(self.losses.trouble_until[name], self.now)
+        for name in self.losses.faulty_until:
+            self.losses.faulty_until[name] = min(self.losses.faulty_until[name], self.now)
 
     # shared helpers -----------------------------------------------------------------
 
     def _later(self, seconds, call, *arguments):
-        self.deployment._later(_span(seconds), call, *arguments)
+        self.deployment._later(_duration(seconds), call, *arguments)
 
-    def _begin(self, selector, seconds):
+    def _begin_fault(self, selector, seconds):
         """Returns the name of the selected machine and records its fault, or None if the fault is not tolerated."""
         name = self.deployment.name_of(selector)
         if not self.is_wild and not self.losses.may_lose(self.now, {name}):
             return None
-        self.losses.add_trouble(name, self.now, self.now + seconds)
+        self.losses.add_fault(name, self.now, self.now + seconds)
         return name
 
     def _start(self, name):
@@ -101,9 +105,11 @@
 
     @apply.register
     def _(self, choice: choices.Cut):
-        name = self._begin(choice.machine, choice.seconds)
+        name = self._begin_fault(choice.machine, choice.seconds)
         if name is not None:
-            others = [self.deployment.name_of(selector) for selector in choice.towards] or self.deployment.inside()
+            others = [
+                self.deployment.name_of(selector) for selector in choice.towards
+            ] or self.deployment.partitionable()
             self._cut(name, others, choice.direction, choice.holds, choice.seconds)
 
     @apply.register
@@ -114,15 +120,15 @@
 
     @apply.register
     def _(self, choice: choices.SlowLink):
-        name = self._begin(choice.machine, choice.seconds)
+        name = self._begin_fault(choice.machine, choice.seconds)
         if name is None:
             return
-        links = self._links(name, self.deployment.inside(), choice.direction)
+        links = self._links(name, self.deployment.partitionable(), choice.direction)
         for link in links:
-            self.deployment.slow_links[link] = _span(choice.delay)
-        self._later(choice.seconds, self._speed_up, links)
+            self.deployment.slow_links[link] = _duration(choice.delay)
+        self._later(choice.seconds, self._restore_links, links)
 
-    def _speed_up(self, links):
+    def _restore_links(self, links):
         for link in links:
             self.deployment.slow_links.pop(link, None)
 
@@ -130,7 +136,7 @@
 
     @apply.register
     def _(self, choice: choices.Freeze):
-        name = self._begin(choice.machine, choice.seconds)
+        name = self._begin_fault(choice.machine, choice.seconds)
         if name is None or self.deployment.boxes[name].is_frozen:
             return
         self.deployment.freeze(name)
@@ -143,42 +149,42 @@
 
     @apply.register
     def _(self, choice: choices.Kill):
-        name = self._begin(choice.machine, choice.seconds)
+        name = self._begin_fault(choice.machine, choice.seconds)
         if name is not None:
             self.deployment.kill(name, choice.writes_kept)
             self._start_later(name, choice.seconds)
 
     @apply.register
     def _(self, choice: choices.SlowMachine):
-        name = self._begin(choice.machine, choice.seconds)
+        name = self._begin_fault(choice.machine, choice.seconds)
         if name is not None:
-            self.deployment.boxes[name].slow = _span(choice.delay)
-            self._later(choice.seconds, self._unslow, name)
+            self.deployment.boxes[name].slow = _duration(choice.delay)
+            self._later(choice.seconds, self._restore_speed, name)
 
-    def _unslow(self, name):
-        self.deployment.boxes[name].slow = _span(0)
+    def _restore_speed(self, name):
+        self.deployment.boxes[name].slow = _duration(0)
 
     @apply.register
     def _(self, choice: choices.ClockStep):
-        self.deployment.boxes[self.deployment.name_of(choice.machine)].clock.jump += _span(choice.jump)
+        self.deployment.boxes[self.deployment.name_of(choice.machine)].clock.jump += _duration(choice.jump)
 
     # disks ---------------------------------------------------------------------------------------
 
     @apply.register
     def _(self, choice: choices.SlowDisk):
-        name = self._begin(choice.machine, choice.seconds)
+        name = self._begin_fault(choice.machine, choice.seconds)
         if name is not None:
-            self.deployment.boxes[name].disk.delay = _span(choice.delay)
-            self._later(choice.seconds, self._mend_disk, name)
+            self.deployment.boxes[name].disk.delay = _duration(choice.delay)
+            self._later(choice.seconds, self._restore_disk, name)
 
-    def _mend_disk(self, name):
-        self.deployment.boxes[name].disk.delay = _span(WHOLE_DISK_DELAY)
+    def _restore_disk(self, name):
+        self.deployment.boxes[name].disk.delay = _duration(NORMAL_DISK_DELAY)
 
     @apply.register
     def _(self, choice: choices.StalledDisk):
-        name = self._begin(choice.machine, choice.seconds)
+        name = self._begin_fault(choice.machine, choice.seconds)
         if name is not None:
-            self.deployment.boxes[name].disk.stalled_until = self.deployment.now + _span(choice.seconds)
+            self.deployment.boxes[name].disk.stalled_until = self.deployment.now + _duration(choice.seconds)
 
     @apply.register
     def _(self, choice: choices.DiskLoss):
@@ -209,7 +215,7 @@
             if name in wiped:
                 self._lose_disk(name, down)
             else:
-                self.losses.add_trouble(name, self.now, self.now + down)
+                self.losses.add_fault(name, self.now, self.now + down)
                 self.deployment.lose_power(name, writes_kept)
                 self._start_later(name, down)
 
@@ -221,9 +227,9 @@
         armed, self.armed = self.armed, []
         name = self.deployment.by_http_address[attempt.target].name
         for choice in armed:
-            self._later(choice.delay, self._strike, choice, name)
+            self._later(choice.delay, self._lose_power_after, choice, name)
 
-    def _strike(self, choice, name):
+    def _lose_power_after(self, choice, name):
         names = [name] if choice.scope == "answering" else list(self.deployment.names)
         if name in self.deployment.names:
             order = [name, *(other for other in names if other != name)]
@@ -254,26 +260,26 @@
             if not self.losses.may_leave(self.now, name):
                 return
             self.losses.remove_machine(name, self.now, is_planned=True)
-        elif self._begin(choice.machine, GRACE + choice.seconds) is None:
+        elif self._begin_fault(choice.machine, LEAVE_GRACE + choice.seconds) is None:
             return
         self.leaving.add(name)
         self.deployment.stop(name)
-        self._later(LOOK_AGAIN, self._look_whether_left, name, box.incarnation, choice, self.now + GRACE)
+        self._later(LEAVE_POLL_INTERVAL, self._poll_leaving, name, box.incarnation, choice, self.now + LEAVE_GRACE)
 
-    def _look_whether_left(self, name, incarnation, choice, kill_at):
+    def _poll_leaving(self, name, incarnation, choice, kill_at):
         box = self.deployment.boxes[name]
         if box.incarnation == incarnation and self.now < kill_at:
-            self._later(LOOK_AGAIN, self._look_whether_left, name, incarnation, choice, kill_at)
+            self._later(LEAVE_POLL_INTERVAL, self._poll_leaving, name, incarnation, choice, kill_at)
             return
         self.leaving.discard(name)
         self.deployment.kill(name)
         if not choice.is_final:
-            self.losses.trouble_until[name] = self.now + choice.seconds
+            self.losses.faulty_until[name] = self.now + choice.seconds
             self._start_later(name, choice.seconds)
         elif name in self.deployment.names:
             self.deployment.remove(name)
             self._later(choice.seconds, self._add_missing)
 
 
-def _span(seconds):
+def _duration(seconds):
     return timedelta(seconds=seconds)
--- a/harness/model_checking/invariants.py
+++ b/harness/model_checking/invariants.py
@@ -9,7 +9,8 @@
 
 from harness.model_checking import observe
 
-FRESH = timedelta(seconds=0.8)  # a core that reports its state as fresh has every change acknowledged before this time
+# a state that a core reports as fresh includes every change that was acknowledged longer ago than this
+MAX_STALENESS = timedelta(seconds=0.8)
 NO_TIME = timedelta(0)
 
 
@@ -21,7 +22,7 @@
     text: str
 
 
-class Floor:
+class RunningMaximum:
     """History of a running maximum: the highest value recorded up to any time."""
 
     __slots__ = ("times", "values")
@@ -29,7 +30,7 @@
     def __init__(self):
         self.times, self.values = [], []
 
-    def note(self, at, value):
+    def record(self, at, value):
         """Records a value; a value that does not exceed the maximum is ignored."""
         if not self.values or value > self.values[-1]:
             self.times.append(at)
@@ -41,7 +42,7 @@
         return self.values[place - 1] if place else 0
 
 
-class ZoneRegister:
+class ZoneOrders:
     """The evacuate and restore orders for one area, in the order in which they were sent."""
 
     __slots__ = ("orders",)
@@ -62,10 +63,11 @@
     def __init__(self):
         self.findings, self.now, self.ignored = [], timedelta(0), frozenset()
         self.entries, self.states = {}, {}  # number -> change, number -> digest of the state after it
-        self.taken = {}  # version -> key of the order that created it
-        self.taken_at = {}  # key of an order -> when it was first delivered
-        self.versions = Floor()  # versions delivered by any core
-        self.acknowledged, self.numbers = Floor(), Floor()  # acknowledged to operators: versions, log numbers
+        self.keys_by_version = {}  # version -> key of the order that created it
+        self.first_delivered_at = {}  # key of an order -> when it was first delivered
+        self.versions = RunningMaximum()  # versions delivered by any core
+        # versions and log numbers that were acknowledged to operators
+        self.acknowledged, self.numbers = RunningMaximum(), RunningMaximum()
         self.acknowledged_keys, self.zones = {}, {}
         self.fences, self.followed = {}, {}
         self.on_acknowledged = lambda attempt: None  # callback for faults that follow an acknowledgement
@@ -76,9 +78,9 @@
         if rule not in self.ignored and all(finding.text != text for finding in self.findings):
             self.findings.append(Finding(self.now.total_seconds(), rule, text))
 
-    def zone(self, name: str) -> ZoneRegister:
+    def zone(self, name: str) -> ZoneOrders:
         """Returns the register of orders for this area."""
-        return self.zones.setdefault(name, ZoneRegister())
+        return self.zones.setdefault(name, ZoneOrders())
 
     # changes that cores deliver -----------------------------------------------------------
 
@@ -94,15 +96,15 @@
         if number not in self.states:
             self.states[number] = digest
             self.counts["delivered"] += 1
-            self._note_first(state, now)
+            self._record_first_delivery(state, now)
         elif self.states[number] != digest:
             self.fail("order", f"{core} has a state that differs from another core's after change {number}")
 
-    def _note_first(self, state, now):
-        if state.doc and state.version not in self.taken:
+    def _record_first_delivery(self, state, now):
+        if state.doc and state.version not in self.keys_by_version:
             key = state.doc["extra"].get("order")
-            self.taken[state.version], self.taken_at[key] = key, now
-            self.versions.note(now, state.version)
+            self.keys_by_version[state.version], self.first_delivered_at[key] = key, now
+            self.versions.record(now, state.version)
         for duty, (holder, fence) in state.duties.items():
             if holder and self.fences.setdefault((duty, fence), holder) != holder:
                 self.fail(
@@ -120,15 +122,15 @@
 
     # states that cores report as fresh, and leases that they hold ---------------------------------------------------
 
-    def look(self, core, now):
+    def check_core(self, core, now):
         """Checks a core after each message: a state reported as fresh has all changes acknowledged by then.
 
-        The bound is 0 s for a leader and 0.8 s (FRESH) for a member.
+        The bound is 0 s for a leader and 0.8 s (MAX_STALENESS) for a member.
         """
         self.now = now
         if not observe.is_fresh(core, now):
             return
-        bound = NO_TIME if observe.is_leading(core) else FRESH
+        bound = NO_TIME if observe.is_leading(core) else MAX_STALENESS
         version, number = self.acknowledged.at(now - bound), self.numbers.at(now - bound)
         role = "leads" if observe.is_leading(core) else "is a member"
         if core.state.version < version or core.state.number < number:
@@ -139,7 +141,7 @@
                 f"but version {version}, change {number} was acknowledged more than {bound.total_seconds()} s earlier",
             )
 
-    def look_at_all(self, cores, now):
+    def check_cores(self, cores, now):
         """Checks that the running cores include at most one leader with a lease and one holder of each role's lease."""
         self.now = now
         leaders = [core.node for core in cores if observe.is_leading(core) and observe.is_fresh(core, now)]
@@ -174,27 +176,27 @@
         self.counts["acknowledged"] += 1
         if order.acknowledged_at is None:
             order.acknowledged_at = now
-        self.numbers.note(now, msgspec.json.decode(body).get("number", 0))
+        self.numbers.record(now, msgspec.json.decode(body).get("number", 0))
         if order.kind != "configure":
             return
         other = self.acknowledged_keys.setdefault(order.version, order.key)
         if other != order.key:
             self.fail("two-acknowledged", f"version {order.version} was acknowledged for {order.key} and for {other}")
-        if self.taken.get(order.version) != order.key:
+        if self.keys_by_version.get(order.version) != order.key:
             self.fail(
                 "lost",
                 f"{order.key} was acknowledged as version {order.version}, "
-                f"but that version is {self.taken.get(order.version)}",
+                f"but that version is {self.keys_by_version.get(order.version)}",
             )
-        self.acknowledged.note(now, order.version)
+        self.acknowledged.record(now, order.version)
 
     def _refused(self, attempt, status, body, now):
         order = attempt.order
         self.counts["refused"] += 1
-        if order.key in self.taken_at and self.taken_at[order.key] <= attempt.sent_at:
+        if order.key in self.first_delivered_at and self.first_delivered_at[order.key] <= attempt.sent_at:
             self.fail(
                 "refused-resend",
-                f"{order.key} was applied at {self.taken_at[order.key]}, resent at {attempt.sent_at} "
+                f"{order.key} was applied at {self.first_delivered_at[order.key]}, resent at {attempt.sent_at} "
                 f"and refused with {status} {body[:150]!r}",
             )
         elif order.kind == "configure" and order.version > order.base and not order.is_invalid:
@@ -219,11 +221,11 @@
         self.counts["reads"] += 1
         attempt.order.acknowledged_at = now
         if "catalogue" in shown:
-            self._judge_catalogue(attempt, shown, now)
+            self._check_catalogue_read(attempt, shown, now)
         else:
-            self._judge_servers(attempt, shown)
+            self._check_servers_read(attempt, shown)
 
-    def _judge_catalogue(self, attempt, shown, now):
+    def _check_catalogue_read(self, attempt, shown, now):
         """Checks that reads of the configuration are linearizable."""
         floor, version = self.acknowledged.at(attempt.sent_at), (shown["catalogue"] or {}).get("version", 0)
         number = self.numbers.at(attempt.sent_at)
@@ -233,18 +235,18 @@
                 f"a read sent at {attempt.sent_at} shows version {version}, change {shown['number']}, "
                 f"but version {floor}, change {number} was acknowledged or read earlier",
             )
-        if version and version not in self.taken:
+        if version and version not in self.keys_by_version:
             self.fail("stale-read", f"a read shows version {version}, which no core delivered")
-        self.acknowledged.note(now, version)
-        self.numbers.note(now, shown["number"])
+        self.acknowledged.record(now, version)
+        self.numbers.record(now, shown["number"])
 
-    def _judge_servers(self, attempt, shown):
-        """Checks a read of the servers, which a core answers from its own state: it may be up to 0.8 s (FRESH) old."""
-        since = attempt.sent_at - FRESH
+    def _check_servers_read(self, attempt, shown):
+        """Checks a read of the servers, answered by a core from its own state, up to 0.8 s (MAX_STALENESS) old."""
+        since = attempt.sent_at - MAX_STALENESS
         if shown["number"] < self.numbers.at(since):
             self.fail(
                 "stale-read",
-                f"a read sent at {attempt.sent_at} shows change {shown['number']}, older than FRESH allows",
+                f"a read sent at {attempt.sent_at} shows change {shown['number']}, older than the permitted staleness",
             )
         for zone, register in self.zones.items():
             expected = register.expected(since)
@@ -257,7 +259,7 @@
 
     # followers of the feed ----------------------------------------------------------------
 
-    def followed_to(self, follower, number, state, now):
+    def feed_advanced(self, follower, number, state, now):
         """Checks that a feed follower only advances and has the same state after change `number` as the cores."""
         self.now = now
         if number < self.followed.get(follower, 0):
--- a/harness/model_checking/operators.py
+++ b/harness/model_checking/operators.py
@@ -7,11 +7,11 @@
 from sumachook.host.effects import CancelCall, Fetch
 from sumachook.host.events import CallFailed, ResponseReceived, Tick
 
-WAIT = timedelta(seconds=8)
+RESPONSE_TIMEOUT = timedelta(seconds=8)
 CONNECT_TIMEOUT = timedelta(seconds=1)
-MOST_REDIRECTS = 2
-TURNS = ("evacuate", "restore")
-PART_OF_A_SECOND = 0.3  # seconds before an order goes to its next target after an inconclusive response
+MAX_REDIRECTS = 2
+REVERSIBLE = ("evacuate", "restore")
+RETRY_DELAY = 0.3  # seconds before an order goes to its next target after an inconclusive response
 
 
 class Attempt:
@@ -61,12 +61,12 @@
 
 
 class Operators:
-    """State machine of all operators; passes each response to `judge`, the invariant checker."""
+    """State machine of all operators; passes each response to `checker`, the invariant checker."""
 
-    __slots__ = ("http_address_of", "judge", "attempts", "orders", "number")
+    __slots__ = ("http_address_of", "checker", "attempts", "orders", "number")
 
-    def __init__(self, http_address_of, judge):
-        self.http_address_of, self.judge = http_address_of, judge
+    def __init__(self, http_address_of, checker):
+        self.http_address_of, self.checker = http_address_of, checker
         self.attempts, self.orders, self.number = {}, [], 0
 
     def send(self, order: Order, targets, patience: float, now):
@@ -93,18 +93,18 @@
                 self.orders.remove(order)
             elif now >= order.next_at:
                 order.next_at = now + timedelta(seconds=order.patience)
-                out += self._hang_up(order)
+                out += self._cancel_pending(order)
                 target = self.http_address_of(order.targets.pop(0))
                 if target is not None:
                     out += self._request(order, target, now, 0)
         return out
 
-    def _hang_up(self, order):
+    def _cancel_pending(self, order):
         """Cancels the pending requests of an evacuate or restore order before it goes to the next core.
 
         A later order reverses it, so that a request left behind could take effect too late.
         """
-        if order.kind not in TURNS:
+        if order.kind not in REVERSIBLE:
             return []
         numbers = [number for number, attempt in self.attempts.items() if attempt.order is order]
         for number in numbers:
@@ -123,18 +123,18 @@
             body = msgspec.json.encode({**order.document, "request": f"{order.key}.{self.number}"})
         method = "GET" if order.document is None else "POST"
         url = f"http://{http_address}{order.path}"
-        return [Fetch(self.number, method, url, {}, body, CONNECT_TIMEOUT, WAIT, "whole")]
+        return [Fetch(self.number, method, url, {}, body, CONNECT_TIMEOUT, RESPONSE_TIMEOUT, "whole")]
 
     def _answered(self, number, status, headers, body, now):
         attempt = self.attempts.pop(number, None)
         if attempt is None:
             return []
         order = attempt.order
-        if status == 307 and attempt.redirects < MOST_REDIRECTS and "location" in headers:
+        if status == 307 and attempt.redirects < MAX_REDIRECTS and "location" in headers:
             http_address = headers["location"].removeprefix("http://").partition("/")[0]
             return self._request(order, http_address, now, attempt.redirects + 1)
         if status != 307:
-            self.judge.answered(attempt, status, body, now)
+            self.checker.answered(attempt, status, body, now)
         if not order.is_settled and order.next_at is not None:
-            order.next_at = min(order.next_at, now + timedelta(seconds=PART_OF_A_SECOND))
+            order.next_at = min(order.next_at, now + timedelta(seconds=RETRY_DELAY))
         return []
--- a/harness/model_checking/orders.py
+++ b/harness/model_checking/orders.py
@@ -6,8 +6,8 @@
 from harness.model_checking.control_deployment import ZONES, ControlDeployment
 from harness.model_checking.operators import Order
 
-SILENCE = 1.0  # seconds without a response after which an operator tries another core
-CONFIGURE = "/operator/configure"
+MIN_PATIENCE = 1.0  # seconds without a response after which an operator tries another core
+CONFIGURE_PATH = "/operator/configure"
 
 
 class Orders:
@@ -52,7 +52,7 @@
         order = Order(
             "configure",
             key,
-            CONFIGURE,
+            CONFIGURE_PATH,
             {"ifVersion": base, "part": is_part, "doc": content, "removals": {}},
             base,
             version,
@@ -98,7 +98,7 @@
             kind = "restore" if last is not None and last.kind == "evacuate" else "evacuate"
             order = Order(kind, f"{kind}-{zone}-{len(register.orders)}", f"/operator/{kind}", {"area": zone})
             register.orders.append(order)
-        self.deployment.operators.send(order, choice.targets, max(choice.patience, SILENCE), self.deployment.now)
+        self.deployment.operators.send(order, choice.targets, max(choice.patience, MIN_PATIENCE), self.deployment.now)
 
     @apply.register
     def _(self, choice: choices.Read):
--- a/harness/model_checking/story.py
+++ b/harness/model_checking/schedule.py
@@ -6,24 +6,24 @@
 import msgspec
 
 from harness.model_checking import observe
-from harness.model_checking.choices import AnyChoice, Calm, Evacuate, Order, Read, Resend
+from harness.model_checking.choices import AnyChoice, Evacuate, Order, Read, Recover, Resend
 from harness.model_checking.control_deployment import ControlDeployment
 from harness.model_checking.faults import Faults
 from harness.model_checking.invariants import Finding
 from harness.model_checking.losses import NEVER, Losses
 from harness.model_checking.orders import Orders
 
-STEP = 0.05  # seconds between two checks of all machines
-VIEW_WITHIN = 6.0  # seconds within which a leader is elected after the last fault, if no more than tolerated is lost
-CHANGE_WITHIN = 5.0  # seconds from the start of the recovery phase within which a change is committed
-WHOLE_WITHIN = 8.0  # seconds from the start of the recovery phase until all voters run and have caught up
-CALM = 10.0  # seconds of a recovery phase
-BETWEEN_VIEWS = timedelta(seconds=1.5)  # longest planned view change
+CHECK_INTERVAL = 0.05  # seconds between two checks of all machines
+VIEW_TIMEOUT = 6.0  # seconds within which a leader is elected after the last fault, if no more than tolerated is lost
+CHANGE_TIMEOUT = 5.0  # seconds from the start of the recovery phase within which a change is committed
+CATCH_UP_TIMEOUT = 8.0  # seconds from the start of the recovery phase until all voters run and have caught up
+RECOVERY_SECONDS = 10.0  # seconds of a recovery phase
+MAX_VIEW_CHANGE = timedelta(seconds=1.5)  # longest planned view change
 LAG = timedelta(seconds=1)
 ORDERS = (Order, Resend, Evacuate, Read)
 
 
-class Story(msgspec.Struct, frozen=True, kw_only=True):
+class Schedule(msgspec.Struct, frozen=True, kw_only=True):
     """The schedule of one walk: the timed choices and the parameters of the deployment.
 
     `seed` determines the latencies and the cores' jitter, `entries` the log length that triggers a snapshot (0: the
@@ -48,96 +48,98 @@
     seconds: float
 
 
-def load(path) -> Story:
+def load(path) -> Schedule:
     """Reads a schedule from a JSON file."""
-    return msgspec.json.decode(Path(path).read_bytes(), type=Story)
+    return msgspec.json.decode(Path(path).read_bytes(), type=Schedule)
 
 
-def save(story: Story, path):
+def save(schedule: Schedule, path):
     """Writes the schedule as JSON with one choice per line."""
-    head = msgspec.json.encode(msgspec.structs.replace(story, choices=())).decode().removesuffix("[]}")
-    lines = ",\n ".join(msgspec.json.encode(choice).decode() for choice in story.choices)
+    head = msgspec.json.encode(msgspec.structs.replace(schedule, choices=())).decode().removesuffix("[]}")
+    lines = ",\n ".join(msgspec.json.encode(choice).decode() for choice in schedule.choices)
     Path(path).write_text(f"{head}[\n {lines}\n]}}\n")
 
 
-def play(story: Story, ignored=()) -> Outcome:
+def play(schedule: Schedule, ignored=()) -> Outcome:
     """Plays a schedule to its end or until a rule that is not ignored is broken."""
-    with observe.SnapshotBound(story.entries):
-        return _Player(story, ignored).run()
+    with observe.SnapshotBound(schedule.entries):
+        return _Player(schedule, ignored).run()
 
 
 class _Player:
-    """Plays one schedule against a deployment and checks the rules every STEP seconds."""
+    """Plays one schedule against a deployment and checks the rules every CHECK_INTERVAL seconds."""
 
-    def __init__(self, story, ignored=()):
-        self.story, self.deployment = story, ControlDeployment(story.seed, story.voters)
+    def __init__(self, schedule, ignored=()):
+        self.schedule, self.deployment = schedule, ControlDeployment(schedule.seed, schedule.voters)
         self.deployment.invariants.ignored = frozenset(ignored)
-        self.losses = Losses(story.voters)
-        self.faults, self.orders = Faults(self.deployment, self.losses, story.is_wild), Orders(self.deployment)
-        self.calm_since, self.probe, self.is_taken, self.is_whole = None, None, False, False
-        self.leader_numbers, self.led_at = [], timedelta(0)
+        self.losses = Losses(schedule.voters)
+        self.faults, self.orders = Faults(self.deployment, self.losses, schedule.is_wild), Orders(self.deployment)
+        self.recovery_since, self.probe, self.is_change_committed, self.is_recovered = None, None, False, False
+        self.leader_numbers, self.last_leader_at = [], timedelta(0)
 
     def run(self):
         """Sets up the deployment, plays the choices and returns the outcome."""
         start = self._set_up()
-        for choice in self.story.choices:
+        for choice in self.schedule.choices:
             self.deployment._later(timedelta(seconds=choice.at), self._apply, choice)
-        end = start + timedelta(seconds=self.story.seconds)
+        end = start + timedelta(seconds=self.schedule.seconds)
         while self.deployment.now < end and not self.deployment.invariants.findings:
-            self.deployment.run(STEP)
-            self._look()
+            self.deployment.run(CHECK_INTERVAL)
+            self._check()
         seconds = (self.deployment.now - start).total_seconds()
         return Outcome(tuple(self.deployment.invariants.findings), self.deployment.invariants.counts, seconds)
 
     def _set_up(self):
-        deployment, voters = self.deployment, self.story.voters
+        deployment, voters = self.deployment, self.schedule.voters
         for _ in range(voters - 3):
             deployment.add_machine()
         for name in deployment.names:
             self.losses.add_machine(name, NEVER)
         first = self.orders.first()
-        is_whole = deployment.run_until(lambda: first.acknowledged_at is not None and self._is_whole(), 30)
-        assert is_whole, "no view with all voters within 30 s of the start"
+        has_full_view = deployment.run_until(lambda: first.acknowledged_at is not None and self._has_full_view(), 30)
+        assert has_full_view, "no view with all voters within 30 s of the start"
         deployment.run(1)
         return deployment.now
 
-    def _is_whole(self):
+    def _has_full_view(self):
         leader = self.deployment.leader()
         return (
             leader is not None
-            and len(observe.members(leader)) == len(observe.voting_members(leader)) == self.story.voters
+            and len(observe.members(leader)) == len(observe.voting_members(leader)) == self.schedule.voters
         )
 
     def _apply(self, choice):
-        if isinstance(choice, Calm):
-            self._begin_calm()
+        if isinstance(choice, Recover):
+            self._begin_recovery()
         elif isinstance(choice, ORDERS):
             self.orders.apply(choice)
-        elif self.calm_since is None:
+        elif self.recovery_since is None:
             self.faults.apply(choice)
 
     # periodic checks ----------------------------------------------------------------------------
 
-    def _look(self):
+    def _check(self):
         now = self.deployment.now
-        self.losses.note(now.total_seconds())
-        self.deployment.invariants.look_at_all(self.deployment.cores(), now)
-        self._look_at_voting_members()
-        if self.calm_since is not None:
-            self._look_at_calm()
-        elif self.losses.has_stood(now.total_seconds(), VIEW_WITHIN) and now - self.led_at > BETWEEN_VIEWS:
+        self.losses.update(now.total_seconds())
+        self.deployment.invariants.check_cores(self.deployment.cores(), now)
+        self._check_voting_members()
+        if self.recovery_since is not None:
+            self._check_recovery()
+        elif (
+            self.losses.is_stable_for(now.total_seconds(), VIEW_TIMEOUT) and now - self.last_leader_at > MAX_VIEW_CHANGE
+        ):
             self.deployment.invariants.fail(
                 "no-view",
-                f"no leader with a valid lease since {self.led_at}, {VIEW_WITHIN} s after the last fault began or "
-                "ended",
+                f"no leader with a valid lease since {self.last_leader_at}, "
+                f"{VIEW_TIMEOUT} s after the last fault began or ended",
             )
 
-    def _look_at_voting_members(self):
+    def _check_voting_members(self):
         """Checks that a majority of each group of voters still has its disk."""
         leader = self.deployment.leader()
         if leader is None:
             return
-        self.led_at = self.deployment.now
+        self.last_leader_at = self.deployment.now
         self.leader_numbers.append((self.deployment.now, leader.state.number))
         alive = set(self.deployment.identities.values())
         for voters in observe.voter_groups(leader):
@@ -147,29 +149,35 @@
                     "seats", f"of the voters {sorted(voters)}, {sorted(gone)} have lost their disks"
                 )
 
-    def _begin_calm(self):
+    def _begin_recovery(self):
         self.faults.end_all()
-        self.calm_since, self.probe, self.is_taken, self.is_whole = self.deployment.now, None, False, False
+        self.recovery_since, self.probe, self.is_change_committed, self.is_recovered = (
+            self.deployment.now,
+            None,
+            False,
+            False,
+        )
 
-    def _look_at_calm(self):
-        calm_for = (self.deployment.now - self.calm_since).total_seconds()
+    def _check_recovery(self):
+        recovering_for = (self.deployment.now - self.recovery_since).total_seconds()
         if self.probe is None or self.probe.refused_at is not None:
             self.probe = self.orders.probe()
-        self.is_taken = self.is_taken or self.probe.acknowledged_at is not None
-        if calm_for >= CHANGE_WITHIN and not self.is_taken:
+        self.is_change_committed = self.is_change_committed or self.probe.acknowledged_at is not None
+        if recovering_for >= CHANGE_TIMEOUT and not self.is_change_committed:
             self.deployment.invariants.fail(
-                "no-change", f"no change was committed within {CHANGE_WITHIN} s of the recovery phase"
+                "no-change", f"no change was committed within {CHANGE_TIMEOUT} s of the recovery phase"
             )
-        reason = self._why_not_whole() if calm_for >= WHOLE_WITHIN else "checked too early"
-        self.is_whole = self.is_whole or not reason
-        if calm_for >= CALM:
-            self.calm_since = None
-            if not self.is_whole:
+        reason = self._unrecovered_reason() if recovering_for >= CATCH_UP_TIMEOUT else "checked too early"
+        self.is_recovered = self.is_recovered or not reason
+        if recovering_for >= RECOVERY_SECONDS:
+            self.recovery_since = None
+            if not self.is_recovered:
                 self.deployment.invariants.fail(
-                    "catch-up", f"not recovered from {WHOLE_WITHIN} s to {CALM} s of the recovery phase: {reason}"
+                    "catch-up",
+                    f"not recovered from {CATCH_UP_TIMEOUT} s to {RECOVERY_SECONDS} s of the recovery phase: {reason}",
                 )
 
-    def _why_not_whole(self) -> str:
+    def _unrecovered_reason(self) -> str:
         """Returns why the cluster has not recovered, or "" if all voters are members of the view and have caught up."""
         leader = self.deployment.leader()
         if leader is None:
@@ -179,7 +187,7 @@
         if late:
             return f"{late} (feed followers) have not caught up with change {number}"
         voters, members = sorted(observe.voting_members(leader)), sorted(observe.members(leader))
-        if len(voters) != self.story.voters or members != voters:
+        if len(voters) != self.schedule.voters or members != voters:
             return f"the voters are {voters}, the members of the view {members}"
         running = {core.node: core.state.number for core in self.deployment.cores()}
         behind = {name: running.get(name, "not running") for name in voters if running.get(name, -1) < number}
--- a/harness/model_checking/shrink.py
+++ b/harness/model_checking/shrink.py
@@ -4,58 +4,58 @@
 
 import msgspec
 
-from harness.model_checking.story import Story, play
+from harness.model_checking.schedule import Schedule, play
 
-MOST_SECONDS = 60.0  # of real time
+MAX_SECONDS = 60.0  # of real time
 
 
 class Shrinker:
     """Removes choices from a schedule as long as it still breaks the same rule."""
 
-    def __init__(self, story: Story, rule: str, most_seconds: float = MOST_SECONDS, ignored=()):
-        self.story, self.rule = msgspec.structs.replace(story, rule=rule), rule
-        self.ignored, self.ends_at = ignored, time.monotonic() + most_seconds
+    def __init__(self, schedule: Schedule, rule: str, max_seconds: float = MAX_SECONDS, ignored=()):
+        self.schedule, self.rule = msgspec.structs.replace(schedule, rule=rule), rule
+        self.ignored, self.ends_at = ignored, time.monotonic() + max_seconds
 
     @property
     def _has_time(self):
         return time.monotonic() < self.ends_at
 
-    def run(self) -> Story:
+    def run(self) -> Schedule:
         """Returns the smallest schedule found within the time limit."""
-        self._cut_the_end()
+        self._truncate()
         parts = 2
-        while parts <= 2 * len(self.story.choices) and self._has_time:
-            if self._take_out_one_of(parts):
+        while parts <= 2 * len(self.schedule.choices) and self._has_time:
+            if self._remove_one_part(parts):
                 parts = max(2, parts - 1)
-            elif parts >= len(self.story.choices):
+            elif parts >= len(self.schedule.choices):
                 break
             else:
-                parts = min(parts * 2, len(self.story.choices))
-        self._cut_the_end()
-        return self.story
+                parts = min(parts * 2, len(self.schedule.choices))
+        self._truncate()
+        return self.schedule
 
-    def _breaks(self, story) -> float | None:
+    def _violation_time(self, schedule) -> float | None:
         """Returns the second at which the schedule breaks the rule, or None if it does not."""
-        outcome = play(story, self.ignored)
+        outcome = play(schedule, self.ignored)
         return outcome.seconds if any(finding.rule == self.rule for finding in outcome.findings) else None
 
-    def _cut_the_end(self):
+    def _truncate(self):
         """Removes all choices after the violation and shortens the schedule to its time."""
-        seconds = self._breaks(self.story)
+        seconds = self._violation_time(self.schedule)
         if seconds is not None:
-            kept = tuple(choice for choice in self.story.choices if choice.at <= seconds)
-            self.story = msgspec.structs.replace(self.story, choices=kept, seconds=round(seconds + 0.1, 3))
+            kept = tuple(choice for choice in self.schedule.choices if choice.at <= seconds)
+            self.schedule = msgspec.structs.replace(self.schedule, choices=kept, seconds=round(seconds + 0.1, 3))
 
-    def _take_out_one_of(self, parts) -> bool:
+    def _remove_one_part(self, parts) -> bool:
         """Removes the first of `parts` equal parts that the violation does not need; returns False if there is none."""
-        choices = self.story.choices
+        choices = self.schedule.choices
         size = -(-len(choices) // parts)
         for first in range(0, len(choices), size):
             if not self._has_time:
                 return False
             rest = choices[:first] + choices[first + size :]
-            candidate = msgspec.structs.replace(self.story, choices=rest)
-            if self._breaks(candidate) is not None:
-                self.story = candidate
+            candidate = msgspec.structs.replace(self.schedule, choices=rest)
+            if self._violation_time(candidate) is not None:
+                self.schedule = candidate
                 return True
         return False
--- a/harness/model_checking/steps.py
+++ b/harness/model_checking/steps.py
@@ -7,11 +7,11 @@
 from harness.model_checking.cluster import FOUNDERS, Cluster
 from sumachook.consensus import events
 
-ROUND = 0.2  # seconds between two ticks
-PAUSE = 0.9  # seconds during which no process runs
-STEPS_TO_BEGIN = 12
-ROUNDS_OF_AN_ELECTION = 10
-UNSHARED_CHANGES = 5  # more changes than the next view commits before one of its members crashes
+ROUND_SECONDS = 0.2  # seconds between two ticks
+PAUSE_SECONDS = 0.9  # seconds during which no process runs
+ROUNDS_TO_STABLE_VIEW = 12
+ELECTION_ROUNDS = 10
+UNREPLICATED_CHANGES = 5  # more changes than the next view commits before one of its members crashes
 
 
 class Kind(StrEnum):
@@ -24,8 +24,8 @@
     DROP = "drop one message"
     SYNC = "sync one write"
     ISOLATE = "hold all links of"
-    DEAFEN = "hold all links to"
-    MUTE = "hold all links from"
+    BLOCK_INBOUND = "hold all links to"
+    BLOCK_OUTBOUND = "hold all links from"
     REJOIN = "release all links"
     LOSE_HELD = "lose what is held"
     CRASH = "crash"
@@ -60,7 +60,11 @@
         if any(cluster.links[link] for link in cluster.held):
             steps.append(Step(Kind.LOSE_HELD))
     else:
-        steps += [Step(kind, name) for kind in (Kind.ISOLATE, Kind.DEAFEN, Kind.MUTE) for name in cluster.nodes]
+        steps += [
+            Step(kind, name)
+            for kind in (Kind.ISOLATE, Kind.BLOCK_INBOUND, Kind.BLOCK_OUTBOUND)
+            for name in cluster.nodes
+        ]
     if sum(map(len, cluster.links.values())) > 1:
         steps.append(Step(Kind.SETTLE_REVERSED))
     return steps
@@ -78,14 +82,14 @@
     return steps
 
 
-def take(cluster: Cluster, step: Step):
+def execute(cluster: Cluster, step: Step):
     """Executes one step; raises `BrokenRuleError` if it breaks a rule."""
     match step.kind:
         case Kind.TICK:
-            cluster.tick(ROUND)
+            cluster.tick(ROUND_SECONDS)
             cluster.propose_somewhere()
         case Kind.PAUSE:
-            cluster.tick(PAUSE)
+            cluster.tick(PAUSE_SECONDS)
         case Kind.SETTLE | Kind.SETTLE_REVERSED:
             cluster.settle(step.kind is Kind.SETTLE_REVERSED)
             cluster.check_durable()
@@ -93,17 +97,19 @@
             cluster.deliver_next((step.node, step.other))
         case Kind.DROP:
             cluster.links[(step.node, step.other)].popleft()
-        case Kind.ISOLATE | Kind.DEAFEN | Kind.MUTE:
-            cluster.hold(step.node, is_out=step.kind is not Kind.DEAFEN, is_in=step.kind is not Kind.MUTE)
+        case Kind.ISOLATE | Kind.BLOCK_INBOUND | Kind.BLOCK_OUTBOUND:
+            cluster.hold(
+                step.node, is_out=step.kind is not Kind.BLOCK_INBOUND, is_in=step.kind is not Kind.BLOCK_OUTBOUND
+            )
         case Kind.REJOIN:
             cluster.held.clear()
         case Kind.LOSE_HELD:
-            cluster.lose_held()
+            cluster.drop_held()
         case _:
-            _take_at_node(cluster, step)
+            _execute_at_node(cluster, step)
 
 
-def _take_at_node(cluster: Cluster, step: Step):
+def _execute_at_node(cluster: Cluster, step: Step):
     """Executes a step that affects a single node."""
     node = cluster.nodes[step.node]
     match step.kind:
@@ -129,34 +135,34 @@
     cluster = Cluster()
     for name in FOUNDERS:
         cluster.start(name)
-    go_on(cluster, STEPS_TO_BEGIN)
+    run_rounds(cluster, ROUNDS_TO_STABLE_VIEW)
     return cluster
 
 
-def go_on(cluster: Cluster, rounds: int):
+def run_rounds(cluster: Cluster, rounds: int):
     """Runs `rounds` rounds, each a tick and the delivery of all messages."""
     for _ in range(rounds):
-        take(cluster, Step(Kind.TICK))
-        take(cluster, Step(Kind.SETTLE))
+        execute(cluster, Step(Kind.TICK))
+        execute(cluster, Step(Kind.SETTLE))
 
 
 def leader_cut_off() -> Cluster:
     """The leader has been partitioned for 0.4 s; messages on its links stay queued."""
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "a"))
-    go_on(cluster, 2)
+    execute(cluster, Step(Kind.ISOLATE, "a"))
+    run_rounds(cluster, 2)
     return cluster
 
 
 def view_change_begun() -> Cluster:
     """The leader has crashed, and a candidate prepares the next view."""
     cluster = calm_view()
-    take(cluster, Step(Kind.CRASH, "a"))
+    execute(cluster, Step(Kind.CRASH, "a"))
     for _ in range(20):
-        take(cluster, Step(Kind.TICK))
+        execute(cluster, Step(Kind.TICK))
         if any(node.is_running and node.replica.role == "preparing" for node in cluster.nodes.values()):
             break
-        take(cluster, Step(Kind.SETTLE))
+        execute(cluster, Step(Kind.SETTLE))
     return cluster
 
 
@@ -165,8 +171,8 @@
     cluster = calm_view()
     cluster.add("d")
     cluster.start("d")
-    take(cluster, Step(Kind.CRASH, "c"))
-    go_on(cluster, 8)
+    execute(cluster, Step(Kind.CRASH, "c"))
+    run_rounds(cluster, 8)
     return cluster
 
 
@@ -174,12 +180,12 @@
     """As `newcomer_caught_up`, with the replacement of the missing voter in progress."""
     cluster = newcomer_caught_up()
     for _ in range(10):
-        take(cluster, Step(Kind.TICK))
+        execute(cluster, Step(Kind.TICK))
         if any(
             node.is_running and len(node.replica.voting_members) != len(FOUNDERS) for node in cluster.nodes.values()
         ):
             break
-        take(cluster, Step(Kind.SETTLE))
+        execute(cluster, Step(Kind.SETTLE))
     return cluster
 
 
@@ -188,27 +194,27 @@
     cluster = calm_view()
     cluster.add("d")
     cluster.start("d")
-    go_on(cluster, 6)
-    take(cluster, Step(Kind.LEAVE, "a"))
+    run_rounds(cluster, 6)
+    execute(cluster, Step(Kind.LEAVE, "a"))
     return cluster
 
 
 def followers_disks_stalled() -> Cluster:
     """The disks of both followers have stalled for one round, with a change in progress."""
     cluster = calm_view()
-    take(cluster, Step(Kind.STALL, "b"))
-    take(cluster, Step(Kind.STALL, "c"))
-    go_on(cluster, 1)
+    execute(cluster, Step(Kind.STALL, "b"))
+    execute(cluster, Step(Kind.STALL, "c"))
+    run_rounds(cluster, 1)
     return cluster
 
 
 def followers_started_anew_behind_a_cut() -> Cluster:
     """The leader is partitioned and both followers have just restarted, while its lease is still valid."""
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "a"))
+    execute(cluster, Step(Kind.ISOLATE, "a"))
     for name in ("b", "c"):
-        take(cluster, Step(Kind.CRASH_SYNCED, name))
-        take(cluster, Step(Kind.START, name))
+        execute(cluster, Step(Kind.CRASH_SYNCED, name))
+        execute(cluster, Step(Kind.START, name))
     return cluster
 
 
@@ -217,9 +223,9 @@
     deliver again.
     """
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "c"))
-    go_on(cluster, 6)
-    take(cluster, Step(Kind.REJOIN))
+    execute(cluster, Step(Kind.ISOLATE, "c"))
+    run_rounds(cluster, 6)
+    execute(cluster, Step(Kind.REJOIN))
     return cluster
 
 
@@ -228,24 +234,24 @@
     changes were committed without the member; heartbeats from before the partition arrive only now.
     """
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "c"))
-    go_on(cluster, ROUNDS_OF_AN_ELECTION)
-    take(cluster, Step(Kind.REJOIN))
+    execute(cluster, Step(Kind.ISOLATE, "c"))
+    run_rounds(cluster, ELECTION_ROUNDS)
+    execute(cluster, Step(Kind.REJOIN))
     return cluster
 
 
 def old_leader_with_a_longer_log() -> Cluster:
     """A former leader restarts with entries that no other replica has; one member of the next view is still running."""
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "a"))
-    for _ in range(UNSHARED_CHANGES):
+    execute(cluster, Step(Kind.ISOLATE, "a"))
+    for _ in range(UNREPLICATED_CHANGES):
         cluster.propose("a")
-    go_on(cluster, ROUNDS_OF_AN_ELECTION)
-    take(cluster, Step(Kind.LOSE_HELD))
-    take(cluster, Step(Kind.REJOIN))
-    take(cluster, Step(Kind.CRASH_SYNCED, "a"))
-    take(cluster, Step(Kind.CRASH_SYNCED, "b"))
-    take(cluster, Step(Kind.START, "a"))
+    run_rounds(cluster, ELECTION_ROUNDS)
+    execute(cluster, Step(Kind.LOSE_HELD))
+    execute(cluster, Step(Kind.REJOIN))
+    execute(cluster, Step(Kind.CRASH_SYNCED, "a"))
+    execute(cluster, Step(Kind.CRASH_SYNCED, "b"))
+    execute(cluster, Step(Kind.START, "a"))
     return cluster
 
 
--- a/harness/model_checking/walk.py
+++ b/harness/model_checking/walk.py
@@ -3,70 +3,70 @@
 from random import Random
 
 from harness.model_checking import choices
-from harness.model_checking.story import CALM, Story
+from harness.model_checking.schedule import RECOVERY_SECONDS, Schedule
 
-TROUBLE = (12.0, 30.0)  # shortest and longest episode of faults in seconds, before its recovery phase
-AT_THE_EDGE = 4.0  # seconds for which a machine still counts as lost after its fault
+EPISODE_SECONDS = (12.0, 30.0)  # shortest and longest episode of faults in seconds, before its recovery phase
+LOSS_COOLDOWN = 4.0  # seconds for which a machine still counts as lost after its fault
 SELECTORS = ("leader", "leader", "leader", "0", "1", "2", "3", "4")
 DURATIONS = (0.1, 0.3, 0.5, 0.7, 0.9, 1.1, 1.4, 1.6, 2.0, 3.0, 5.0)
 ROLES = ("placer", "accountant")
 LEASE_DURATIONS = (0.5, 1.1, 1.6, 2.0, 3.0, 5.0)
-LATE_ARRIVALS = (0.1, 0.2, 0.3, 0.5)  # seconds of extra latency
+INBOUND_DELAYS = (0.1, 0.2, 0.3, 0.5)  # seconds of extra latency
 READ_INTERVAL = 0.08  # seconds between two reads from a machine with delayed incoming messages
 WRITES_KEPT = (0, 0, 1, 2, 5)
 PADDINGS = (0, 0, 0, 0, 200, 20_000)
 
 
-def draw_story(seed: int, voters: int, seconds: float) -> Story:
+def draw_schedule(seed: int, voters: int, seconds: float) -> Schedule:
     """Draws a walk of at least `seconds` seconds; the same seed always yields the same schedule."""
     random = Random(seed * 10 + voters)
     is_wild, entries = random.random() < 0.6, random.choice((0, 12, 40))
     drawn, at = [], 0.0
     while at < seconds:
-        length = random.uniform(*TROUBLE)
+        length = random.uniform(*EPISODE_SECONDS)
         drawn += _Episode(random, at, at + length).draw_all()
         at += length
-        drawn.append(choices.Calm(at=round(at, 3)))
-        at += CALM
-    return Story(
+        drawn.append(choices.Recover(at=round(at, 3)))
+        at += RECOVERY_SECONDS
+    return Schedule(
         seed=seed,
         voters=voters,
         is_wild=is_wild,
         entries=entries,
         seconds=at,
-        choices=tuple(sorted(drawn, key=lambda one: one.at)),
+        choices=tuple(sorted(drawn, key=lambda choice: choice.at)),
     )
 
 
-def draw_lease_story(seed: int, voters: int, seconds: float) -> Story:
+def draw_lease_schedule(seed: int, voters: int, seconds: float) -> Schedule:
     """Draws a walk whose faults hit the holders of role leases, often only their links to the leader.
 
     While such a link is cut, the leader does not receive the holder's renewals and vacates the role, but the other
     voters still acknowledge them. Only the voters' record of these acknowledgements prevents a successor from holding
     the lease at the same time.
     """
-    return _draw_story_of(_LeaseEpisode, Random(f"leases {seed} {voters}"), seed, voters, seconds)
+    return _draw_episodes(_LeaseEpisode, Random(f"leases {seed} {voters}"), seed, voters, seconds)
 
 
-def draw_read_story(seed: int, voters: int, seconds: float) -> Story:
+def draw_read_schedule(seed: int, voters: int, seconds: float) -> Schedule:
     """Draws a walk that delays the incoming messages of one machine after the other, while operators read from it.
 
     Such a machine acknowledges entries and stays connected, but learns late that they are committed. Only the read
     index request to the leader prevents a read that is older than what was acknowledged before it.
     """
-    return _draw_story_of(_ReadEpisode, Random(f"reads {seed} {voters}"), seed, voters, seconds)
+    return _draw_episodes(_ReadEpisode, Random(f"reads {seed} {voters}"), seed, voters, seconds)
 
 
-def _draw_story_of(episode: type["_Episode"], random: Random, seed: int, voters: int, seconds: float) -> Story:
+def _draw_episodes(episode: type["_Episode"], random: Random, seed: int, voters: int, seconds: float) -> Schedule:
     """Draws a walk of these episodes, each followed by a recovery phase."""
     drawn, at = [], 0.0
     while at < seconds:
-        length = random.uniform(*TROUBLE)
+        length = random.uniform(*EPISODE_SECONDS)
         drawn += episode(random, at, at + length).draw_all()
         at += length
-        drawn.append(choices.Calm(at=round(at, 3)))
-        at += CALM
-    return Story(seed=seed, voters=voters, seconds=at, choices=tuple(sorted(drawn, key=lambda one: one.at)))
+        drawn.append(choices.Recover(at=round(at, 3)))
+        at += RECOVERY_SECONDS
+    return Schedule(seed=seed, voters=voters, seconds=at, choices=tuple(sorted(drawn, key=lambda choice: choice.at)))
 
 
 class _Episode:
@@ -77,11 +77,11 @@
 
     def draw_all(self) -> list:
         """Draws faults, overlapping or one after the other, and operator requests for the whole episode."""
-        self.random.choice((self._dense, self._dense, self._at_the_edge))()
+        self.random.choice((self._overlapping_faults, self._overlapping_faults, self._sequential_losses))()
         self._orders()
         return [choice for choice in self.drawn if choice.at < self.end]
 
-    def _dense(self):
+    def _overlapping_faults(self):
         at = self.start
         while at < self.end:
             end = at
@@ -91,23 +91,23 @@
                 end = max(end, self._fault(end + self.random.choice((-0.05, 0, 0.01, 0.1))))
             at = max(at + 0.3, self.random.choice((at, end)) + self.random.uniform(0.1, 2.5))
 
-    def _at_the_edge(self):
+    def _sequential_losses(self):
         """Draws losses in succession, each as soon as the previous one no longer counts."""
         at = self.start
         while at < self.end:
             if self.random.random() < 0.5:
                 self.drawn.append(choices.Join(at=round(at, 3)))
-                at += self.random.uniform(0.2, AT_THE_EDGE + 0.5)
+                at += self.random.uniform(0.2, LOSS_COOLDOWN + 0.5)
             end = self._loss(at) if self.random.random() < 0.8 else self._fault(at)
             if self.random.random() < 0.3:
                 end = max(end, self._loss(at + self.random.uniform(0, 1)))
-            at = end + AT_THE_EDGE + self.random.choice((0.01, 0.1, 0.5))
+            at = end + LOSS_COOLDOWN + self.random.choice((0.01, 0.1, 0.5))
 
     # each method draws one fault and returns the second at which it ends ------------------------------------------
 
-    def _add(self, make, at, seconds=0.0, **more):
-        fields = {"seconds": seconds} if "seconds" in make.__struct_fields__ else {}
-        self.drawn.append(make(at=round(max(at, self.start), 3), **fields, **more))
+    def _add(self, choice_type, at, seconds=0.0, **more):
+        fields = {"seconds": seconds} if "seconds" in choice_type.__struct_fields__ else {}
+        self.drawn.append(choice_type(at=round(max(at, self.start), 3), **fields, **more))
         return at + seconds
 
     def _fault(self, at):
@@ -318,11 +318,11 @@
         """Draws slow links to one machine at a time, reads from that machine and orders for the whole episode."""
         at = self.start
         while at < self.end:
-            at = self._hear_late(at) + self.random.uniform(0.2, 1.0)
+            at = self._delay_inbound(at) + self.random.uniform(0.2, 1.0)
         self._orders()
         return [choice for choice in self.drawn if choice.at < self.end]
 
-    def _hear_late(self, at):
+    def _delay_inbound(self, at):
         machine, seconds = self.random.choice(("0", "1", "2", "3", "4")), self.random.uniform(1.0, 4.0)
         end = self._add(
             choices.SlowLink,
@@ -330,7 +330,7 @@
             round(seconds, 3),
             machine=machine,
             direction="in",
-            delay=self.random.choice(LATE_ARRIVALS),
+            delay=self.random.choice(INBOUND_DELAYS),
         )
         while at < end:
             self._add(choices.Read, at, target=machine)
--- a/tests/harness/test_model_checker.py
+++ b/tests/harness/test_model_checker.py
@@ -7,24 +7,24 @@
 from harness.model_checking.choices import Cut, Freeze, Order
 from harness.model_checking.explore import CounterExample, Search, replay
 from harness.model_checking.losses import CATCH_UP, NEVER, Losses
+from harness.model_checking.schedule import Schedule, load, play, save
 from harness.model_checking.shrink import Shrinker
 from harness.model_checking.steps import BEGINNINGS, Kind, Step
-from harness.model_checking.story import Story, load, play, save
-from harness.model_checking.walk import draw_lease_story, draw_read_story, draw_story
+from harness.model_checking.walk import draw_lease_schedule, draw_read_schedule, draw_schedule
 
-STORIES = sorted((Path(__file__).parent.parent / "model").glob("*.json"))
+SCHEDULES = sorted((Path(__file__).parent.parent / "model").glob("*.json"))
 WALKS = [(3, seed) for seed in (4, *range(1001, 1006))] + [(5, seed) for seed in range(1101, 1104)]
 LEASE_WALKS = [(3, 2001), (3, 2002), (3, 2003), (5, 2101)]
 READ_WALKS = [(3, 3001), (5, 3101)]
 SECONDS = 40.0
 ROUNDS, DEVIATIONS = 2, 1
-MOST_STATES = 2000  # of one beginning; a search within the bounds has fewer
+MAX_STATES = 2000  # of one beginning; a search within the bounds has fewer
 
 
 @pytest.mark.parametrize("voters, seed", WALKS)
 def test_walks_break_no_rule(voters, seed):
     """Given random faults and orders over whole cores, no invariant is broken."""
-    outcome = play(draw_story(seed, voters, SECONDS))
+    outcome = play(draw_schedule(seed, voters, SECONDS))
     assert outcome.findings == ()
     assert outcome.counts["acknowledged"] > 0 and outcome.counts["delivered"] > 0
 
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("voters, seed", LEASE_WALKS)
 def test_lease_walks_break_no_rule(voters, seed):
     """Given holders of leases that are cut off from the leader alone, stand still or end, no lease has two holders."""
-    outcome = play(draw_lease_story(seed, voters, SECONDS))
+    outcome = play(draw_lease_schedule(seed, voters, SECONDS))
     assert outcome.findings == ()
     assert outcome.counts["acknowledged"] > 0 and outcome.counts["delivered"] > 0
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("voters, seed", READ_WALKS)
 def test_read_walks_break_no_rule(voters, seed):
     """Given machines that hear late, no read there shows less than what an operator was told before it."""
-    outcome = play(draw_read_story(seed, voters, SECONDS))
+    outcome = play(draw_read_schedule(seed, voters, SECONDS))
     assert outcome.findings == ()
     assert outcome.counts["acknowledged"] > 0 and outcome.counts["reads"] > 100
 
@@ -48,24 +48,24 @@
 @pytest.mark.parametrize("beginning", BEGINNINGS)
 def test_no_deviation_breaks_a_rule(beginning):
     """Given three replicas in a state where much can go wrong, every single step out of the ordinary course breaks no rule."""
-    report = Search(beginning, ROUNDS, DEVIATIONS, most_states=MOST_STATES).run()
+    report = Search(beginning, ROUNDS, DEVIATIONS, max_states=MAX_STATES).run()
     assert report.found == [] and report.is_complete
     assert report.states > 50 and report.recoveries > 10
 
 
-@pytest.mark.parametrize("path", STORIES, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", SCHEDULES, ids=lambda path: path.stem)
 def test_counter_examples_of_earlier_days_break_no_rule_now(path):
     """Given the choices that broke a rule once, none is broken any more."""
     assert play(load(path)).findings == ()
 
 
 def test_one_story_always_has_the_same_end(tmp_path):
-    """Given a story that was written down, it plays as it did the first time."""
-    story = draw_story(1001, 3, 15.0)
-    save(story, tmp_path / "story.json")
+    """Given a schedule that was written down, it plays as it did the first time."""
+    schedule = draw_schedule(1001, 3, 15.0)
+    save(schedule, tmp_path / "story.json")
     again = load(tmp_path / "story.json")
-    assert again == story
-    assert play(again) == play(story)
+    assert again == schedule
+    assert play(again) == play(schedule)
 
 
 def test_a_counter_example_is_shrunk_to_what_it_needs(monkeypatch):
@@ -73,17 +73,17 @@
     needed = (Freeze(at=2.0, machine="0", seconds=1.0), Cut(at=5.0, machine="1", seconds=1.0))
     orders = tuple(Order(at=0.1 * place, operator=0, targets=("0",)) for place in range(60))
     choices = tuple(sorted((*needed, *orders), key=lambda choice: choice.at))
-    story = Story(seed=1, seconds=9.0, choices=choices)
+    schedule = Schedule(seed=1, seconds=9.0, choices=choices)
 
-    def play_as_if_broken(story, ignored=()):
+    def play_as_if_broken(schedule, ignored=()):
         from harness.model_checking.invariants import Finding
-        from harness.model_checking.story import Outcome
+        from harness.model_checking.schedule import Outcome
 
-        is_broken = set(needed) <= set(story.choices)
+        is_broken = set(needed) <= set(schedule.choices)
         return Outcome((Finding(6.0, "made-up", "both"),) if is_broken else (), {}, 6.0)
 
     monkeypatch.setattr("harness.model_checking.shrink.play", play_as_if_broken)
-    assert Shrinker(story, "made-up").run().choices == needed
+    assert Shrinker(schedule, "made-up").run().choices == needed
 
 
 def test_a_replayed_search_ends_where_it_ended():
@@ -112,7 +112,7 @@
 def test_a_machine_is_lost_until_it_has_caught_up():
     """Given trouble of one machine, no disk may be lost until four seconds after its end."""
     losses = _three()
-    losses.add_trouble("a", 10, 12)
+    losses.add_fault("a", 10, 12)
     assert not losses.may_lose(11, {"b"}) and not losses.may_lose(12 + CATCH_UP - 0.1, {"b"})
     assert losses.may_lose(11, {"a"}) and losses.may_lose(12 + CATCH_UP, {"b"})
 
@@ -138,8 +138,8 @@
     """Given an empty disk that could not catch up because the others were away too, its time begins anew."""
     losses = _three()
     losses.add_disk_loss("a", 10, 10.5)
-    losses.add_trouble("b", 11, 13)
-    losses.note(11)
-    losses.note(14)
+    losses.add_fault("b", 11, 13)
+    losses.update(11)
+    losses.update(14)
     assert not losses.may_lose(17.9, {"b"})
     assert losses.may_lose(14 + CATCH_UP + 0.1, {"b"})
--- a/tests/harness/test_vacuous_runs.py
+++ b/tests/harness/test_vacuous_runs.py
@@ -26,7 +26,7 @@
 from harness.fuzzing.run import FuzzReport
 from harness.local_cluster import platform_city
 from harness.model_checking.explore import Report
-from harness.model_checking.story import Outcome, Story
+from harness.model_checking.schedule import Outcome, Schedule
 from harness.run_checks import find_unchecked
 from sumachook.simulation.fault_injection import FaultInjection
 
@@ -219,9 +219,9 @@
 @pytest.mark.parametrize(("counts", "code"), [((0, 0), 1), ((3, 0), 1), ((3, 1), 0)])
 def test_walk_in_which_nothing_happens_fails(monkeypatch, counts, code):
     """Given walks that delivered or acknowledged nothing, they judged nothing."""
-    story = Story(seed=1, seconds=1.0, choices=())
+    schedule = Schedule(seed=1, seconds=1.0, choices=())
     outcome = Outcome((), Counter(delivered=counts[0], acknowledged=counts[1]), 1.0)
-    monkeypatch.setattr(model, "_walk", lambda seed, **_: (story, outcome, story))
+    monkeypatch.setattr(model, "_walk", lambda seed, **_: (schedule, outcome, schedule))
     assert _exit_code(monkeypatch, model, "walk", "--seeds", "1", "1") == code
 
 
