--- a/harness/mutations/consensus.py
+++ b/harness/mutations/consensus.py
@@ -7,8 +7,8 @@
 FLEET = "tests/consensus/test_losses.py"
 
 
-def _mutation(what: str, file: str, guard: str, instead: str, where: str, stories: str) -> Mutation:
-    return Mutation(0, what, guard, instead, where, stories, file=f"consensus/{file}.py")
+def _mutation(fault: str, file: str, guard: str, replacement: str, test_path: str, test_expression: str) -> Mutation:
+    return Mutation(0, fault, guard, replacement, test_path, test_expression, file=f"consensus/{file}.py")
 
 
 CONSENSUS_MUTATIONS = (
--- a/harness/mutations/model_checker.py
+++ b/harness/mutations/model_checker.py
@@ -5,8 +5,10 @@
 MODEL = "tests/harness/test_model_checker.py"
 
 
-def _mutation(model_rule: str, what: str, file: str, guard: str, instead: str, stories: str = "walks") -> Mutation:
-    return Mutation("MODEL", f"{model_rule}: {what}", guard, instead, MODEL, stories, file)
+def _mutation(
+    model_rule: str, fault: str, file: str, guard: str, replacement: str, test_expression: str = "walks"
+) -> Mutation:
+    return Mutation("MODEL", f"{model_rule}: {fault}", guard, replacement, MODEL, test_expression, file)
 
 
 MODEL_CHECKER_MUTATIONS = (
--- a/harness/mutations/mutation.py
+++ b/harness/mutations/mutation.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 ROOT = Path(__file__).parents[2]
-LONGEST = 400  # timeout of the test run of one mutation in seconds
+TEST_TIMEOUT = 400  # timeout of the test run of one mutation in seconds
 CAUGHT, NOT_CAUGHT = "caught", "not caught"
 VERDICTS = {0: NOT_CAUGHT, 1: CAUGHT}  # by the exit code of pytest
 
@@ -25,17 +25,18 @@
 class Mutation(NamedTuple):
     """A replacement of one piece of source text and the tests that must detect it.
 
-    `rule` is the number of a rule of the brief or the word for a rule of the platform, `what` describes the resulting
-    fault. `guard` is a text that occurs exactly once in the product, or once in `file` if that is set, and `instead` is
-    its replacement. `where` is the path of the tests and `stories` the pytest `-k` expression that selects them.
+    `rule` is the number of a rule of the brief or the word for a rule of the platform, and `fault` describes the fault
+    that the mutation causes. `guard` is a text that occurs exactly once in the product, or once in `file` if that is
+    set, and `replacement` is the text that replaces it. `test_path` is the path of the tests and `test_expression` the
+    pytest `-k` expression that selects them.
     """
 
     rule: int | str
-    what: str
+    fault: str
     guard: str
-    instead: str
-    where: str
-    stories: str
+    replacement: str
+    test_path: str
+    test_expression: str
     file: str = ""
 
     def verdict(self) -> str:
@@ -47,8 +48,8 @@
                 path = self.find_guard(copy)
             except GuardNotFoundError as error:
                 return str(error)
-            path.write_text(path.read_text().replace(self.guard, self.instead))
-            return self._run_stories(copy)
+            path.write_text(path.read_text().replace(self.guard, self.replacement))
+            return self._run_tests(copy)
 
     def find_guard(self, root: Path) -> Path:
         """Returns the product file under `root` that contains the guard; raises GuardNotFoundError unless it occurs exactly
@@ -62,14 +63,14 @@
     def _files(self, root):
         return [path for path in (root / "sumachook").rglob("*.py") if str(path).endswith(self.file)]
 
-    def _run_stories(self, copy):
+    def _run_tests(self, copy):
         options = ["-q", "-x", "-n", "0", "-p", "no:cacheprovider"]
         done = subprocess.run(
-            [sys.executable, "-m", "pytest", *options, self.where, "-k", self.stories],
+            [sys.executable, "-m", "pytest", *options, self.test_path, "-k", self.test_expression],
             cwd=copy,
             env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"},
             capture_output=True,
             text=True,
-            timeout=LONGEST,
+            timeout=TEST_TIMEOUT,
         )
         return VERDICTS.get(done.returncode, f"pytest exited with code {done.returncode}")
--- a/harness/mutations/runner.py
+++ b/harness/mutations/runner.py
@@ -49,12 +49,12 @@
     with ThreadPoolExecutor(given.workers) as pool:
         verdicts = list(pool.map(Mutation.verdict, chosen))
     for mutation, verdict in zip(chosen, verdicts, strict=True):
-        print(f"| {mutation.rule} | {mutation.what} | `{mutation.where}` {mutation.stories} | {verdict} |")
-    missed = [(mutation, verdict) for mutation, verdict in zip(chosen, verdicts, strict=True) if verdict != CAUGHT]
-    for mutation, verdict in missed:
-        print(f"{verdict}: {mutation.rule}, {mutation.what}")
-    print(f"{len(chosen)} mutations, {len(missed)} not caught")
-    raise SystemExit(1 if missed else 0)
+        print(f"| {mutation.rule} | {mutation.fault} | `{mutation.test_path}` {mutation.test_expression} | {verdict} |")
+    undetected = [(mutation, verdict) for mutation, verdict in zip(chosen, verdicts, strict=True) if verdict != CAUGHT]
+    for mutation, verdict in undetected:
+        print(f"{verdict}: {mutation.rule}, {mutation.fault}")
+    print(f"{len(chosen)} mutations, {len(undetected)} not caught")
+    raise SystemExit(1 if undetected else 0)
 
 
 if __name__ == "__main__":
