--- a/tests/harness/test_model_checker.py
+++ b/tests/harness/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The model checker within a small fixed budget: walks, exhaustive searches, and counter-examples of earlier days (docs/design/simulation.md)."""
+"""Tests that run the model checker with a small fixed budget: random walks, exhaustive searches and recorded counter-examples (docs/design/simulation.md)."""
 
 from pathlib import Path
 
@@ -18,12 +18,12 @@
 READ_WALKS = [(3, 3001), (5, 3101)]
 SECONDS = 40.0
 ROUNDS, DEVIATIONS = 2, 1
-MAX_STATES = 2000  # of one beginning; a search within the bounds has fewer
+MAX_STATES = 2000  # limit for one starting state; a search within the bounds visits fewer
 
 
 @pytest.mark.parametrize("voters, seed", WALKS)
 def test_walks_break_no_rule(voters, seed):
-    """Given random faults and orders over whole cores, no invariant is broken."""
+    """Random faults and operator requests on whole cores must not break an invariant."""
     outcome = play(draw_schedule(seed, voters, SECONDS))
     assert outcome.findings == ()
     assert outcome.counts["acknowledged"] > 0 and outcome.counts["delivered"] > 0
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("voters, seed", LEASE_WALKS)
 def test_lease_walks_break_no_rule(voters, seed):
-    """Given holders of leases that are cut off from the leader alone, stand still or end, no lease has two holders."""
+    """Role leases must never have two holders when a holder is cut off from the leader, suspended or killed."""
     outcome = play(draw_lease_schedule(seed, voters, SECONDS))
     assert outcome.findings == ()
     assert outcome.counts["acknowledged"] > 0 and outcome.counts["delivered"] > 0
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("voters, seed", READ_WALKS)
 def test_read_walks_break_no_rule(voters, seed):
-    """Given machines that hear late, no read there shows less than what an operator was told before it."""
+    """A read from a core with delayed incoming messages must include every change acknowledged before it."""
     outcome = play(draw_read_schedule(seed, voters, SECONDS))
     assert outcome.findings == ()
     assert outcome.counts["acknowledged"] > 0 and outcome.counts["reads"] > 100
@@ -47,47 +47,47 @@
 
 @pytest.mark.parametrize("beginning", BEGINNINGS)
 def test_no_deviation_breaks_a_rule(beginning):
-    """Given three replicas in a state where much can go wrong, every single step out of the ordinary course breaks no rule."""
+    """From each starting state, no single deviation from fault-free rounds may break an invariant of three replicas."""
     report = Search(beginning, ROUNDS, DEVIATIONS, max_states=MAX_STATES).run()
     assert report.found == [] and report.is_complete
     assert report.states > 50 and report.recoveries > 10
 
 
 @pytest.mark.parametrize("path", SCHEDULES, ids=lambda path: path.stem)
-def test_counter_examples_of_earlier_days_break_no_rule_now(path):
-    """Given the choices that broke a rule once, none is broken any more."""
+def test_recorded_counter_examples_break_no_rule(path):
+    """Schedules that once broke a rule must not break any rule now."""
     assert play(load(path)).findings == ()
 
 
-def test_one_story_always_has_the_same_end(tmp_path):
-    """Given a schedule that was written down, it plays as it did the first time."""
+def test_replay_of_saved_schedule_has_same_outcome(tmp_path):
+    """A saved and reloaded schedule must equal the original and have the same outcome."""
     schedule = draw_schedule(1001, 3, 15.0)
-    save(schedule, tmp_path / "story.json")
-    again = load(tmp_path / "story.json")
+    save(schedule, tmp_path / "schedule.json")
+    again = load(tmp_path / "schedule.json")
     assert again == schedule
     assert play(again) == play(schedule)
 
 
-def test_a_counter_example_is_shrunk_to_what_it_needs(monkeypatch):
-    """Given a rule that two of many choices break together, only these two are left."""
+def test_shrinking_keeps_only_required_choices(monkeypatch):
+    """If two of 62 choices together break a rule, the shrunk schedule must contain only these two."""
     needed = (Freeze(at=2.0, machine="0", seconds=1.0), Cut(at=5.0, machine="1", seconds=1.0))
     orders = tuple(Order(at=0.1 * place, operator=0, targets=("0",)) for place in range(60))
     choices = tuple(sorted((*needed, *orders), key=lambda choice: choice.at))
     schedule = Schedule(seed=1, seconds=9.0, choices=choices)
 
-    def play_as_if_broken(schedule, ignored=()):
+    def play_with_violation(schedule, ignored=()):
         from harness.model_checking.invariants import Finding
         from harness.model_checking.schedule import Outcome
 
         is_broken = set(needed) <= set(schedule.choices)
-        return Outcome((Finding(6.0, "made-up", "both"),) if is_broken else (), {}, 6.0)
+        return Outcome((Finding(6.0, "made-up", "both choices"),) if is_broken else (), {}, 6.0)
 
-    monkeypatch.setattr("harness.model_checking.shrink.play", play_as_if_broken)
+    monkeypatch.setattr("harness.model_checking.shrink.play", play_with_violation)
     assert Shrinker(schedule, "made-up").run().choices == needed
 
 
-def test_a_replayed_search_ends_where_it_ended():
-    """Given the steps of a search, a replay takes them one by one and finds what they break, here nothing."""
+def test_replay_executes_all_steps_of_a_search():
+    """A replay must execute the recorded steps in order; these steps and the recovery after them break no rule."""
     steps = (
         Step(Kind.TICK),
         Step(Kind.CRASH, "a"),
@@ -99,7 +99,7 @@
     assert replay(CounterExample("calm_view", steps, "", "", is_calm_after=True)) is None
 
 
-# how losses are counted ------------------------------------------------------------------------
+# counting of losses ------------------------------------------------------------------------
 
 
 def _three():
@@ -109,33 +109,33 @@
     return losses
 
 
-def test_a_machine_is_lost_until_it_has_caught_up():
-    """Given trouble of one machine, no disk may be lost until four seconds after its end."""
+def test_machine_counts_as_lost_until_caught_up():
+    """After a fault of one machine, no other machine may be lost until 4 s (CATCH_UP) after its end."""
     losses = _three()
     losses.add_fault("a", 10, 12)
     assert not losses.may_lose(11, {"b"}) and not losses.may_lose(12 + CATCH_UP - 0.1, {"b"})
     assert losses.may_lose(11, {"a"}) and losses.may_lose(12 + CATCH_UP, {"b"})
 
 
-def test_a_machine_that_left_as_planned_does_not_count_once_its_successor_has_had_its_time():
-    """Given a newcomer that has run for four seconds, a planned leave is no loss, so that another machine may be lost right after it."""
+def test_planned_leave_does_not_count_after_successor_caught_up():
+    """When the successor has run for 4 s, a planned leave is not a loss, so that another machine may be lost at once."""
     losses = _three()
     losses.add_machine("d", 10)
-    assert losses.may_leave(12, "a")  # it counts as the one that may be lost
+    assert losses.may_leave(12, "a")  # within the tolerated number: it counts as the one lost machine
     losses.remove_machine("a", 14, is_planned=True)
     assert not losses.may_lose(13.9, {"b"}) and losses.may_lose(14.1, {"b"})
 
 
-def test_a_machine_lost_unplanned_counts_whoever_stands_ready():
-    """Given a newcomer that has run for long, a machine that vanishes still counts for four seconds."""
+def test_unplanned_loss_counts_despite_caught_up_successor():
+    """A machine that is removed without a planned leave counts as lost for 4 s even if a successor has caught up."""
     losses = _three()
     losses.add_machine("d", 10)
     losses.remove_machine("a", 20, is_planned=False)
     assert not losses.may_lose(23.9, {"b"}) and losses.may_lose(24.1, {"b"})
 
 
-def test_after_more_trouble_than_is_borne_no_disk_is_lost_until_all_had_their_time():
-    """Given an empty disk that could not catch up because the others were away too, its time begins anew."""
+def test_no_disk_is_lost_until_catch_up_after_too_many_faults():
+    """The catch-up time of an empty disk restarts after a period in which more machines than tolerated were lost."""
     losses = _three()
     losses.add_disk_loss("a", 10, 10.5)
     losses.add_fault("b", 11, 13)
--- a/tests/harness/test_mutations.py
+++ b/tests/harness/test_mutations.py
@@ -1,4 +1,4 @@
-"""Breaches: each finds the guard that it takes out, and the stories that should see it; one that finds none is an error."""
+"""Tests of the mutation tables and their runner: every guard and every selected test must exist, and a run that tests nothing fails."""
 
 import re
 from functools import cache
@@ -16,7 +16,7 @@
 
 
 def _name(mutation):
-    return f"{mutation.rule}: {mutation.what}"
+    return f"{mutation.rule}: {mutation.fault}"
 
 
 @cache
@@ -25,50 +25,50 @@
 
 
 @cache
-def _tests(where):
-    """The text of a file or folder of tests, in which their names and those of their parameters stand."""
-    path = ROOT / where
+def _tests(test_path):
+    """Returns the text of a test file or folder, which contains the names of its tests, with the names of the starting states."""
+    path = ROOT / test_path
     files = path.rglob("*.py") if path.is_dir() else [path]
-    parameters = BEGINNINGS if where == MODEL else ()
-    return "\n".join([where, *parameters, *(f"{file.name}\n{file.read_text()}" for file in files)]).lower()
+    parameters = BEGINNINGS if test_path == MODEL else ()
+    return "\n".join([test_path, *parameters, *(f"{file.name}\n{file.read_text()}" for file in files)]).lower()
 
 
 def _mutation(guard, file=""):
     return Mutation("NONE", "a guard of this test", guard, "pass", "tests/none.py", "none", file)
 
 
-def test_every_mutation_finds_its_guard_once():
-    """Given all tables of mutations, the text of each guard stands once in the product, as the runner needs it, and is changed."""
+def test_every_guard_occurs_exactly_once():
+    """The runner needs each guard to occur exactly once in the product, with a replacement that differs from it."""
     lost = []
     for mutation in MUTATIONS:
         times = sum(
             text.count(mutation.guard) for path, text in _sources().items() if str(path).endswith(mutation.file)
         )
-        if times != 1 or mutation.guard == mutation.instead:
+        if times != 1 or mutation.guard == mutation.replacement:
             lost.append((_name(mutation), times))
     assert len(MUTATIONS) > 300 and lost == []
 
 
-def test_every_mutation_names_stories_that_exist():
-    """Given all tables of mutations, each word of an expression that chooses stories stands in the file that it names."""
+def test_every_mutation_names_existing_tests():
+    """Each word of a test expression must occur in the test file of the mutation; otherwise it would select no test."""
     unknown = [
         (_name(mutation), word)
         for mutation in MUTATIONS
-        for word in WORD.findall(mutation.stories.lower())
-        if word not in OPERATORS and word not in _tests(mutation.where)
+        for word in WORD.findall(mutation.test_expression.lower())
+        if word not in OPERATORS and word not in _tests(mutation.test_path)
     ]
     assert unknown == []
 
 
-def test_every_mutation_stands_once_in_the_tables():
-    """Given all tables of mutations, none takes the same guard out for the same reason twice."""
-    names = [(_name(mutation), mutation.guard, mutation.instead) for mutation in MUTATIONS]
+def test_no_mutation_is_listed_twice():
+    """The tables must not contain the same guard, replacement and fault twice."""
+    names = [(_name(mutation), mutation.guard, mutation.replacement) for mutation in MUTATIONS]
     assert len(names) == len(set(names))
 
 
 @pytest.mark.parametrize(("text", "times"), [("other\n", 0), ("guard\nguard\n", 2)])
-def test_guard_that_does_not_stand_once_is_an_error(tmp_path, text, times):
-    """Given a product in which the guard's text is gone or stands twice, there is no file to change."""
+def test_guard_that_does_not_occur_exactly_once_is_an_error(tmp_path, text, times):
+    """A guard that is missing or occurs twice must raise an error instead of testing the wrong place."""
     (tmp_path / "sumachook").mkdir()
     (tmp_path / "sumachook" / "part.py").write_text(text)
     with pytest.raises(GuardNotFoundError) as raised:
@@ -76,8 +76,8 @@
     assert raised.value.times == times
 
 
-def test_guard_is_found_in_the_file_that_is_named(tmp_path):
-    """Given a text that stands in two files, a mutation that names one finds it there."""
+def test_guard_is_found_in_the_named_file(tmp_path):
+    """A guard that occurs in two files must be found in the file that the mutation names."""
     (tmp_path / "sumachook").mkdir()
     for name in ("one.py", "two.py"):
         (tmp_path / "sumachook" / name).write_text("guard\n")
@@ -85,10 +85,10 @@
 
 
 @pytest.mark.parametrize(
-    ("verdict", "code"), [(CAUGHT, 0), ("not caught", 1), ("the guard's text stands 0 times, not once", 1)]
+    ("verdict", "code"), [(CAUGHT, 0), ("not caught", 1), ("the text of the guard occurs 0 times instead of once", 1)]
 )
-def test_run_fails_and_names_what_was_not_caught(monkeypatch, capsys, verdict, code):
-    """Given one mutation and what became of it, the run ends well only where it was caught, and names it otherwise."""
+def test_run_fails_and_prints_undetected_mutations(monkeypatch, capsys, verdict, code):
+    """The run must exit with 0 only if the mutation was detected, and must print an undetected one with its verdict."""
     monkeypatch.setattr(mutations, "MUTATIONS", (_mutation("guard"),))
     monkeypatch.setattr(Mutation, "verdict", lambda mutation: verdict)
     with pytest.raises(SystemExit) as ended:
@@ -97,8 +97,8 @@
     assert (f"{verdict}: NONE, a guard of this test" in capsys.readouterr().out) == bool(code)
 
 
-def test_run_of_no_mutation_is_an_error():
-    """Given a rule that no mutation is of, the run is refused."""
+def test_run_without_mutations_is_an_error():
+    """A rule without mutations must be rejected, because the run would test nothing."""
     with pytest.raises(SystemExit) as ended:
         mutations.main(["--rule", "no such rule"])
     assert ended.value.code not in (0, None)
