--- a/harness/model_checking/invariants.py
+++ b/harness/model_checking/invariants.py
@@ -105,7 +105,7 @@
             key = state.doc["extra"].get("order")
             self.keys_by_version[state.version], self.first_delivered_at[key] = key, now
             self.versions.record(now, state.version)
-        for duty, (holder, fence) in state.duties.items():
+        for duty, (holder, fence) in state.role_holders.items():
             if holder and self.fences.setdefault((duty, fence), holder) != holder:
                 self.fail(
                     "fence",
@@ -280,7 +280,7 @@
             order,
             routes,
             state.evacuated,
-            state.duties,
+            state.role_holders,
             sorted(state.voting_members.items()),
         )
     )
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -76,11 +76,11 @@
     ),
     Mutation(
         "LOST",
-        'responses of a draining node lack "Connection: close"',
+        "the responses of a draining node lack Connection: close",
         'return (*headers, ("Connection", "close")) if self.is_draining else headers',
         "return headers",
         PROXY_PIPELINE,
-        "leaving_node",
+        "draining_node",
     ),
     Mutation(
         "LOST",
@@ -293,7 +293,7 @@
     ),
     Mutation(
         "PARKED",
-        "the number of requests parked for a configuration is not limited",
+        "the number of requests parked without a catalogue is not bounded",
         " or len(parked) >= MAX_REQUESTS:",
         ":",
         PROXY_PIPELINE,
@@ -301,15 +301,15 @@
     ),
     Mutation(
         "PARKED",
-        "a request is parked for a configuration without a timeout",
+        "a request is parked without a time limit",
         "if now - arrived_at >= min(MAX_PARK_TIME, patience * PARK_FRACTION) or",
         "if",
         PROXY_PIPELINE,
-        "not_found_is_said",
+        "current_catalogue",
     ),
     Mutation(
         "PARKED",
-        "a parked request is admitted after its client disconnected",
+        "a parked request whose client disconnected is admitted",
         "self.table.parked_requests.pop(event.call_id, None)",
         "pass",
         PROXY_PIPELINE,
@@ -317,7 +317,7 @@
     ),
     Mutation(
         "PARKED",
-        "the number of requests in progress is not limited",
+        "the number of requests in flight is not bounded",
         "if len(table.requests) >= MAX_REQUESTS:",
         "if False:",
         PROXY_PIPELINE,
--- a/sumachook/changefeed/round_trips.py
+++ b/sumachook/changefeed/round_trips.py
@@ -1,20 +1,20 @@
-"""Which of a follower's own requests an answer belongs to, and what was so when the request was sent."""
+"""Matches the answers that a follower receives to its requests, and remembers when each request was sent."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
-MAX_OPEN_REQUESTS = 64  # far more than are sent between two heartbeats; bounds the memory where no core answers
+MAX_OPEN_REQUESTS = 64  # far more than are sent between two heartbeats; bounds the memory if no core answers
 
 
 class SentRequest(NamedTuple):
-    """When a request was sent, and the number of the last change that the sender held then."""
+    """The time when a request was sent, and the number of the last change that the sender had applied then."""
 
     sent_at: timedelta
     number: int
 
 
 class RoundTrips:
-    """Gives requests a nonce; an answer proves something as of when its request was sent, never as of its arrival.
+    """Tracks open requests by nonce; an answer proves freshness as of when its request was sent, not of its arrival.
 
     >>> trips, second = RoundTrips(7), timedelta(seconds=1)
     >>> first = trips.start(second, number=5)
@@ -24,24 +24,24 @@
     (True, True)
     """
 
-    __slots__ = ("last_nonce", "open")
+    __slots__ = ("last_nonce", "open_requests")
 
     def __init__(self, first_nonce: int) -> None:
         self.last_nonce = first_nonce
-        self.open: dict[int, SentRequest] = {}
+        self.open_requests: dict[int, SentRequest] = {}
 
     def start(self, now: timedelta, number: int) -> int:
-        """The nonce of a request that is sent now by a follower that holds change `number`."""
+        """Registers a request sent now by a follower that has applied change `number`; returns the nonce for it."""
         self.last_nonce += 1
-        self.open[self.last_nonce] = SentRequest(now, number)
-        while len(self.open) > MAX_OPEN_REQUESTS:
-            del self.open[next(iter(self.open))]
+        self.open_requests[self.last_nonce] = SentRequest(now, number)
+        while len(self.open_requests) > MAX_OPEN_REQUESTS:
+            del self.open_requests[next(iter(self.open_requests))]
         return self.last_nonce
 
     def request(self, nonce: int) -> SentRequest | None:
-        """The request with that nonce; None if it is no longer open, or never was."""
-        return self.open.get(nonce)
+        """Returns the open request with this nonce, or None."""
+        return self.open_requests.get(nonce)
 
     def clear(self) -> None:
-        """No answer to a request sent so far proves anything any more."""
-        self.open.clear()
+        """Discards all open requests, so that late answers to them prove nothing."""
+        self.open_requests.clear()
--- a/sumachook/consensus/slow_members.py
+++ b/sumachook/consensus/slow_members.py
@@ -1,10 +1,10 @@
-"""Which members are kept out of the view because they were slow."""
+"""Temporary exclusion of slow members from the view."""
 
 from datetime import timedelta
 
 import msgspec
 
-from sumachook.consensus.timing import EXCLUSION, EXCLUSION_FORGOTTEN_AFTER, MAX_EXCLUSION
+from sumachook.consensus.timing import EXCLUSION_RESET_AFTER, EXCLUSION_TIME, MAX_EXCLUSION
 
 
 class _Exclusion(msgspec.Struct, frozen=True):
@@ -13,7 +13,7 @@
 
 
 class SlowMembers:
-    """Each failure in a row keeps a replica out for twice as long, up to a bound.
+    """Excludes slow replicas with exponential back-off: repeated failures double the time, up to `MAX_EXCLUSION`.
 
     >>> second, slow_members = timedelta(seconds=1), SlowMembers()
     >>> slow_members.add("c", second)
@@ -24,18 +24,18 @@
     True
     """
 
-    __slots__ = ("by_replica",)
+    __slots__ = ("exclusions",)
 
     def __init__(self) -> None:
-        self.by_replica: dict[str, _Exclusion] = {}
+        self.exclusions: dict[str, _Exclusion] = {}
 
     def add(self, replica: str, now: timedelta) -> None:
-        """The replica has failed now."""
-        last = self.by_replica.get(replica)
-        is_repeated = last is not None and now - last.until < EXCLUSION_FORGOTTEN_AFTER
-        pause = min(last.pause * 2, MAX_EXCLUSION) if last is not None and is_repeated else EXCLUSION
-        self.by_replica[replica] = _Exclusion(now + pause, pause)
+        """Records a failure of the replica and starts or extends its exclusion."""
+        last = self.exclusions.get(replica)
+        is_repeated = last is not None and now - last.until < EXCLUSION_RESET_AFTER
+        pause = min(last.pause * 2, MAX_EXCLUSION) if last is not None and is_repeated else EXCLUSION_TIME
+        self.exclusions[replica] = _Exclusion(now + pause, pause)
 
     def is_excluded(self, replica: str, now: timedelta) -> bool:
-        """Whether the replica is to be kept out."""
-        return replica in self.by_replica and now < self.by_replica[replica].until
+        """Whether the replica must be kept out of the view at this time."""
+        return replica in self.exclusions and now < self.exclusions[replica].until
--- a/sumachook/inference/entry.py
+++ b/sumachook/inference/entry.py
@@ -1,15 +1,15 @@
-"""The pass that hands an admitted request to the ledger, on its way to its queue."""
+"""Entry of an admitted request into the pipeline: opens its ledger record, after which it is queued."""
 
 from typing import Any
 
 from sumachook.inference.inference_request import PROMPT, InferenceRequest
 from sumachook.inference.request_table import RequestTable
 from sumachook.ledger.events import RequestOpened
-from sumachook.retry_budget.budget import own_key
+from sumachook.retry_budget.budget import inference_key
 
 
 class Entry:
-    """From here on a request counts: for retry credit, and for what models are asked for."""
+    """Counts a request for the retry budget and for model demand, and opens its ledger record."""
 
     __slots__ = ("table",)
 
@@ -17,8 +17,8 @@
         self.table = table
 
     def take(self, request: InferenceRequest) -> list[Any]:
-        """Has the request's record opened."""
-        self.table.retry_budget.earn(own_key(request.kind))
+        """Counts the request and opens its record; called at once, or after the quota of its tenant was granted."""
+        self.table.retry_budget.earn(inference_key(request.kind))
         self.table.count("admitted", request.kind)
         if request.kind == PROMPT:
             for name in dict.fromkeys((request.name, request.model.name)):
--- a/tests/harness/test_model_checker.py
+++ b/tests/harness/test_model_checker.py
@@ -80,7 +80,7 @@
         from harness.model_checking.schedule import Outcome
 
         is_broken = set(needed) <= set(schedule.choices)
-        return Outcome((Finding(6.0, "made-up", "both choices"),) if is_broken else (), {}, 6.0)
+        return Outcome((Finding(6.0, "made-up", "both"),) if is_broken else (), {}, 6.0)
 
     monkeypatch.setattr("harness.model_checking.shrink.play", play_with_violation)
     assert Shrinker(schedule, "made-up").run().choices == needed
