--- a/harness/model_checking/cluster.py
+++ b/harness/model_checking/cluster.py
@@ -353,7 +353,7 @@
     def check_durable(self):
         """Checks that every delivered change is on the disks of a majority of the voters.
 
-        Skipped without a leader and after a disk was lost.
+        Skipped without a leader or after the loss of a disk.
         """
         committed = max(self.entries, default=0)
         leaders = self.leaders()
--- a/harness/model_checking/explore.py
+++ b/harness/model_checking/explore.py
@@ -15,7 +15,7 @@
 from harness.model_checking.steps import BEGINNINGS, ROUND_SECONDS, Kind, Step, enabled, execute, run_rounds
 
 TICK, SETTLE = Step(Kind.TICK), Step(Kind.SETTLE)
-RECOVERY_ROUNDS = 25  # 5 s
+RECOVERY_ROUNDS = 25  # rounds in which the cluster must recover: 5 s of virtual time
 MAX_LAG = 2  # changes by which a follower may lag behind the leader at any time
 SWAPS = {"calm_view": (("b", "c"),), "leader_cut_off": (("b", "c"),)}
 
--- a/harness/model_checking/invariants.py
+++ b/harness/model_checking/invariants.py
@@ -51,7 +51,7 @@
         self.orders = []
 
     def expected(self, since):
-        """Whether a read sent at `since` must show the area as evacuated; None if the last order may be pending."""
+        """Whether a read sent at `since` must show the area as evacuated; None if that is undetermined."""
         if not self.orders or self.orders[-1].acknowledged_at is None or self.orders[-1].acknowledged_at > since:
             return None
         return self.orders[-1].kind == "evacuate"
--- a/harness/model_checking/operators.py
+++ b/harness/model_checking/operators.py
@@ -117,9 +117,8 @@
         if order.first_sent_at is None:
             order.first_sent_at = now
         body = b""
-        if (
-            order.document is not None
-        ):  # each request has a unique id, as on the platform; a repeat is recognized by its content
+        if order.document is not None:
+            # each request has a unique id, as on the platform; a repeat is recognized by its content
             body = msgspec.json.encode({**order.document, "request": f"{order.key}.{self.number}"})
         method = "GET" if order.document is None else "POST"
         url = f"http://{http_address}{order.path}"
--- a/harness/model_checking/orders.py
+++ b/harness/model_checking/orders.py
@@ -93,7 +93,7 @@
         if last is not None and last.acknowledged_at is None:
             order = last
             if order.next_at is not None and self.deployment.now < order.next_at:
-                return  # a request is still pending
+                return  # the previous attempt of this order is still pending
         else:
             kind = "restore" if last is not None and last.kind == "evacuate" else "evacuate"
             order = Order(kind, f"{kind}-{zone}-{len(register.orders)}", f"/operator/{kind}", {"area": zone})
--- a/harness/model_checking/shrink.py
+++ b/harness/model_checking/shrink.py
@@ -6,7 +6,7 @@
 
 from harness.model_checking.schedule import Schedule, play
 
-MAX_SECONDS = 60.0  # of real time
+MAX_SECONDS = 60.0  # limit of real time for shrinking one counter-example
 
 
 class Shrinker:
