--- a/harness/model_checking/canonical.py
+++ b/harness/model_checking/canonical.py
@@ -1,4 +1,4 @@
-"""A short name for a state: equal for states that differ only in the time, or in which follower is which."""
+"""Canonical digest of a cluster state: equal for states that differ only in absolute time or in follower names."""
 
 from collections import deque
 from datetime import timedelta
@@ -10,6 +10,7 @@
 from harness.model_checking.cluster import Application, Cluster, FixedRandom, Node
 
 SKIPPED = (FixedRandom, Application)
+# fields that are derived from other fields or are mere counters
 DERIVED = {
     "digests",
     "voting_members_history",
@@ -17,12 +18,12 @@
     "_encoded",
     "incarnation",
     "last",
-}  # fields that follow from others, or only count
-LONG_AGO = -3.0  # seconds; what lies further back makes no difference
+}
+MIN_OFFSET = -3.0  # seconds; older timestamps are clamped, since their exact age has no effect
 
 
-def key_of(cluster: Cluster, swaps=()) -> bytes:
-    """The smallest digest of the state over the given renamings of nodes."""
+def state_key(cluster: Cluster, swaps=()) -> bytes:
+    """Returns the smallest digest of the state over itself and each given swap of two node names."""
     texts = [_describe(cluster)]
     for one, other in swaps:
         texts.append(_rename(texts[0], one, other))
@@ -40,61 +41,62 @@
 
 
 def _describe(cluster) -> str:
-    walker = _Walker(cluster.now)
-    nodes = sorted((name, walker.plain(node)) for name, node in cluster.nodes.items())
+    encoder = _StateEncoder(cluster.now)
+    nodes = sorted((name, encoder.to_plain(node)) for name, node in cluster.nodes.items())
     links = sorted(
-        (list(link), [walker.plain(message) for message in messages]) for link, messages in cluster.links.items()
+        (list(link), [encoder.to_plain(message) for message in messages]) for link, messages in cluster.links.items()
     )
     return msgspec.json.encode([nodes, links, sorted(map(list, cluster.held)), sorted(cluster.lost_disks)]).decode()
 
 
-class _Walker:
-    """Turns objects into plain data, times into distances from now."""
+class _StateEncoder:
+    """Converts objects to plain data and timestamps to offsets from the current time."""
 
     def __init__(self, now):
         self.now, self.seen = now, {}
 
-    def plain(self, value):
-        """What an object holds, without what only its host knows."""
+    def to_plain(self, value):
+        """Returns a value as JSON-compatible data; functions and the objects of SKIPPED classes become None."""
         if value is None or isinstance(value, (bool, int, str)):
             return value
         if isinstance(value, timedelta):
-            return self._distance(value)
+            return self._offset(value)
         if isinstance(value, float):
             return round(value, 3)
         if isinstance(value, bytes):
             return value.hex()
         if isinstance(value, dict):
-            return sorted(([self.plain(name), self.plain(item)] for name, item in value.items()), key=repr)
+            return sorted(([self.to_plain(name), self.to_plain(item)] for name, item in value.items()), key=repr)
         if isinstance(value, (set, frozenset)):
-            return sorted((self.plain(item) for item in value), key=repr)
+            return sorted((self.to_plain(item) for item in value), key=repr)
         if isinstance(value, (list, tuple, deque)):
-            return [self.plain(item) for item in value]
+            return [self.to_plain(item) for item in value]
         return self._object(value)
 
-    def _distance(self, value):
+    def _offset(self, value):
         seconds = (value - self.now).total_seconds()
-        return round(max(seconds, LONG_AGO), 3)
+        return round(max(seconds, MIN_OFFSET), 3)
 
     def _object(self, value):
         if isinstance(value, SKIPPED) or callable(value):
             return None
         if id(value) in self.seen:
             return self.seen[id(value)]
-        self.seen[id(value)] = place = f"#{len(self.seen)}"
+        self.seen[id(value)] = reference = f"#{len(self.seen)}"
         if isinstance(value, Node):
             disk = msgspec.json.encode(value.durable).decode()
             writes = [
-                [verb, msgspec.json.encode(records).decode(), self.plain(done)] for verb, records, done in value.writes
+                [verb, msgspec.json.encode(records).decode(), self.to_plain(done)]
+                for verb, records, done in value.writes
             ]
-            return [value.name, disk, writes, value.is_frozen, value.is_stalled, self.plain(value.replica)]
+            return [value.name, disk, writes, value.is_frozen, value.is_stalled, self.to_plain(value.replica)]
         names = _fields(type(value)) or sorted(vars(value))
-        return [type(value).__name__, place, [self.plain(getattr(value, name, None)) for name in names]]
+        return [type(value).__name__, reference, [self.to_plain(getattr(value, name, None)) for name in names]]
 
 
 @cache
 def _fields(kind: type) -> tuple:
-    """What objects of this class hold, without what follows from the rest."""
+    """Returns the field or slot names of a class, without the names in DERIVED."""
     names = getattr(kind, "__struct_fields__", None) or [
         name for base in kind.__mro__ for name in getattr(base, "__slots__", ())
     ]
--- a/harness/model_checking/explore.py
+++ b/harness/model_checking/explore.py
@@ -1,8 +1,8 @@
-"""Every sequence of steps up to a bound, from states where much can go wrong.
+"""Exhaustive search over all sequences of steps up to a bound, from states in which faults are likely to do harm.
 
-A search goes on in rounds (a tick, then everything arrives). Other steps are deviations; the bound is on the number of
-rounds and on the number of deviations, so that all ways to depart that often from the ordinary course are tried. States
-met before, with no more left to try then, are dropped, and so are those that differ only in which follower is which.
+A fault-free round is a tick followed by the delivery of all messages. Any other step is a deviation. The search bounds
+the number of rounds and the number of deviations and tries every placement of that many deviations. It skips a state
+that was visited before with at least as many rounds and deviations left, and one that differs only in follower names.
 """
 
 import pickle
@@ -10,78 +10,78 @@
 
 import msgspec
 
-from harness.model_checking.canonical import key_of
+from harness.model_checking.canonical import state_key
 from harness.model_checking.cluster import BrokenRuleError, Cluster
-from harness.model_checking.steps import BEGINNINGS, ROUND, Kind, Step, enabled, go_on, take
+from harness.model_checking.steps import BEGINNINGS, ROUND_SECONDS, Kind, Step, enabled, execute, run_rounds
 
 TICK, SETTLE = Step(Kind.TICK), Step(Kind.SETTLE)
-ROUNDS_TO_RECOVER = 25  # 5 s
-LAG = 2  # changes that a follower may be behind at any moment
+RECOVERY_ROUNDS = 25  # rounds in which the cluster must recover: 5 s of virtual time
+MAX_LAG = 2  # changes by which a follower may lag behind the leader at any time
 SWAPS = {"calm_view": (("b", "c"),), "leader_cut_off": (("b", "c"),)}
 
 
 class CounterExample(msgspec.Struct, frozen=True):
-    """Steps from a beginning that break a rule."""
+    """A starting state and the steps from it that break a rule."""
 
     beginning: str
     steps: tuple[Step, ...]
     rule: str
     text: str
-    is_calm_after: bool = False  # whether it shows only after some seconds of calm
+    is_calm_after: bool = False  # whether the rule breaks only in the recovery phase after the steps
 
 
 class Report(msgspec.Struct):
-    """How far a search came."""
+    """Result of a search: the number of states and recoveries checked, and the counter-example if one was found."""
 
     beginning: str
     states: int = 0
-    dropped: int = 0
+    duplicates: int = 0
     recoveries: int = 0
     is_complete: bool = True
     found: list[CounterExample] = []
 
 
 class Search:
-    """Depth-first over all deviations, from one beginning."""
+    """Depth-first search over all deviations from one starting state."""
 
-    def __init__(self, beginning: str, rounds: int, deviations: int, seconds: float = 1e9, most_states: int = 10**9):
+    def __init__(self, beginning: str, rounds: int, deviations: int, seconds: float = 1e9, max_states: int = 10**9):
         self.report = Report(beginning, found=[])
-        self.rounds, self.deviations, self.most_states = rounds, deviations, most_states
+        self.rounds, self.deviations, self.max_states = rounds, deviations, max_states
         self.seen, self.recovered = {}, set()
         self.ends_at = time.monotonic() + seconds
 
     def run(self) -> Report:
-        """Tries all, or until a rule is broken or the time is over."""
+        """Searches until all sequences are tried, a rule is broken, or the limit of time or states is reached."""
         cluster = BEGINNINGS[self.report.beginning]()
         is_settled = not any(cluster.links.values())
         self._visit(cluster, 2 * self.rounds - (0 if is_settled else 1), self.deviations, ())
         return self.report
 
     def _visit(self, cluster: Cluster, left: int, deviations: int, path: tuple):
-        """`left` counts half rounds: an even number of them begins with a tick."""
+        """Visits a state and its successors. `left` counts half rounds: with an even number the next one is a tick."""
         if self.report.found or not self._is_within_bounds():
             return
         if self._was_seen(cluster, left, deviations):
-            self.report.dropped += 1
+            self.report.duplicates += 1
             return
         self.report.states += 1
         if left == 0:
             self._recover(cluster, path)
             return
         packed = cluster.pack()
-        self._go(cluster, SETTLE if left % 2 else TICK, left - 1, deviations, path)
+        self._try_step(cluster, SETTLE if left % 2 else TICK, left - 1, deviations, path)
         if deviations:
-            for step in enabled(cluster_of(packed)):
-                self._go(cluster_of(packed), step, left, deviations - 1, path)
+            for step in enabled(unpack(packed)):
+                self._try_step(unpack(packed), step, left, deviations - 1, path)
 
     def _is_within_bounds(self):
-        if time.monotonic() < self.ends_at and self.report.states < self.most_states:
+        if time.monotonic() < self.ends_at and self.report.states < self.max_states:
             return True
         self.report.is_complete = False
         return False
 
     def _was_seen(self, cluster, left, deviations):
-        key = key_of(cluster, SWAPS.get(self.report.beginning, ()))
+        key = state_key(cluster, SWAPS.get(self.report.beginning, ()))
         tried = self.seen.setdefault(key, [])
         if any(
             left <= other_left and left % 2 == other_left % 2 and deviations <= other for other_left, other in tried
@@ -90,14 +90,14 @@
         tried.append((left, deviations))
         return False
 
-    def _go(self, cluster, step, left, deviations, path):
+    def _try_step(self, cluster, step, left, deviations, path):
         if self.report.found:
             return
         path = (*path, step)
         try:
-            take(cluster, step)
+            execute(cluster, step)
         except BrokenRuleError as broken:
-            self._note(path, broken, False)
+            self._record(path, broken, False)
         else:
             self._visit(cluster, left, deviations, path)
 
@@ -106,53 +106,60 @@
         try:
             recover(cluster)
         except BrokenRuleError as broken:
-            self._note(path, broken, True)
+            self._record(path, broken, True)
 
-    def _note(self, path, broken, is_calm_after):
+    def _record(self, path, broken, is_calm_after):
         self.report.found.append(CounterExample(self.report.beginning, path, broken.rule, broken.text, is_calm_after))
 
 
-def cluster_of(packed: bytes) -> Cluster:
-    """A cluster from its bytes."""
+def unpack(packed: bytes) -> Cluster:
+    """Deserializes a cluster that `Cluster.pack` returned."""
     return pickle.loads(packed)
 
 
 def recover(cluster: Cluster):
-    """After the end of all trouble a change is taken, and everybody who votes has it."""
-    cluster.end_trouble()
-    first, why = cluster.proposals + 1, None
-    for _ in range(ROUNDS_TO_RECOVER):
-        go_on(cluster, 1)
-        why = _why_not_recovered(cluster, first)
-        if why is None:
+    """Ends all faults and checks that a new change is committed and that the voters catch up within 5 s.
+
+    Raises BrokenRuleError with the first condition that still fails after RECOVERY_ROUNDS rounds.
+    """
+    cluster.end_faults()
+    first, error = cluster.proposals + 1, None
+    for _ in range(RECOVERY_ROUNDS):
+        run_rounds(cluster, 1)
+        error = _recovery_error(cluster, first)
+        if error is None:
             return
-    raise why
+    raise error
 
 
-def _why_not_recovered(cluster, first) -> BrokenRuleError | None:
+def _recovery_error(cluster, first) -> BrokenRuleError | None:
     leaders = cluster.leaders()
     if not leaders:
         return BrokenRuleError(
-            "no-view", f"no leader under a lease {ROUNDS_TO_RECOVER * ROUND:.0f} s after the trouble"
+            "no-view", f"no leader with a valid lease {RECOVERY_ROUNDS * ROUND_SECONDS:.0f} s after the faults ended"
         )
-    if not any(number >= first for number in cluster.taken_proposals()):
-        return BrokenRuleError("no-change", "no change is taken after the trouble")
+    if not any(number >= first for number in cluster.delivered_proposals()):
+        return BrokenRuleError("no-change", "no change was committed after the faults ended")
     leader = leaders[0]
     voters = [cluster.nodes[name] for name in leader.replica.voting_members if cluster.nodes[name].is_running]
     behind = [
         node.name
         for node in voters
-        if node.application.number < leader.application.number - LAG and not node.replica.state.is_leaving
+        if node.application.number < leader.application.number - MAX_LAG and not node.replica.state.is_leaving
     ]
-    return BrokenRuleError("catch-up", f"{behind} lag behind change {leader.application.number}") if behind else None
+    return (
+        BrokenRuleError("catch-up", f"{behind} (voters) have not caught up with change {leader.application.number}")
+        if behind
+        else None
+    )
 
 
 def replay(example: CounterExample):
-    """Plays a counter-example again; gives the broken rule, or None if none is broken."""
+    """Replays a counter-example; returns the error of the broken rule, or None if no rule is broken."""
     cluster = BEGINNINGS[example.beginning]()
     try:
         for step in example.steps:
-            take(cluster, step)
+            execute(cluster, step)
         if example.is_calm_after:
             recover(cluster)
     except BrokenRuleError as broken:
--- a/harness/model_checking/steps.py
+++ b/harness/model_checking/steps.py
@@ -1,4 +1,4 @@
-"""What may happen between two rounds of a cluster, and what the search begins with."""
+"""Steps of the exhaustive search and its starting states."""
 
 from enum import StrEnum
 
@@ -7,15 +7,15 @@
 from harness.model_checking.cluster import FOUNDERS, Cluster
 from sumachook.consensus import events
 
-ROUND = 0.2  # seconds between two ticks
-PAUSE = 0.9  # seconds in which no process runs
-STEPS_TO_BEGIN = 12
-ROUNDS_OF_AN_ELECTION = 10
-UNSHARED_CHANGES = 5  # more than the view that follows takes before one of its members falls
+ROUND_SECONDS = 0.2  # seconds between two ticks
+PAUSE_SECONDS = 0.9  # seconds during which no process runs
+ROUNDS_TO_STABLE_VIEW = 12
+ELECTION_ROUNDS = 10
+UNREPLICATED_CHANGES = 5  # more changes than the next view commits before one of its members crashes
 
 
 class Kind(StrEnum):
-    """What a step does."""
+    """Kinds of steps; the values are the names in recorded counter-examples."""
 
     TICK = "tick"
     SETTLE = "settle"
@@ -24,8 +24,8 @@
     DROP = "drop one message"
     SYNC = "sync one write"
     ISOLATE = "hold all links of"
-    DEAFEN = "hold all links to"
-    MUTE = "hold all links from"
+    BLOCK_INBOUND = "hold all links to"
+    BLOCK_OUTBOUND = "hold all links from"
     REJOIN = "release all links"
     LOSE_HELD = "lose what is held"
     CRASH = "crash"
@@ -40,7 +40,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One step; `node` and `other` as far as its kind has them."""
+    """One step; `node` and `other` are empty if its kind does not use them."""
 
     kind: Kind
     node: str = ""
@@ -48,7 +48,7 @@
 
 
 def enabled(cluster: Cluster) -> list:
-    """The steps, other than the next round, that change something now."""
+    """Returns the deviations, that is all steps outside of a fault-free round, that have an effect in this state."""
     steps = [Step(Kind.PAUSE)]
     for (sender, receiver), messages in cluster.links.items():
         if messages and not cluster.nodes[receiver].is_frozen:
@@ -60,7 +60,11 @@
         if any(cluster.links[link] for link in cluster.held):
             steps.append(Step(Kind.LOSE_HELD))
     else:
-        steps += [Step(kind, name) for kind in (Kind.ISOLATE, Kind.DEAFEN, Kind.MUTE) for name in cluster.nodes]
+        steps += [
+            Step(kind, name)
+            for kind in (Kind.ISOLATE, Kind.BLOCK_INBOUND, Kind.BLOCK_OUTBOUND)
+            for name in cluster.nodes
+        ]
     if sum(map(len, cluster.links.values())) > 1:
         steps.append(Step(Kind.SETTLE_REVERSED))
     return steps
@@ -78,14 +82,14 @@
     return steps
 
 
-def take(cluster: Cluster, step: Step):
-    """Carries one step out; raises `BrokenRuleError` where a rule is broken."""
+def execute(cluster: Cluster, step: Step):
+    """Executes one step; raises `BrokenRuleError` if it breaks a rule."""
     match step.kind:
         case Kind.TICK:
-            cluster.tick(ROUND)
+            cluster.tick(ROUND_SECONDS)
             cluster.propose_somewhere()
         case Kind.PAUSE:
-            cluster.tick(PAUSE)
+            cluster.tick(PAUSE_SECONDS)
         case Kind.SETTLE | Kind.SETTLE_REVERSED:
             cluster.settle(step.kind is Kind.SETTLE_REVERSED)
             cluster.check_durable()
@@ -93,18 +97,20 @@
             cluster.deliver_next((step.node, step.other))
         case Kind.DROP:
             cluster.links[(step.node, step.other)].popleft()
-        case Kind.ISOLATE | Kind.DEAFEN | Kind.MUTE:
-            cluster.hold(step.node, is_out=step.kind is not Kind.DEAFEN, is_in=step.kind is not Kind.MUTE)
+        case Kind.ISOLATE | Kind.BLOCK_INBOUND | Kind.BLOCK_OUTBOUND:
+            cluster.hold(
+                step.node, is_out=step.kind is not Kind.BLOCK_INBOUND, is_in=step.kind is not Kind.BLOCK_OUTBOUND
+            )
         case Kind.REJOIN:
             cluster.held.clear()
         case Kind.LOSE_HELD:
-            cluster.lose_held()
+            cluster.drop_held()
         case _:
-            _take_at_node(cluster, step)
+            _execute_at_node(cluster, step)
 
 
-def _take_at_node(cluster: Cluster, step: Step):
-    """Carries out a step that concerns one node alone."""
+def _execute_at_node(cluster: Cluster, step: Step):
+    """Executes a step that affects a single node."""
     node = cluster.nodes[step.node]
     match step.kind:
         case Kind.SYNC:
@@ -121,131 +127,131 @@
             cluster.handle(step.node, events.LeaveRequested())
 
 
-# where a search begins ------------------------------------------------------------------------
+# starting states of a search ------------------------------------------------------------------------
 
 
 def calm_view() -> Cluster:
-    """Three replicas in a view that takes changes; "a" leads."""
+    """Three replicas in a stable view that commits changes; "a" leads."""
     cluster = Cluster()
     for name in FOUNDERS:
         cluster.start(name)
-    go_on(cluster, STEPS_TO_BEGIN)
+    run_rounds(cluster, ROUNDS_TO_STABLE_VIEW)
     return cluster
 
 
-def go_on(cluster: Cluster, rounds: int):
-    """So many rounds without trouble."""
+def run_rounds(cluster: Cluster, rounds: int):
+    """Runs `rounds` rounds, each a tick and the delivery of all messages."""
     for _ in range(rounds):
-        take(cluster, Step(Kind.TICK))
-        take(cluster, Step(Kind.SETTLE))
+        execute(cluster, Step(Kind.TICK))
+        execute(cluster, Step(Kind.SETTLE))
 
 
 def leader_cut_off() -> Cluster:
-    """The leader was cut off 0.4 s ago, with late delivery."""
+    """The leader has been partitioned for 0.4 s; messages on its links stay queued."""
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "a"))
-    go_on(cluster, 2)
+    execute(cluster, Step(Kind.ISOLATE, "a"))
+    run_rounds(cluster, 2)
     return cluster
 
 
 def view_change_begun() -> Cluster:
-    """The leader is down, and somebody stands for leader."""
+    """The leader has crashed, and a candidate prepares the next view."""
     cluster = calm_view()
-    take(cluster, Step(Kind.CRASH, "a"))
+    execute(cluster, Step(Kind.CRASH, "a"))
     for _ in range(20):
-        take(cluster, Step(Kind.TICK))
+        execute(cluster, Step(Kind.TICK))
         if any(node.is_running and node.replica.role == "preparing" for node in cluster.nodes.values()):
             break
-        take(cluster, Step(Kind.SETTLE))
+        execute(cluster, Step(Kind.SETTLE))
     return cluster
 
 
 def newcomer_caught_up() -> Cluster:
-    """A fourth replica knows everything, and a voter has been away for nearly as long as it may."""
+    """A fourth replica has caught up, and a voter has been down for almost the time after which it is replaced."""
     cluster = calm_view()
     cluster.add("d")
     cluster.start("d")
-    take(cluster, Step(Kind.CRASH, "c"))
-    go_on(cluster, 8)
+    execute(cluster, Step(Kind.CRASH, "c"))
+    run_rounds(cluster, 8)
     return cluster
 
 
 def voting_members_step_begun() -> Cluster:
-    """As before, and the roster is being changed."""
+    """As `newcomer_caught_up`, with the replacement of the missing voter in progress."""
     cluster = newcomer_caught_up()
     for _ in range(10):
-        take(cluster, Step(Kind.TICK))
+        execute(cluster, Step(Kind.TICK))
         if any(
             node.is_running and len(node.replica.voting_members) != len(FOUNDERS) for node in cluster.nodes.values()
         ):
             break
-        take(cluster, Step(Kind.SETTLE))
+        execute(cluster, Step(Kind.SETTLE))
     return cluster
 
 
 def leader_leaving() -> Cluster:
-    """The leader was told to end, and a newcomer stands ready."""
+    """The leader was asked to leave, and a fourth replica has caught up."""
     cluster = calm_view()
     cluster.add("d")
     cluster.start("d")
-    go_on(cluster, 6)
-    take(cluster, Step(Kind.LEAVE, "a"))
+    run_rounds(cluster, 6)
+    execute(cluster, Step(Kind.LEAVE, "a"))
     return cluster
 
 
 def followers_disks_stalled() -> Cluster:
-    """The disks of both followers have stood still for a moment, with a change under way."""
+    """The disks of both followers have stalled for one round, with a change in progress."""
     cluster = calm_view()
-    take(cluster, Step(Kind.STALL, "b"))
-    take(cluster, Step(Kind.STALL, "c"))
-    go_on(cluster, 1)
+    execute(cluster, Step(Kind.STALL, "b"))
+    execute(cluster, Step(Kind.STALL, "c"))
+    run_rounds(cluster, 1)
     return cluster
 
 
 def followers_started_anew_behind_a_cut() -> Cluster:
-    """The leader is cut off, and both others were started anew right then; its lease still runs."""
+    """The leader is partitioned and both followers have just restarted, while its lease is still valid."""
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "a"))
+    execute(cluster, Step(Kind.ISOLATE, "a"))
     for name in ("b", "c"):
-        take(cluster, Step(Kind.CRASH_SYNCED, name))
-        take(cluster, Step(Kind.START, name))
+        execute(cluster, Step(Kind.CRASH_SYNCED, name))
+        execute(cluster, Step(Kind.START, name))
     return cluster
 
 
 def member_back_from_a_long_cut() -> Cluster:
-    """A member was cut off for 1.2 s with late delivery; the others have gone on without it, and its links deliver
-    again.
+    """A member was partitioned for 1.2 s with its messages queued; the others continued without it, and its links
+    deliver again.
     """
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "c"))
-    go_on(cluster, 6)
-    take(cluster, Step(Kind.REJOIN))
+    execute(cluster, Step(Kind.ISOLATE, "c"))
+    run_rounds(cluster, 6)
+    execute(cluster, Step(Kind.REJOIN))
     return cluster
 
 
 def member_back_after_the_others_went_on_without_it() -> Cluster:
-    """As before, but the cut was long enough for changes without the member that are older than what a fresh member may
-    lack; the heartbeats of the leader's lease from before the cut arrive now.
+    """As `member_back_from_a_long_cut`, but the partition lasted longer than the time that a fresh member may lag, and
+    changes were committed without the member; heartbeats from before the partition arrive only now.
     """
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "c"))
-    go_on(cluster, ROUNDS_OF_AN_ELECTION)
-    take(cluster, Step(Kind.REJOIN))
+    execute(cluster, Step(Kind.ISOLATE, "c"))
+    run_rounds(cluster, ELECTION_ROUNDS)
+    execute(cluster, Step(Kind.REJOIN))
     return cluster
 
 
 def old_leader_with_a_longer_log() -> Cluster:
-    """An old leader comes back with changes that nobody else has; of the view that followed only one member is left."""
+    """A former leader restarts with entries that no other replica has; one member of the next view is still running."""
     cluster = calm_view()
-    take(cluster, Step(Kind.ISOLATE, "a"))
-    for _ in range(UNSHARED_CHANGES):
+    execute(cluster, Step(Kind.ISOLATE, "a"))
+    for _ in range(UNREPLICATED_CHANGES):
         cluster.propose("a")
-    go_on(cluster, ROUNDS_OF_AN_ELECTION)
-    take(cluster, Step(Kind.LOSE_HELD))
-    take(cluster, Step(Kind.REJOIN))
-    take(cluster, Step(Kind.CRASH_SYNCED, "a"))
-    take(cluster, Step(Kind.CRASH_SYNCED, "b"))
-    take(cluster, Step(Kind.START, "a"))
+    run_rounds(cluster, ELECTION_ROUNDS)
+    execute(cluster, Step(Kind.LOSE_HELD))
+    execute(cluster, Step(Kind.REJOIN))
+    execute(cluster, Step(Kind.CRASH_SYNCED, "a"))
+    execute(cluster, Step(Kind.CRASH_SYNCED, "b"))
+    execute(cluster, Step(Kind.START, "a"))
     return cluster
 
 
--- a/harness/mutations/answers.py
+++ b/harness/mutations/answers.py
@@ -1,4 +1,4 @@
-"""Guards of answers to clients: none mixed, run twice, refused falsely or out of order, one at a time, for `python -m harness breaches`."""
+"""Mutations that mix up responses, run requests twice, refuse them wrongly or corrupt streams, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -19,7 +19,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer without an id is taken on a connection that was used before",
+        "a response without a request id is accepted on a reused connection",
         "if not has_id and (response.request_id or request.is_reused):",
         "if not has_id and response.request_id:",
         KEPT,
@@ -27,7 +27,7 @@
     ),
     Mutation(
         "MIXED",
-        "a success without an id is taken",
+        "a successful response without a request id is accepted",
         "if not has_id or status < 200:",
         "if status < 200:",
         FORWARD,
@@ -35,7 +35,7 @@
     ),
     Mutation(
         "MIXED",
-        "a change of protocol is passed on",
+        "a 1xx response that switches protocols is forwarded",
         "if not has_id or status < 200:",
         "if not has_id:",
         FORWARD,
@@ -43,7 +43,7 @@
     ),
     Mutation(
         "MIXED",
-        "a head that cannot be handed on unchanged is",
+        "a response head that cannot be forwarded unchanged is forwarded",
         "return is_proper and (answer",
         "return (answer",
         FORWARD,
@@ -51,7 +51,7 @@
     ),
     Mutation(
         "MIXED",
-        "a stream of unknown end is begun",
+        "a stream without a detectable end is forwarded",
         "(answer.status >= 300 or _has_end(answer))",
         "True",
         FORWARD,
@@ -59,7 +59,7 @@
     ),
     Mutation(
         "MIXED",
-        "bytes that come while nothing is asked are read as the next answer",
+        "bytes received on an idle connection are parsed as the next response",
         "if self.is_idle and data:",
         "if False:",
         FETCH,
@@ -67,7 +67,7 @@
     ),
     Mutation(
         "MIXED",
-        "what comes while nothing is asked costs a try",
+        "bytes received on an idle connection fail the next attempt",
         "if self.is_idle and data:",
         "if False:",
         KEPT,
@@ -75,7 +75,7 @@
     ),
     Mutation(
         "MIXED",
-        "orders and reports share a connection",
+        "orders and reports share a connection pool",
         'Pool.REPORTS if method == "GET" else Pool.ORDERS',
         "Pool.ORDERS",
         FETCH,
@@ -99,7 +99,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer whose end cannot be told counts as whole",
+        "a response without a detectable end counts as complete",
         "return ResponseEnded(call_id) if _has_end(answer) else CallFailed(call_id, CallFailure.RESET)",
         "return ResponseEnded(call_id)",
         FORWARD,
@@ -107,7 +107,7 @@
     ),
     Mutation(
         "MIXED",
-        "bodies of servers are unpacked on their way",
+        "compressed response bodies are decompressed by the proxy",
         "auto_decompress=False",
         "auto_decompress=True",
         FORWARD,
@@ -115,7 +115,7 @@
     ),
     Mutation(
         "MIXED",
-        "what may not run twice goes on a kept connection",
+        "a non-repeatable request always uses a kept-alive connection",
         "return ConnectionReuse.ALWAYS if request.is_repeatable else ConnectionReuse.WHEN_ALIVE",
         "return ConnectionReuse.ALWAYS",
         KEPT,
@@ -123,7 +123,7 @@
     ),
     Mutation(
         "TWICE",
-        "what may not run twice goes on a connection that its server may have forgotten unseen",
+        "a non-repeatable request uses a connection that the server may have closed unnoticed",
         "return rested <= JUST_USED.total_seconds()",
         "return True",
         KEPT,
@@ -131,7 +131,7 @@
     ),
     Mutation(
         "HELD",
-        "a connection is used for longer than its server keeps it",
+        "a connection is reused after the server's keep-alive timeout",
         "return rested > (default_s if self.keep_alive_s is None else min(default_s, self.keep_alive_s))",
         "return rested > default_s",
         KEPT,
@@ -139,7 +139,7 @@
     ),
     Mutation(
         "HELD",
-        "any number of idle connections is kept",
+        "the number of idle connections is not limited",
         "elif len(self._conns.get(key, ())) >= protocol.max_kept:",
         "elif False:",
         KEPT,
@@ -163,7 +163,7 @@
     ),
     Mutation(
         "TWICE",
-        "the client library sends again by itself",
+        "the HTTP client library retries on its own",
         "session._retry_connection = False",
         "pass",
         FORWARD,
@@ -187,7 +187,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a mark counts with any status",
+        "the not-run mark is accepted with any status code",
         "has_not_run_header and status in REFUSING_STATUSES",
         "has_not_run_header",
         FORWARD,
@@ -195,7 +195,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a failure after the first byte passes for one before it",
+        "a failure after the first byte is reported as one before it",
         "if call_id not in self.sent:",
         "if True:",
         FETCH,
@@ -203,7 +203,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a closed connection counts as one that never stood",
+        "a connection closed after the first byte counts as never established",
         "        if not failure.was_before_first_byte:\n            self.note_first_byte()",
         "        pass",
         "sumachook/calls",
@@ -259,7 +259,7 @@
     ),
     Mutation(
         "ORDER",
-        "the connection of a cut stream gets its closing chunk",
+        "the connection of an interrupted stream receives the terminating chunk",
         "            else:\n                self._abort(request)",
         "            else:\n                await answer.write_eof()\n                return answer",
         FORWARD,
--- a/harness/mutations/model_checker.py
+++ b/harness/mutations/model_checker.py
@@ -1,18 +1,20 @@
-"""Guards that the model checker sees missing within its budget in CI, for `python -m harness breaches`."""
+"""Mutations that the model checker detects within its budget in CI, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
 MODEL = "tests/harness/test_model_checker.py"
 
 
-def _mutation(model_rule: str, what: str, file: str, guard: str, instead: str, stories: str = "walks") -> Mutation:
-    return Mutation("MODEL", f"{model_rule}: {what}", guard, instead, MODEL, stories, file)
+def _mutation(
+    model_rule: str, fault: str, file: str, guard: str, replacement: str, test_expression: str = "walks"
+) -> Mutation:
+    return Mutation("MODEL", f"{model_rule}: {fault}", guard, replacement, MODEL, test_expression, file)
 
 
 MODEL_CHECKER_MUTATIONS = (
     _mutation(
         "leaders",
-        "who acknowledged a round promises a view to anybody",
+        "a voter promises a view while a lease that it acknowledged is valid",
         "consensus/lease.py",
         "if self.bound_until is None or now >= self.bound_until or (run_number and run_number == self.run_number):",
         "if True:",
@@ -20,7 +22,7 @@
     ),
     _mutation(
         "leaders",
-        "who was started anew is bound by nothing",
+        "a restarted voter is not bound by leases that it may have acknowledged",
         "consensus/state.py",
         "            self.guard.start(now, random.getrandbits(NONCE_BITS) + 1)\n",
         "            pass\n",
@@ -28,14 +30,14 @@
     ),
     _mutation(
         "leaders",
-        "a leader that heard a majority once keeps its lease",
+        "heartbeat acknowledgements of any age extend the leader lease",
         "consensus/lease.py",
         "if now - sent_at < LEASE}",
         "}",
     ),
     _mutation(
         "stale",
-        "a member is fresh as of when a heartbeat arrives",
+        "a member's state counts as fresh from the arrival of a heartbeat",
         "consensus/follower.py",
         "state.freshness.confirm(message.echo)",
         "state.freshness.complete_as_of = now",
@@ -43,7 +45,7 @@
     ),
     _mutation(
         "durable",
-        "a change is committed when the leader alone has it on its disk",
+        "a change is committed when only the leader has stored it",
         "consensus/leader.py",
         "acked_end = min(self.progress.acked.get(name, 0) for name in state.members)\n"
         "        if acked_end <= state.committed:\n            return []\n        if not self._is_held_by_quorum(acked_end):",
@@ -53,7 +55,7 @@
     ),
     _mutation(
         "order",
-        "the longest log counts, not that of the highest view",
+        "the candidate adopts the longest log instead of the log of the highest view",
         "consensus/candidate.py",
         "key=lambda name: (self.promises[name].installed, self.promises[name].end, name == state.name)",
         "key=lambda name: (self.promises[name].end, name == state.name)",
@@ -61,28 +63,28 @@
     ),
     _mutation(
         "seats",
-        "a voter that is gone is never replaced",
+        "a lost voter is never replaced",
         "consensus/membership.py",
         'return ("seat-replace", lost, name, address)',
         "return None",
     ),
     _mutation(
         "no-change",
-        "a replica that hears no leader never stands",
+        "a replica without a leader never becomes a candidate",
         "consensus/candidate.py",
         "if not state.leader_timed_out(now) or not state.is_voter:",
         "if True:",
     ),
     _mutation(
         "catch-up",
-        "who is out of the view stays out",
+        "a member that was removed from the view never rejoins",
         "consensus/view_maintenance.py",
         "return self._is_new_voter(name) or self.progress.healthy_for(name, now) > REJOIN_AFTER",
         "return self._is_new_voter(name)",
     ),
     _mutation(
         "stale-read",
-        "reads are answered from what is at hand",
+        "reads are answered from local state without a leader lease",
         "consensus/reads.py",
         "if self.leader.has_lease(now):",
         "if True:",
--- a/harness/mutations/mutation.py
+++ b/harness/mutations/mutation.py
@@ -1,4 +1,4 @@
-"""One guard of the product that `harness breaches` takes out, and the tests that should fail without it."""
+"""One mutation of `harness breaches`: a guard of the product that is removed and the tests that must then fail."""
 
 import os
 import shutil
@@ -9,37 +9,38 @@
 from typing import NamedTuple
 
 ROOT = Path(__file__).parents[2]
-LONGEST = 400  # seconds that the stories may take
+TEST_TIMEOUT = 400  # timeout of the test run of one mutation in seconds
 CAUGHT, NOT_CAUGHT = "caught", "not caught"
-VERDICTS = {0: NOT_CAUGHT, 1: CAUGHT}  # by pytest's exit code
+VERDICTS = {0: NOT_CAUGHT, 1: CAUGHT}  # by the exit code of pytest
 
 
 class GuardNotFoundError(Exception):
-    """The guard of a mutation does not stand exactly once in the product: nothing was tried."""
+    """Raised when the text of a guard does not occur exactly once in the product, so that no test was run."""
 
     def __init__(self, mutation: "Mutation", times: int):
-        super().__init__(f"the guard's text stands {times} times, not once")
+        super().__init__(f"the text of the guard occurs {times} times instead of once")
         self.mutation, self.times = mutation, times
 
 
 class Mutation(NamedTuple):
-    """What is taken out, and where that should be seen.
+    """A replacement of one piece of source text and the tests that must detect it.
 
-    `rule`: a number of the brief's rules, or a word for a rule of the platform's pages; `what`: the fault that it
-    makes, in words; `guard`: a text that stands once in the product, or once in `file` where that is given; `instead`:
-    what stands in its place; `where`: the file of the stories; `stories`: pytest's expression for their names.
+    `rule` is the number of a rule of the brief or the word for a rule of the platform, and `fault` describes the fault
+    that the mutation causes. `guard` is a text that occurs exactly once in the product, or once in `file` if that is
+    set, and `replacement` is the text that replaces it. `test_path` is the path of the tests and `test_expression` the
+    pytest `-k` expression that selects them.
     """
 
     rule: int | str
-    what: str
+    fault: str
     guard: str
-    instead: str
-    where: str
-    stories: str
+    replacement: str
+    test_path: str
+    test_expression: str
     file: str = ""
 
     def verdict(self) -> str:
-        """Tries it in a scratch copy: 'caught', 'not caught', or why it could not be tried."""
+        """Applies the mutation to a temporary copy and runs its tests: 'caught', 'not caught', or why they could not run."""
         with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
             copy = Path(folder) / "copy"
             shutil.copytree(ROOT, copy, ignore=shutil.ignore_patterns(".git", "__pycache__", ".pytest_cache", "target"))
@@ -47,11 +48,11 @@
                 path = self.find_guard(copy)
             except GuardNotFoundError as error:
                 return str(error)
-            path.write_text(path.read_text().replace(self.guard, self.instead))
-            return self._run_stories(copy)
+            path.write_text(path.read_text().replace(self.guard, self.replacement))
+            return self._run_tests(copy)
 
     def find_guard(self, root: Path) -> Path:
-        """The file of the product under `root` in which the guard stands; raises GuardNotFoundError unless it stands
+        """Returns the product file under `root` that contains the guard; raises GuardNotFoundError unless it occurs exactly
         once.
         """
         times = {path: path.read_text().count(self.guard) for path in self._files(root)}
@@ -62,14 +63,14 @@
     def _files(self, root):
         return [path for path in (root / "sumachook").rglob("*.py") if str(path).endswith(self.file)]
 
-    def _run_stories(self, copy):
+    def _run_tests(self, copy):
         options = ["-q", "-x", "-n", "0", "-p", "no:cacheprovider"]
         done = subprocess.run(
-            [sys.executable, "-m", "pytest", *options, self.where, "-k", self.stories],
+            [sys.executable, "-m", "pytest", *options, self.test_path, "-k", self.test_expression],
             cwd=copy,
             env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"},
             capture_output=True,
             text=True,
-            timeout=LONGEST,
+            timeout=TEST_TIMEOUT,
         )
-        return VERDICTS.get(done.returncode, f"pytest ended with {done.returncode}")
+        return VERDICTS.get(done.returncode, f"pytest exited with code {done.returncode}")
--- a/harness/mutations/quotas.py
+++ b/harness/mutations/quotas.py
@@ -187,7 +187,7 @@
     ),
     Mutation(
         13,
-        "what yields takes all places",
+        "low-priority requests may use all slots of a server",
         "            limit = (limit + 1) // 2  # over its quota: it may use only half of the connections\n",
         "            pass\n",
         ADMISSION,
@@ -203,7 +203,7 @@
     ),
     Mutation(
         13,
-        "prompts that yield take all places",
+        "low-priority prompts may use all slots of a server",
         "            limit = max(1, limit // 2)  # requests over their tenant's quota get half of the slots\n",
         "            pass\n",
         DEPLOYMENTS,
--- a/harness/mutations/requests.py
+++ b/harness/mutations/requests.py
@@ -1,4 +1,4 @@
-"""Guards of requests of the brief: attempts, streams, warming up, queues and the ledger, one at a time, for `python -m harness breaches`."""
+"""Mutations of attempts, streams, slow start, queues and the ledger of prompts, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -10,7 +10,7 @@
 REQUESTS_MUTATIONS = (
     Mutation(
         1,
-        "an unsafe prompt is sent again after it was sent",
+        "an unsafe prompt is retried after it was sent",
         "may_repeat = request.run_history.may_send_again(request.is_safe)",
         "may_repeat = True",
         REQUESTS,
@@ -18,7 +18,7 @@
     ),
     Mutation(
         1,
-        "'not run' is told although it was sent",
+        "a prompt that was sent is reported as not run",
         "def _handle_sent(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:\n        request.run_history.note_first_byte()\n",
         "def _handle_sent(self, request: InferenceRequest, event: Any, now: timedelta) -> list[Any]:\n",
         REQUESTS,
@@ -27,7 +27,7 @@
     ),
     Mutation(
         1,
-        "a key counts at one keeper only",
+        "a duplicate idempotency key is not detected between ledger keepers",
         "if isinstance(message, OpenRecords) and first is not None and first != request:",
         "if False:",
         REQUESTS,
@@ -35,7 +35,7 @@
     ),
     Mutation(
         2,
-        "a resume is not checked for the next id",
+        "a resumed stream is not checked for the next event id",
         "if not event.event_id or next_id(request.resume_from) != event.event_id:",
         "if False:",
         REQUESTS,
@@ -43,7 +43,7 @@
     ),
     Mutation(
         2,
-        "a stream whose first token is out is sent again",
+        "a stream is restarted after its first token was sent",
         "        if request.reached_client:\n            return effects + self._resume(request, failure, now)\n",
         "",
         REQUESTS,
@@ -51,7 +51,7 @@
     ),
     Mutation(
         3,
-        "an end without a finish reason counts as the end",
+        "a stream without a finish reason counts as complete",
         "if request.finish_reason is None:",
         "if False:",
         REQUESTS,
@@ -66,10 +66,12 @@
         "not_continued_elsewhere",
         file="inference/settle.py",
     ),
-    Mutation(7, "resends cost nothing", "        bucket.balance -= 1\n", "", REQUESTS, "all_servers_are_busy"),
+    Mutation(
+        7, "retries do not use the retry budget", "        bucket.balance -= 1\n", "", REQUESTS, "all_servers_are_busy"
+    ),
     Mutation(
         7,
-        "credit is saved up without end",
+        "the retry budget has no upper bound",
         (
             "        if bucket.balance < self.cap:\n"
             "            bucket.balance = min(self.cap, bucket.balance + self.ratio)\n"
@@ -80,7 +82,7 @@
     ),
     Mutation(
         8,
-        "no slow start of a model",
+        "a newly loaded model has no slow start",
         "self._allows_slow_start(name, item, is_warming, in_use.get(item, 0), now) and ",
         "",
         PLACEMENT,
@@ -88,7 +90,7 @@
     ),
     Mutation(
         8,
-        "no slow start of a server",
+        "a restarted server has no slow start",
         "name, WHOLE_SERVER, is_cold, server_window.in_use, now",
         "name, WHOLE_SERVER, False, 0, now",
         PLACEMENT,
@@ -96,7 +98,7 @@
     ),
     Mutation(
         8,
-        "a new edge takes itself for the only one",
+        "a new edge assumes that it is the only edge",
         "        if not self.table.knows_edges:\n            return False",
         "        if False:\n            return False",
         "tests/nodes/test_edge_alone.py",
@@ -104,7 +106,7 @@
     ),
     Mutation(
         11,
-        "heavy lines have no share",
+        "heavy queues are not limited to their share of the slots",
         "queue_limit = max(1, int(limit * queue.share)) if queue else 1",
         "queue_limit = limit",
         REQUESTS,
@@ -112,7 +114,7 @@
     ),
     Mutation(
         11,
-        "lookups stand in lines like prompts",
+        "lookups wait in the same queues as prompts",
         "        if request.kind == LOOKUP:\n            self.table.add_to_queue(request)\n            return []",
         "        if request.kind == LOOKUP:\n            self.table.queues.push(request.queue, request)\n            return []",
         REQUESTS,
@@ -136,7 +138,7 @@
     ),
     Mutation(
         12,
-        "refusals at admission are not recorded",
+        "requests refused at admission are not recorded in the ledger",
         "        self.table.unstamped_records.append((now, record))\n",
         "",
         LEDGER,
--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -1,4 +1,4 @@
-"""Guards of routing: routes, draining, evacuation, slow start, ejection, held requests and the retry budget, one at a time, for `python -m harness breaches`."""
+"""Mutations of routing, draining, evacuation, slow start, ejection, unresponsive servers and the retry budget, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -39,7 +39,7 @@
     ),
     Mutation(
         "ROUTE",
-        "requests admitted after a restart are routed by the old catalogue",
+        "a request received just after a resume is routed by the old catalogue",
         "if request.needs_recheck and not self._has_same_route(request):",
         "if False:",
         PROXY_PIPELINE,
@@ -55,7 +55,7 @@
     ),
     Mutation(
         "ROUTE",
-        "bytes that would be sent in another form are passed",
+        "a request target that would be re-encoded is forwarded",
         'request.method == "CONNECT"\n        or "#" in request.raw_path\n        or ',
         "False and ",
         FORWARD,
@@ -63,7 +63,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a field that cannot be sent as it came is passed",
+        "a header value that cannot be sent unchanged is forwarded",
         "if any(UNSENDABLE.search(value) for value in request.headers.values()):",
         "if False:",
         FORWARD,
@@ -71,7 +71,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a coding of the transfer that is not passed on is lost",
+        "an unsupported transfer coding is dropped silently",
         '"chunked").lower() != "chunked":',
         '"chunked").lower() == "":',
         FORWARD,
@@ -79,7 +79,7 @@
     ),
     Mutation(
         "DRAIN",
-        "leaving servers get requests",
+        "draining servers get requests",
         'not server["leaving"]\n            and ',
         "",
         PROXY_PIPELINE,
@@ -88,7 +88,7 @@
     ),
     Mutation(
         "DRAIN",
-        "a notice that servers leave is ignored",
+        "the early notice of draining servers is ignored",
         "            and self.avoided_until.get(name, now) <= now\n",
         "",
         PROXY_PIPELINE,
@@ -97,7 +97,7 @@
     ),
     Mutation(
         "DRAIN",
-        "a holder orders loads at leaving servers",
+        "a placer sends load orders to draining servers",
         'server.is_draining = bool(item["leaving"]) or',
         "server.is_draining =",
         PROVISION,
@@ -123,7 +123,7 @@
     ),
     Mutation(
         "EVAC",
-        "a node that just restarted sends before its catalogue is confirmed",
+        "a node that has just resumed sends requests before its catalogue is confirmed",
         "if trust in (Trust.EMPTY, Trust.UNPROVEN):\n            return []\n        table.refresh()",
         "if trust is Trust.EMPTY:\n            return []\n        table.refresh()",
         PROXY_PIPELINE,
@@ -132,7 +132,7 @@
     ),
     Mutation(
         "EVAC",
-        "a holder orders loads in closed areas",
+        "a placer sends load orders in evacuated zones",
         ' or item["area"] in evacuated',
         "",
         PROVISION,
@@ -140,7 +140,7 @@
     ),
     Mutation(
         "BUDGET",
-        "retries cost no credit",
+        "retries do not use the retry budget",
         "request.needs_credit = request.needs_credit or bool(request.sent_to)",
         "request.needs_credit = False",
         PROXY_PIPELINE,
@@ -148,7 +148,7 @@
     ),
     Mutation(
         "BUDGET",
-        "requests for one service pay for resends at another",
+        "retries of one service use the retry budget of another",
         "        if key not in self._buckets:\n",
         '        key = ""\n        if key not in self._buckets:\n',
         BUDGETS,
@@ -156,7 +156,7 @@
     ),
     Mutation(
         "BUDGET",
-        "an edge that was cut off for long keeps its part of the savings",
+        "an edge that was isolated for long keeps its share of the retry budget",
         "return 0.0 if is_isolated else share_of_slack(slack, rank, edge_count)",
         "return share_of_slack(slack, rank, edge_count)",
         BUDGETS,
@@ -172,7 +172,7 @@
     ),
     Mutation(
         "BUDGET",
-        "every edge may save up a credit, however many there are",
+        "every edge may save a retry credit regardless of the number of edges",
         "return 1.0 if rank < int(total) else 0.0",
         "return 1.0",
         BUDGETS,
@@ -180,7 +180,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a request goes back at once to the server that shed it",
+        "a request is retried at once at the server that shed it",
         "return name in request.failed_servers and self.table.server_window(name).is_overloaded(now)",
         "return False",
         BUDGETS,
@@ -188,7 +188,7 @@
     ),
     Mutation(
         "HELD",
-        "a request waits for a rest that is too long for it",
+        "a request waits for a back-off that ends after its deadline",
         "if until > _capacity_deadline(request):",
         "if False:",
         BUDGETS,
@@ -196,7 +196,7 @@
     ),
     Mutation(
         "BUDGET",
-        "what was borrowed is kept",
+        "borrowed retry credit does not expire",
         "if bucket.balance > self.cap and now >= bucket.borrowed_until:",
         "if False:",
         BUDGETS,
@@ -204,7 +204,7 @@
     ),
     Mutation(
         "BUDGET",
-        "a request is sent to more servers than its tries",
+        "a request is sent to more servers than the attempt limit permits",
         "if len(request.sent_to) < request.route.tries:\n        return usable",
         "if True:\n        return usable",
         STREAMS,
@@ -220,7 +220,7 @@
     ),
     Mutation(
         "BUDGET",
-        "any number of dead kept connections does not count as a try",
+        "every failure of a stale connection is exempt from the attempt limit",
         "is_stale = failure.kind is FailureKind.RESET and request.is_reused and request.response is None\n        if is_stale and not request.stale_arrivals:",
         "is_stale = failure.kind is FailureKind.RESET and request.is_reused and request.response is None\n        if is_stale:",
         PROXY_PIPELINE,
@@ -228,7 +228,7 @@
     ),
     Mutation(
         "BUDGET",
-        "the first dead kept connection counts as a try",
+        "the failure of a stale connection counts as an attempt",
         "            request.stale_arrivals += 1",
         "            pass",
         PROXY_PIPELINE,
@@ -252,7 +252,7 @@
     ),
     Mutation(
         "HELD",
-        "a silent server is abandoned when no try is left",
+        "a silent server is abandoned after the last permitted attempt",
         "            not self.resend.may_resend(request)\n            or not self.server_selection",
         "            not self.server_selection",
         PROXY_PIPELINE,
@@ -260,7 +260,7 @@
     ),
     Mutation(
         "HELD",
-        "a path on which nothing is acknowledged ends what can go on nowhere",
+        "an unacknowledged connection is ended although its request cannot be retried",
         "protocol.set_watched(call.reuse is ConnectionReuse.ALWAYS)",
         "protocol.set_watched(True)",
         KEPT,
@@ -325,7 +325,7 @@
     ),
     Mutation(
         "OUTLIER",
-        "each edge keeps what it saw of failing servers to itself",
+        "edges do not share their failure counts of servers",
         "own.failures < MIN_FAILURES or failure_rate < MIN_FAILURE_RATE",
         "True",
         OUTLIERS,
@@ -333,7 +333,7 @@
     ),
     Mutation(
         "OUTLIER",
-        "what fails everywhere is ejected",
+        "a server is ejected although the failure rate is high everywhere",
         "return failure_rate >= MIN_RATE_RATIO * failures / max(successes + failures, 1.0)",
         "return True",
         OUTLIERS,
@@ -341,7 +341,7 @@
     ),
     Mutation(
         "OUTLIER",
-        "any number of servers is ejected at once",
+        "the number of ejected servers is not limited",
         "candidates[: max(0, len(service_servers) // SERVERS_PER_EJECTION - ejected_count)]",
         "candidates",
         OUTLIERS,
@@ -349,7 +349,7 @@
     ),
     Mutation(
         "OUTLIER",
-        "an ejected server is drawn as any other",
+        "an ejected server is selected like any other",
         "EJECTED_COST_MS * table.is_ejected(name, now)",
         "0",
         OUTLIERS,
@@ -365,7 +365,7 @@
     ),
     Mutation(
         "EVAC",
-        "a start that was held up overtakes the finish",
+        "a delayed evacuation order takes effect after the later restore",
         "if is_overtaken(seen, state.evacuation_changed_at.get(zone, 0)):",
         "if False:",
         ORDERS,
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -1,4 +1,4 @@
-"""Guards of graceful shutdown, limits of clients and requests that wait for the configuration, one at a time, for `python -m harness breaches`."""
+"""Mutations of graceful shutdown, client limits and requests parked for a configuration, for `python -m harness breaches`."""
 
 from harness.mutations.mutation import Mutation
 
@@ -23,7 +23,7 @@
     ),
     Mutation(
         "LOST",
-        "a shut front goes on taking connections",
+        "a closed proxy server continues to accept connections",
         "        self.listener.close()\n        resting",
         "        resting",
         LEAVING,
@@ -31,7 +31,7 @@
     ),
     Mutation(
         "LOST",
-        "idle connections stay when the front is shut",
+        "idle connections stay open when the proxy server closes",
         "self._close_resting(resting, TURNS_LEFT_UNREAD)",
         "pass",
         LEAVING,
@@ -39,7 +39,7 @@
     ),
     Mutation(
         "LOST",
-        "the sweep closes a connection whose request lies unread",
+        "the idle sweep closes a connection with an unread request",
         "return ConnectionEnd.IDLE if self.may_be_ended else None",
         "return ConnectionEnd.IDLE",
         CONNECTION_ENDS,
@@ -47,7 +47,7 @@
     ),
     Mutation(
         "LOST",
-        "a shut front closes a connection whose request lies unread",
+        "a closing proxy server closes a connection with an unread request",
         "if connection.may_be_ended]",
         "if connection.is_resting]",
         CONNECTION_ENDS,
@@ -55,7 +55,7 @@
     ),
     Mutation(
         "LOST",
-        "bytes of a request leave its connection resting until the handler begins",
+        "a connection counts as idle until the handler of its request starts",
         "            self._change_state(ConnectionState.READING)\n        super()",
         "            pass\n        super()",
         CONNECTION_ENDS,
@@ -63,7 +63,7 @@
     ),
     Mutation(
         "LOST",
-        "a shut front goes on reading what it will not answer",
+        "a closed proxy server continues to read requests that it will not answer",
         "connection.pause()  # what",
         "pass  # what",
         LEAVING,
@@ -79,7 +79,7 @@
     ),
     Mutation(
         "LOST",
-        "the front is shut before anybody can have seen that it is not ready",
+        "the proxy server closes before load balancers can notice the failing readiness check",
         " or open_for < MIN_OPEN_TIME:",
         ":",
         LEAVING,
@@ -87,7 +87,7 @@
     ),
     Mutation(
         "LOST",
-        "the front is shut while clients come",
+        "the proxy server closes while clients still connect",
         "return now - self.quiet_since > QUIET_TIME or",
         "return True or",
         LEAVING,
@@ -95,7 +95,7 @@
     ),
     Mutation(
         "LOST",
-        "the front is never shut while clients come",
+        "the proxy server never closes while clients still connect",
         " or open_for >= MAX_OPEN_FRACTION * self.grace",
         "",
         LEAVING,
@@ -104,7 +104,15 @@
     Mutation("LOST", "no last words", "effects += pipeline.take(DrainEnded(), now)", "pass", LEAVING, "final_answers"),
     Mutation(
         "LOST",
-        "last words are spoken as soon as the front is shut",
+        "a draining edge does not send its final messages",
+        "effects += pipeline.take(DrainEnded(), now)",
+        "pass",
+        LEAVING,
+        "last_words",
+    ),
+    Mutation(
+        "LOST",
+        "the final messages are sent as soon as the proxy server is closed",
         "if self.stop_by is not None and now >= self.stop_by:",
         "if self.is_proxy_server_closed:",
         LEAVING,
@@ -112,7 +120,7 @@
     ),
     Mutation(
         "LOST",
-        "the node leaves with requests in hand",
+        "the node stops while requests are in progress",
         "is_done and self.is_proxy_server_closed and not has_requests",
         "self.is_proxy_server_closed",
         LEAVING,
@@ -120,7 +128,7 @@
     ),
     Mutation(
         "LOST",
-        "a leaving node says that it is ready",
+        "a draining node reports that it is ready",
         "and not is_leaving and is_open",
         "and is_open",
         LEAVING,
@@ -136,7 +144,7 @@
     ),
     Mutation(
         "LOST",
-        "half a head keeps its connection for ever",
+        "an incomplete request head keeps its connection open forever",
         "            if not self.is_resting:\n                return ConnectionEnd.SLOW_HEAD\n",
         "            if not self.is_resting:\n                return None\n",
         HTTP_ADDRESS,
@@ -144,7 +152,7 @@
     ),
     Mutation(
         "LOST",
-        "the sweep closes connections in use",
+        "the idle sweep closes connections in use",
         "        if self.state is ConnectionState.SERVING:\n            return None\n",
         "",
         HTTP_ADDRESS,
@@ -152,7 +160,7 @@
     ),
     Mutation(
         "LOST",
-        "idle time before an answer counts after it",
+        "idle time before a response counts towards the timeout after it",
         "        self.state = state\n        self.swept_since = None",
         "        self.state = state",
         HTTP_ADDRESS,
@@ -160,7 +168,7 @@
     ),
     Mutation(
         "LOST",
-        "each signal to leave begins the grace anew",
+        "each further stop signal restarts the grace period",
         "        if self.shutdown.has_begun:\n            return []\n",
         "",
         LEAVING,
@@ -169,7 +177,7 @@
     ),
     Mutation(
         "LOST",
-        "an edge leaves while requests wait for its routes",
+        "an edge stops while requests are parked for a configuration",
         "proxy_pipeline.table.requests or proxy_pipeline.table.parked_requests",
         "proxy_pipeline.table.requests",
         LEAVING,
@@ -177,7 +185,7 @@
     ),
     Mutation(
         "LOST",
-        "an effect that fails takes the others with it",
+        "an effect that raises prevents the remaining effects",
         '        except Exception as error:\n            fields = {"kind": type(effect).__name__, "error": repr(error)}',
         '        except ArithmeticError as error:\n            fields = {"kind": type(effect).__name__, "error": repr(error)}',
         DAEMON,
@@ -193,7 +201,7 @@
     ),
     Mutation(
         "LOST",
-        "a call that is cancelled with its client's task tells nothing",
+        "a call that is cancelled with its client's task reports no failure",
         "            if call_id not in self.tasks:\n                raise\n",
         "            raise\n",
         "tests/transport/test_http_client.py",
@@ -201,7 +209,7 @@
     ),
     Mutation(
         "LOST",
-        "a resting connection is closed though a request has begun on it meanwhile",
+        "an idle connection is closed although a request has started on it",
         "            if connection.is_resting:\n                connection.end(ConnectionEnd.LEAVING)\n            else:",
         "            if True:\n                connection.end(ConnectionEnd.LEAVING)\n            else:",
         CONNECTION_ENDS,
@@ -209,7 +217,7 @@
     ),
     Mutation(
         "LOST",
-        "a connection rests by the limit at the first sweep",
+        "a connection uses the idle timeout of the first sweep instead of its own",
         "        self.idle_limit = idle_limit\n        self._change_state",
         "        self.idle_limit = 0.0\n        self._change_state",
         LIMITS,
@@ -217,7 +225,7 @@
     ),
     Mutation(
         "LOST",
-        "a core ends with operators' calls unanswered",
+        "a core stops without answering pending operator requests",
         "[*effects, *core.api.close(), *end] if end else effects",
         "[*effects, *end]",
         "tests/nodes/test_core_shutdown.py",
@@ -225,7 +233,7 @@
     ),
     Mutation(
         "LIMITS",
-        "any head is taken",
+        "the size of request heads is not limited",
         "if header_size(request) > self.limits.header_bytes:",
         "if False:",
         LIMITS,
@@ -233,7 +241,7 @@
     ),
     Mutation(
         "LIMITS",
-        "half a body keeps its connection",
+        "an incomplete request body keeps its connection open",
         "async with asyncio.timeout(self.limits.idle_timeout):",
         "async with asyncio.timeout(None):",
         LIMITS,
@@ -241,7 +249,7 @@
     ),
     Mutation(
         "LIMITS",
-        "half a head is given the idle time",
+        "an incomplete request head gets the idle timeout instead of the header timeout",
         "now - self.head_since > limits.header_timeout",
         "False",
         LIMITS,
@@ -249,7 +257,7 @@
     ),
     Mutation(
         "LIMITS",
-        "a shorter limit ends connections that rest already",
+        "a shorter idle timeout applies to connections that are already idle",
         "max(self.idle_limit, limits.idle_timeout)",
         "limits.idle_timeout",
         LIMITS,
@@ -257,7 +265,7 @@
     ),
     Mutation(
         "LIMITS",
-        "a longer limit comes too late for connections that rest",
+        "a longer idle timeout does not apply to connections that are already idle",
         "max(self.idle_limit, limits.idle_timeout)",
         "self.idle_limit",
         LIMITS,
@@ -265,7 +273,7 @@
     ),
     Mutation(
         "LIMITS",
-        "the library's own timer ends connections that rest",
+        "the HTTP library's own keep-alive timer closes idle connections",
         '"keepalive_timeout": NEVER',
         '"keepalive_timeout": 15.0',
         LIMITS,
@@ -273,7 +281,7 @@
     ),
     Mutation(
         "LIMITS",
-        "an edge does not tell its front",
+        "an edge does not pass the client limits to its proxy server",
         "return [ApplyClientLimits(catalogue.limits)]",
         "return []",
         LIMITS,
