--- a/sumachook/membership/__init__.py
+++ b/sumachook/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of the cluster: pings in turn, indirect pings, suspicion before removal (SWIM)."""
+"""Cluster membership and failure detection after SWIM: pings, indirect pings, and suspicion before removal."""
 
 from sumachook.membership.membership import Membership
 
--- a/sumachook/membership/effects.py
+++ b/sumachook/membership/effects.py
@@ -1,16 +1,16 @@
-"""What membership tells its node, beside the messages that it sends."""
+"""Effects that membership returns to its node, besides the messages to send."""
 
 from sumachook.host.effects import Effect
 from sumachook.membership.member import MemberUpdate
 
 
 class MemberChanged(Effect, frozen=True):
-    """Another node is new, or something of it has changed."""
+    """Another node has joined, or its status, address or incarnation has changed."""
 
     update: MemberUpdate
 
 
 class IncarnationRaised(Effect, frozen=True):
-    """This node objected to what others said of it, by this higher incarnation."""
+    """This node has refuted a false update about itself by raising its incarnation to this number."""
 
     incarnation: int
--- a/sumachook/membership/events.py
+++ b/sumachook/membership/events.py
@@ -1,9 +1,9 @@
-"""What a node tells its membership, beside the events of the host."""
+"""Events that a node sends to its membership, besides those of the host."""
 
 from sumachook.host.events import Event
 
 
 class Tick(Event, frozen=True):
-    """Time has passed; `feed_number` is how far this node has followed the change feed."""
+    """Periodic timer event; `feed_number` is the last change feed position that this node has applied."""
 
     feed_number: int
--- a/sumachook/membership/gossip.py
+++ b/sumachook/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Which member updates go along with a message."""
+"""Selects the member updates that are piggybacked on a membership message."""
 
 from collections.abc import Mapping
 from math import ceil, log2
@@ -6,14 +6,14 @@
 from sumachook.membership.member import Member, MemberStatus, MemberUpdate
 
 MAX_UPDATES_PER_MESSAGE = 8  # keeps a message well within one datagram
-# An update is dropped once it was told or heard again this many times log2(members). Some members may be missed by
-# all tellings; they learn of it when they compare their view with another's.
+# An update is dropped after it was sent or received again TRANSMISSION_FACTOR * log2(members) times. A member that all
+# these transmissions missed learns of it when it compares its view with another node's.
 TRANSMISSION_FACTOR = 2
 
 
 class Gossip:
-    """Counts how often each update was told or heard again, and gives those with the least; one that was told often
-    enough is dropped.
+    """Queue of member updates to disseminate: those sent or received least often go first, and an update is dropped
+    once it was transmitted often enough.
     """
 
     __slots__ = ("_transmissions",)
@@ -22,30 +22,30 @@
         self._transmissions: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """How many updates there are still to tell."""
+        """Returns the number of updates that are still being disseminated."""
         return len(self._transmissions)
 
     def add(self, node: str) -> None:
-        """What is known of this node has changed and is to be told."""
+        """Queues an update about this node, whose state has changed, with its transmission count at zero."""
         self._transmissions[node] = 0
 
     def note_heard(self, node: str) -> None:
-        """Another node told what is known here: the fewer are left to whom it is news."""
+        """Counts an update that arrived from another node as a transmission: fewer nodes still lack it."""
         if node in self._transmissions:
             self._transmissions[node] += 1
 
     def remove(self, node: str) -> None:
-        """What is known of this node need not be told."""
+        """Stops disseminating the update about this node."""
         self._transmissions.pop(node, None)
 
     def clear(self) -> None:
-        """Drops all that there is to tell."""
+        """Drops all queued updates."""
         self._transmissions.clear()
 
     def next_updates(
         self, local_member: Member, members: Mapping[str, Member], target: Member | None
     ) -> tuple[MemberUpdate, ...]:
-        """The updates for one message; a doubt of its receiver always goes along, so that it can object."""
+        """Returns the updates for one message; always includes a suspicion of the receiver, for it to refute."""
         max_transmissions = TRANSMISSION_FACTOR * ceil(log2(len(members) + 2))
         updates: list[MemberUpdate] = []
         if target is not None and target.status != MemberStatus.ALIVE:
--- a/sumachook/membership/member.py
+++ b/sumachook/membership/member.py
@@ -1,4 +1,4 @@
-"""What is known of one node."""
+"""Member records, their statuses, and the updates about them that nodes exchange."""
 
 from datetime import timedelta
 from enum import StrEnum
@@ -6,22 +6,22 @@
 
 
 class MemberStatus(StrEnum):
-    """How a member stands; among updates of one incarnation the later one of this list wins."""
+    """Status of a member; of two updates with the same incarnation, the status further down in this list wins."""
 
     ALIVE = "alive"
-    SUSPECT = "suspect"  # it did not answer in time and may still object
-    GONE = "gone"  # suspected for too long
-    LEFT = "left"  # it said itself that it leaves
+    SUSPECT = "suspect"  # did not answer its pings in time and may still refute the suspicion
+    GONE = "gone"  # did not refute the suspicion before the timeout
+    LEFT = "left"  # announced its own departure
 
 
 REMOVED_STATUSES = (MemberStatus.GONE, MemberStatus.LEFT)
-LIVE_STATUSES = (MemberStatus.ALIVE, MemberStatus.SUSPECT)  # a suspect is counted on until its time is over
+LIVE_STATUSES = (MemberStatus.ALIVE, MemberStatus.SUSPECT)  # a suspect counts as live until its suspicion times out
 
 
 class MemberUpdate(NamedTuple):
-    """What one node tells of another, in the order of the fields on the wire.
+    """A node's state as sent between nodes, in the order of the fields on the wire.
 
-    A node raises its `incarnation` to object to what is said of it; `restart_epoch` names one run of its process.
+    A node raises its `incarnation` to refute updates about itself; `restart_epoch` identifies one run of its process.
     """
 
     node: str
@@ -47,13 +47,13 @@
     http_address: str,
     restart_epoch: int,
 ) -> MemberUpdate:
-    """The update from its fields as they were read; a status that a later version may send stays a string."""
+    """Builds an update from its decoded fields; an unknown status, as a later version may send it, stays a string."""
     known_status: Any = _STATUSES.get(status, status)
     return MemberUpdate(node, address, role, zone, incarnation, known_status, http_address, restart_epoch)
 
 
 class Member:
-    """One node as it was last heard of, and since when (monotonic time) it has had that status."""
+    """Last known state of one node; `status_since` is the monotonic time at which it got its status."""
 
     __slots__ = (
         "node",
@@ -81,7 +81,7 @@
         self.status_since = now
 
     def to_update(self) -> MemberUpdate:
-        """What is told of this member to others."""
+        """Returns the update that describes this member to other nodes."""
         return MemberUpdate(
             self.node,
             self.address,
--- a/sumachook/membership/membership.py
+++ b/sumachook/membership/membership.py
@@ -1,4 +1,4 @@
-"""The membership machine of one node, after the SWIM protocol."""
+"""Membership state machine of one node, after the SWIM protocol."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -29,10 +29,10 @@
 
 
 class Membership:
-    """Which nodes there are: pings, indirect pings, suspicion before removal.
+    """Tracks the nodes of the cluster by pings, indirect pings, and suspicion before removal.
 
-    Membership only advises, it grants no right (docs/design.md, "Membership"). Takes events and the time now
-    (monotonic); gives datagrams to send, `MemberChanged` and `IncarnationRaised`.
+    Membership is advisory: no lease or permission depends on it (docs/design.md, "Membership"). Handles events together
+    with the current monotonic time; returns datagrams to send, `MemberChanged` and `IncarnationRaised`.
     """
 
     __slots__ = (
@@ -55,21 +55,22 @@
         "_resumed_at",
     )
 
-    # the figures, and what they come to together, are in docs/design.md, "Membership"
+    # docs/design.md, "Membership", lists these intervals and the detection time that results from them
     PING_INTERVAL = timedelta(seconds=0.3)
-    ACK_TIMEOUT = timedelta(seconds=0.25)  # then other nodes are asked to ping as well
-    SUSPECT_AFTER = ACK_TIMEOUT * 3  # without any answer, direct or indirect
-    SUSPICION_TIMEOUT = timedelta(seconds=1.5)  # for a suspect to object
+    ACK_TIMEOUT = timedelta(seconds=0.25)  # after which other nodes are asked to ping the target too
+    SUSPECT_AFTER = ACK_TIMEOUT * 3  # without a direct or indirect acknowledgement
+    SUSPICION_TIMEOUT = timedelta(seconds=1.5)  # within which a suspect can refute the suspicion
     SEED_INTERVAL = timedelta(seconds=2)
-    # Between two questions of a node that has just begun and knows no seed, and between two to strangers that ping.
+    # Between two join requests of a node that has just started and knows no seed, and between two to unknown nodes that
+    # ping this one.
     JOIN_RETRY_INTERVAL = timedelta(seconds=0.3)
-    MAX_COMPARISONS_SKIPPED = 4  # while there is news to tell, views are compared once in so many seed intervals
-    SEED_JITTER = (0.8, 1.2)  # of the interval, so that nodes that began together do not ask together
-    FORGET_AFTER = timedelta(minutes=10)  # a member that is gone
-    LATE_TICK = timedelta(seconds=0.8)  # a tick so late tells that this process stood still, not that others did
+    MAX_COMPARISONS_SKIPPED = 4  # while updates are queued, views are compared once in this many seed intervals
+    SEED_JITTER = (0.8, 1.2)  # factors of the interval; they spread the requests of nodes started together
+    FORGET_AFTER = timedelta(minutes=10)  # how long a removed member stays listed
+    LATE_TICK = timedelta(seconds=0.8)  # a longer gap means that this process was paused, not that others were
     INDIRECT_PING_COUNT = 3
 
-    latest_feed_number = MonotonicValue("_latest_feed_number")  # the highest that any node told
+    latest_feed_number = MonotonicValue("_latest_feed_number")  # highest change feed position reported by any node
 
     def __init__(
         self,
@@ -95,10 +96,10 @@
         self._next_introduction_at = now
         self._comparisons_skipped = 0
         self._last_tick_at = now
-        self._resumed_at = now - self.SUSPICION_TIMEOUT * 4  # a process that begins may suspect at once
+        self._resumed_at = now - self.SUSPICION_TIMEOUT * 4  # a process that has just started may suspect nodes at once
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """What follows from an event: effects in the order in which they are to be carried out."""
+        """Handles an event; returns the effects in the order in which the node must carry them out."""
         match event:
             case Tick():
                 return self._handle_tick(event, now)
@@ -106,14 +107,14 @@
                 return self._handle_message(event, now)
             case SeedsChanged():
                 self.seeds = tuple(event.addresses)
-                return self._compare_views(now)  # at once: all seeds that were known may be gone
+                return self._compare_views(now)  # without waiting for the interval: all former seeds may be down
             case StopRequested():
                 return self._leave()
-        raise TypeError(f"membership takes no such event: {event!r}")
+        raise TypeError(f"unsupported membership event: {event!r}")
 
     @property
     def live(self) -> list[Member]:
-        """The other members that are not known to be gone."""
+        """Returns the other members that are alive or suspect, in the order in which they became known."""
         return [member for member in self.members.values() if member.status in LIVE_STATUSES]
 
     # time -------------------------------------------------------------------
@@ -132,7 +133,7 @@
         return effects
 
     def _note_pause(self, now: timedelta) -> None:
-        """After a pause of this process missing answers say nothing about others."""
+        """Discards pending pings after a pause of this process, when missing answers are no evidence of a failure."""
         if now - self._last_tick_at > self.LATE_TICK:
             self._resumed_at = now
             self.pings.pending.clear()
@@ -155,7 +156,7 @@
 
     def _check_suspects(self, now: timedelta) -> list[Effect]:
         effects: list[Effect] = []
-        # this goes over all members at each tick, so what does not depend on the member is looked up once
+        # runs over all members at each tick, so values that do not depend on the member are computed once
         alive, suspect = MemberStatus.ALIVE, MemberStatus.SUSPECT
         suspected_before, removed_before = now - self.SUSPICION_TIMEOUT, now - self.FORGET_AFTER
         for member in [member for member in self.members.values() if member.status is not alive]:
@@ -188,7 +189,7 @@
         ]
 
     def _next_ping_target(self) -> Member | None:
-        """Each live member once in a round, in an order that is shuffled anew for each round."""
+        """Returns the next live member to ping; each round covers all live members once, in a newly shuffled order."""
         while self._ping_order:
             member = self.members.get(self._ping_order.pop())
             if member is not None and member.status in LIVE_STATUSES:
@@ -202,17 +203,21 @@
         return [seed for seed in self.seeds if seed not in known and seed != self.local_member.address]
 
     def _is_joining(self, now: timedelta) -> bool:
-        """Whether an edge has just begun. The few cores ask all seeds at once: their view waits for it."""
+        """Whether this is an edge that has just started and lacks a seed. Cores, which are few, ask all seeds at once
+        because their startup waits for the member view.
+        """
         return now < self._joining_until and self.local_member.role != "core" and bool(self._unknown_seeds())
 
     def _ask_one_seed(self, now: timedelta) -> list[Effect]:
-        """The first answer brings all members; each further one would bring them again."""
+        """Sends a join request to one random seed: its answer lists all members, and others would repeat it."""
         self._next_join_at = now + self.JOIN_RETRY_INTERVAL * self.random.uniform(*self.SEED_JITTER)
         return [SendDatagram(self.random.choice(self._unknown_seeds()), self._join())]
 
     def _compare_views(self, now: timedelta) -> list[Effect]:
-        """Asks for what differs: seeds that are not known, a member that is gone, so that two halves meet again, and a
-        live member, also where all seeds are dead.
+        """Asks other nodes for the members in which their views differ from this one.
+
+        Asks unknown seeds, one member marked gone, so that the two sides of a healed partition find each other, and
+        one live member, which also works when all seeds are down.
         """
         self._next_join_at = now + self.SEED_INTERVAL * self.random.uniform(*self.SEED_JITTER)
         addresses = self._unknown_seeds()
@@ -226,7 +231,9 @@
         return [SendDatagram(address, self._join()) for address in dict.fromkeys(addresses)]
 
     def _is_comparison_due(self) -> bool:
-        """While there is news to tell views differ for a moment anyhow, and a comparison mostly repeats the news."""
+        """Whether to compare views now; postponed while updates are queued, since views then differ briefly in any case
+        and a comparison would mostly repeat those updates.
+        """
         self._comparisons_skipped += 1
         if len(self.gossip) and self._comparisons_skipped < self.MAX_COMPARISONS_SKIPPED:
             return False
@@ -258,10 +265,10 @@
                 return self._on_join(address, message, now)
             case MemberList() | ViewDifference():
                 return self._on_member_list(message, now)
-        raise TypeError(f"membership takes no such message: {message!r}")
+        raise TypeError(f"unsupported membership message: {message!r}")
 
     def _on_join(self, address: str, join: Join, now: timedelta) -> list[Effect]:
-        """Answers with the members in which the sender's view differs; a node that leaves gets no answer."""
+        """Answers with the members in which the sender's view differs; a leaving node gets no answer."""
         effects = self._apply_all(join.updates, now)
         if any(update.status in REMOVED_STATUSES for update in join.updates):
             return effects
@@ -270,8 +277,8 @@
         return [*effects, SendDatagram(address, answer)] if updates else effects
 
     def _on_member_list(self, message: MemberList | ViewDifference, now: timedelta) -> list[Effect]:
-        """Takes up what the sender knows. Members that were unknown here are no news to the others: whoever told the
-        sender of them has told them too.
+        """Applies the sender's view. Members that were unknown here are not gossiped on: the node that informed the
+        sender has already informed others.
         """
         effects: list[Effect] = []
         for update in message.updates:
@@ -283,7 +290,7 @@
 
     def _on_ping(self, sender: str, address: str, ping: Ping, now: timedelta) -> list[Effect]:
         effects = self._apply_all(ping.updates, now)
-        # it knows an earlier run of this node, so neither seeds nor silence bring the two together
+        # The sender knows this node from an earlier run, so neither its seeds nor a missing answer make it announce itself.
         if sender not in self.members and now >= self._next_introduction_at:
             self._next_introduction_at = now + self.JOIN_RETRY_INTERVAL
             effects.append(SendDatagram(address, self._join()))
@@ -329,14 +336,14 @@
         return Join((self.local_member.to_update(),), self._digest())
 
     def _introduction(self) -> Join:
-        """Tells of this node and asks for nothing."""
+        """Builds a join message without a digest, which announces this node's state."""
         return Join((self.local_member.to_update(),))
 
     def _digest(self) -> bytes:
         return digest_of((*self.members.values(), self.local_member))
 
     def _updates_of(self, buckets: frozenset[int]) -> tuple[MemberUpdate, ...]:
-        """All that is known of the members of these buckets, also of those that are gone, so that they can object."""
+        """Returns updates about all members in these buckets, including removed ones, so that they can refute it."""
         members = (*self.members.values(), self.local_member)
         return tuple(member.to_update() for member in members if bucket_of(member.node) in buckets)
 
@@ -361,7 +368,7 @@
         return [MemberChanged(update)]
 
     def _check_own(self, update: MemberUpdate) -> list[Effect]:
-        """Objects to a doubt of this node, and to what is told of an earlier run of it, by a higher incarnation."""
+        """Refutes a suspicion of this node, or an update about an earlier run of it, by a higher incarnation."""
         local_member = self.local_member
         is_wrong = update.status != MemberStatus.ALIVE or update.restart_epoch != local_member.restart_epoch
         is_leaving = local_member.status != MemberStatus.ALIVE
@@ -373,10 +380,10 @@
 
 
 def _is_newer(update: MemberUpdate, known: Member) -> bool:
-    """Whether an update of a member overrides what is known: by incarnation, then by status."""
+    """Whether an update overrides the known state of its member: by incarnation, then by status."""
     return (update.incarnation, _PRECEDENCE.index(update.status)) > (known.incarnation, _PRECEDENCE.index(known.status))
 
 
 def _is_older(update: MemberUpdate, known: Member) -> bool:
-    """Whether who sent this update does not know yet what is known here."""
+    """Whether an update is outdated: its sender does not know the member's current state yet."""
     return (update.incarnation, _PRECEDENCE.index(update.status)) < (known.incarnation, _PRECEDENCE.index(known.status))
--- a/sumachook/membership/messages.py
+++ b/sumachook/membership/messages.py
@@ -1,4 +1,4 @@
-"""The messages by which nodes check each other and spread what they know of members (SWIM)."""
+"""SWIM messages for failure detection and for the dissemination of member updates."""
 
 from collections.abc import Sequence
 from typing import Any, Self
@@ -8,7 +8,7 @@
 
 
 class Ping(NodeMessage, frozen=True, tag="probe"):
-    """Asks for a `PingAck`; carries the sender's feed number and wall clock (milliseconds since 1970) along."""
+    """Requests a `PingAck`; carries the sender's feed number and wall clock (milliseconds since 1970)."""
 
     sequence: int
     updates: tuple[MemberUpdate, ...]
@@ -17,7 +17,7 @@
 
 
 class PingAck(NodeMessage, frozen=True, tag="probe_ack"):
-    """Answer to a `Ping` of this sequence number."""
+    """Acknowledges the `Ping` with this sequence number."""
 
     sequence: int
     updates: tuple[MemberUpdate, ...]
@@ -26,7 +26,7 @@
 
 
 class IndirectPingRequest(NodeMessage, frozen=True, tag="probe_via"):
-    """Asks the receiver to ping the node at the address `target`, which did not answer the sender."""
+    """Asks the receiver to ping the node at the address `target`, which did not answer the sender's own ping."""
 
     sequence: int
     target: str
@@ -34,7 +34,7 @@
 
 
 class IndirectPing(NodeMessage, frozen=True, tag="probe_for"):
-    """A ping on behalf of another node; `origin` is the address of the node that relays it."""
+    """Pings a node on behalf of another one; `origin` is the address of the relaying node."""
 
     sequence: int
     origin: str
@@ -42,17 +42,17 @@
 
 
 class IndirectPingAck(NodeMessage, frozen=True, tag="via_ack"):
-    """Answer to an `IndirectPing`, and then of the relaying node to the `IndirectPingRequest`."""
+    """Acknowledges an `IndirectPing`; the relaying node then sends one to answer the `IndirectPingRequest`."""
 
     sequence: int
     updates: tuple[MemberUpdate, ...]
 
 
 class Join(NodeMessage, frozen=True, tag="join"):
-    """The sender tells of itself, to join or to leave.
+    """Announces that the sender joins or leaves the cluster.
 
-    One that joins is answered with a `ViewDifference` by its `digest` (`view_digest.py`); without a digest, as earlier
-    versions send it, with a `MemberList`.
+    A joining node is answered with a `ViewDifference` computed from its `digest` (`view_digest.py`). A message without
+    a digest, as earlier versions send it, is answered with a `MemberList`.
     """
 
     updates: tuple[MemberUpdate, ...]
@@ -60,24 +60,24 @@
 
 
 class MemberList(NodeMessage, frozen=True, tag="roll"):
-    """All members that the sender knows of, itself among them."""
+    """Lists all members known to the sender, including itself."""
 
     updates: tuple[MemberUpdate, ...]
 
 
 class ViewDifference(NodeMessage, frozen=True, tag="view_difference"):
-    """The members that the sender knows in those buckets in which its view differs from that of a `Join`'s sender."""
+    """Lists the sender's members in those digest buckets that differ from the digest of a received `Join`."""
 
     updates: tuple[MemberUpdate, ...]
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from the one document that it is on the wire."""
+        """Builds the message from its only field, a JSON document; raises `ValueError` if there are more fields."""
         (updates,) = values
         return cls(tuple(update_from_wire(*update) for update in updates))
 
 
-# What a node's `Membership` takes from other nodes.
+# The message types that a node routes to its `Membership`.
 MEMBERSHIP_MESSAGES: tuple[type[NodeMessage], ...] = (
     Ping,
     PingAck,
--- a/sumachook/membership/ping_tracker.py
+++ b/sumachook/membership/ping_tracker.py
@@ -1,13 +1,13 @@
-"""Pings that wait for their answer."""
+"""Bookkeeping of pings that have not been acknowledged yet."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
-RESTART_EPOCH_BITS = 16  # an epoch is a time in milliseconds: no later run uses the same numbers, all below 2**63
+RESTART_EPOCH_BITS = 16  # epochs are times in milliseconds, so a later run never reuses a number; all stay below 2**63
 
 
 class PendingPing(NamedTuple):
-    """A ping of this node that is not answered yet; `is_indirect` once other nodes were asked to ping too."""
+    """An unacknowledged ping of this node; `is_indirect` is set once other nodes were asked to ping the target too."""
 
     node: str
     sent_at: timedelta
@@ -15,7 +15,7 @@
 
 
 class RelayedPing(NamedTuple):
-    """A ping on behalf of the node at `requester_address`, which knows it by `requester_sequence`."""
+    """A ping on behalf of the node at `requester_address`, whose own sequence number for it is `requester_sequence`."""
 
     requester_address: str
     requester_sequence: int
@@ -23,7 +23,10 @@
 
 
 class PingTracker:
-    """Numbers pings and keeps those without an answer; the answer to a ping of an earlier run has a lower number."""
+    """Assigns sequence numbers to pings and tracks unacknowledged ones.
+
+    Numbers start above those of earlier runs of the process, so that a late acknowledgement of such a run matches none.
+    """
 
     __slots__ = ("_sequence", "pending", "relayed")
 
@@ -33,32 +36,32 @@
         self.relayed: dict[int, RelayedPing] = {}
 
     def begin(self, node: str, now: timedelta) -> int:
-        """The sequence number of a ping to this node."""
+        """Registers a ping to this node; returns its sequence number."""
         self._sequence += 1
         self.pending[self._sequence] = PendingPing(node, now)
         return self._sequence
 
     def begin_relayed(self, requester_address: str, requester_sequence: int, now: timedelta) -> int:
-        """The sequence number of a ping on behalf of another node."""
+        """Registers a ping on behalf of another node; returns its sequence number."""
         self._sequence += 1
         self.relayed[self._sequence] = RelayedPing(requester_address, requester_sequence, now)
         return self._sequence
 
     def acknowledge(self, sequence: int, node: str) -> None:
-        """This node answered itself; another one's answer, or one to an earlier run, ends no wait."""
+        """Removes the ping that this node acknowledged; ignores those from other nodes or to earlier runs."""
         if sequence in self.pending and self.pending[sequence].node == node:
             del self.pending[sequence]
 
     def acknowledge_indirect(self, sequence: int) -> None:
-        """A node that relayed this ping had an answer."""
+        """Removes the ping, since a relaying node reported that the target answered."""
         self.pending.pop(sequence, None)
 
     def mark_indirect(self, sequence: int) -> None:
-        """Other nodes are asked to ping too."""
+        """Records that other nodes have been asked to ping the target of this ping."""
         self.pending[sequence] = self.pending[sequence]._replace(is_indirect=True)
 
     def drop_relayed_before(self, sent_at: timedelta) -> None:
-        """Forgets relayed pings that were sent before this time."""
+        """Removes relayed pings that were sent before this time."""
         for sequence, ping in list(self.relayed.items()):
             if ping.sent_at < sent_at:
                 del self.relayed[sequence]
--- a/sumachook/membership/view_digest.py
+++ b/sumachook/membership/view_digest.py
@@ -1,7 +1,7 @@
-"""A short digest of the live members that a node knows, by which two nodes find out where their views differ.
+"""Digest of the live members known to a node, from which two nodes find the members in which their views differ.
 
-The members are divided into buckets by their names; the digest holds one checksum a bucket. Only live members count:
-who is gone is known to some and, rightly, not to those that started later.
+Members are hashed into buckets by name; the digest has one checksum per bucket. Only live members are included, since
+nodes that started after a member was removed rightly do not know it.
 """
 
 from collections.abc import Iterable
@@ -11,18 +11,18 @@
 
 from sumachook.membership.member import LIVE_STATUSES, Member
 
-BUCKETS = 32  # of 200 members that differ in one, six are sent
+BUCKETS = 32  # if one of 200 members differs, about six are sent
 CHECKSUM_BYTES = 4
-MAX_CACHED_CHECKSUMS = 4096  # of members, which seldom change
+MAX_CACHED_CHECKSUMS = 4096  # one per member state, which rarely changes
 
 
 def bucket_of(node: str) -> int:
-    """The bucket of the node with this name."""
+    """Returns the index of the bucket that a node's name hashes to."""
     return crc32(node.encode()) % BUCKETS
 
 
 def digest_of(members: Iterable[Member]) -> bytes:
-    """One checksum a bucket, in their order; it does not depend on the order of the members."""
+    """Returns one checksum per bucket, in bucket order; the order of the members does not matter."""
     sums = [0] * BUCKETS
     for member in members:
         if member.status in LIVE_STATUSES:
@@ -34,7 +34,7 @@
 
 
 def differing_buckets(own: bytes, other: bytes) -> frozenset[int]:
-    """The buckets in which two digests differ; all of them where the other node gave none, or one of another form.
+    """Returns the buckets in which two digests differ, or all of them if the other is empty or of another length.
 
     >>> own = bytes(BUCKETS * CHECKSUM_BYTES)
     >>> differing_buckets(own, own), differing_buckets(own, b"\\x01" + own[1:])
@@ -54,6 +54,6 @@
 
 @lru_cache(MAX_CACHED_CHECKSUMS)
 def _bucket_and_checksum(node: str, address: str, incarnation: int, status: str, restart_epoch: int) -> tuple[int, int]:
-    """Of all that can change of a member while its name stays."""
+    """Returns a member's bucket and a checksum of all its fields that can change while its name stays the same."""
     changing = f"{node} {address} {incarnation} {status} {restart_epoch}"
     return bucket_of(node), int.from_bytes(blake2b(changing.encode(), digest_size=CHECKSUM_BYTES).digest(), "big")
