--- a/sumachook/membership/membership.py
+++ b/sumachook/membership/membership.py
@@ -290,7 +290,7 @@
 
     def _on_ping(self, sender: str, address: str, ping: Ping, now: timedelta) -> list[Effect]:
         effects = self._apply_all(ping.updates, now)
-        # The sender knows this node from an earlier run, so neither its seeds nor a missing answer make it announce itself.
+        # The sender knows an earlier run of this node, so neither its seeds nor a missing answer make it join.
         if sender not in self.members and now >= self._next_introduction_at:
             self._next_introduction_at = now + self.JOIN_RETRY_INTERVAL
             effects.append(SendDatagram(address, self._join()))
--- a/sumachook/transport/__init__.py
+++ b/sumachook/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Thrift messages between the system's own processes."""
+"""Network transport: Thrift messages between nodes, and the HTTP servers and clients of a node."""
--- a/sumachook/transport/client_connection.py
+++ b/sumachook/transport/client_connection.py
@@ -1,9 +1,9 @@
-"""One client's connection to an HTTP server of this process: what is on it now, and what ends it.
+"""A client's connection to an HTTP server of this process: the state of its request, and why it is closed.
 
-The connection itself knows whether a request is on it, from the first byte that is read to the last byte of the answer.
-Whoever would close it asks the connection, and whoever would handle a request asks it too, so that between the reading
-of a request and the start of its handler, some turns of the event loop later, no third party can decide otherwise. What
-lies unread in the kernel's buffer is on the connection as well: a close would reset it.
+The connection tracks its request from the first byte read to the last byte of the response. Both code that closes a
+connection and code that starts a request handler ask the connection first. A handler starts some event loop iterations
+after its request was read, and in between the connection cannot be closed by mistake. Bytes unread in the kernel's
+buffer count as a request too, since a close would reset them.
 """
 
 from collections.abc import Callable
@@ -22,12 +22,12 @@
 
 
 def error_body(name: str, reason: str) -> bytes:
-    """The JSON body of an answer to what never reached the machine."""
+    """Returns the JSON body of an error response to a request that never reached the state machine."""
     return msgspec.json.encode({"fault": {"class": name, "reason": reason, "tries": 0, "run": "no"}})
 
 
 class ConnectionState(Enum):
-    """What is on a client's connection."""
+    """State of the current request on a client's connection."""
 
     RESTING = "nothing: each request that was read is answered"
     READING = "bytes of a request whose handler has not begun"
@@ -35,12 +35,11 @@
 
 
 class ClientConnection(RequestHandler):
-    """Reads requests of one client; what is no HTTP gets its error in JSON.
+    """Reads the requests of one client; input that is not valid HTTP gets an error response in JSON.
 
-    `head_since` is the loop's time in seconds at which the first byte of a request was read that is not yet handled;
-    `idle_limit` is for how many seconds the connection may rest by the limit that its client knows; `swept_since` is
-    when a sweep first found it in its present state; `ended_by` says what ended the connection, as soon as this node
-    ends it.
+    `head_since` is the event loop's time in seconds when the first byte of the incomplete request was read, None
+    without one; `idle_limit` is the idle timeout in seconds that the client knows; `swept_since` is when a sweep first
+    found the connection in its present state; `ended_by` is the reason, set as soon as this node closes the connection.
     """
 
     __slots__ = ("state", "head_since", "idle_limit", "swept_since", "ended_by", "on_end")
@@ -58,30 +57,30 @@
 
     @property
     def is_resting(self) -> bool:
-        """Whether nothing of a request is on it."""
+        """Whether the connection is idle: no byte of a new request was read, and all requests are answered."""
         return self.state is ConnectionState.RESTING
 
     @property
     def may_be_ended(self) -> bool:
-        """Whether nothing of a request is on it, nor lies unread in the kernel, as when a turn of the loop was long.
+        """Whether the connection is idle and the kernel holds no unread bytes, as it can after a long loop iteration.
 
-        What comes in later crosses the close on its way; it is not read, and its client may send it again.
+        A request that arrives later crosses the close on its way; it is not read, and its client may resend it.
         """
         return self.is_resting and not self.unread_byte_count
 
     @property
     def unread_byte_count(self) -> int:
-        """How many bytes wait in the kernel to be read."""
+        """Returns the number of received bytes in the kernel's buffer; 0 once the connection is closed."""
         connected = self.transport.get_extra_info("socket") if self.transport is not None else None
         return 0 if connected is None else unread_bytes(connected)
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Whether something that was written waits for its client to read."""
+        """Whether written bytes are still buffered because the client reads slowly."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of the client."""
+        """Passes received bytes to the HTTP parser; the first ones mark the start of a request."""
         if self.head_since is None:
             self.head_since = self._loop.time()
         if self.is_resting:
@@ -89,9 +88,9 @@
         super().data_received(data)
 
     def begin_request(self) -> bool:
-        """Whether the request that was read may be handled: not on a connection that this node has ended.
+        """Starts handling the request that was read, or returns False if this node has closed the connection.
 
-        Its client gets no answer, so the request must not be passed on: the client may then send it again.
+        In that case the client gets no response, so the request must not be forwarded: the client may resend it.
         """
         if self.ended_by is not None:
             return False
@@ -99,11 +98,11 @@
         return True
 
     def note_request_read(self) -> None:
-        """The body is complete: what is read from now on belongs to another request."""
+        """Records that the body is complete: bytes read from now on belong to another request."""
         self.head_since = None
 
     def end_request(self, idle_limit: float) -> None:
-        """The answer is written; the connection may rest for so many seconds."""
+        """Records that the response is written; the connection may then be idle for `idle_limit` seconds."""
         self.idle_limit = idle_limit
         self._change_state(ConnectionState.RESTING if self.head_since is None else ConnectionState.READING)
 
@@ -112,11 +111,11 @@
         self.swept_since = None
 
     def reason_to_end(self, now: float, limits: ConnectionLimits) -> ConnectionEnd | None:
-        """Why a sweep should end it: it rests, or its request is coming in, for too long.
+        """Returns why a sweep should close the connection (idle or reading a request for too long), or None.
 
-        It may rest as long as the limit in force when it began to, or a longer one since: its client knows no other
-        yet. The first sweep that finds it so never ends it: a request that came in whole while this process stood still
-        begins before the next one.
+        The idle timeout is the larger of the one in force when the connection became idle, which is the only one that
+        its client knows, and the current one. The first sweep that finds a state never closes the connection: a request
+        that arrived complete while this process was paused starts before the next sweep.
         """
         if self.state is ConnectionState.SERVING:
             return None
@@ -132,23 +131,23 @@
         return None
 
     def pause(self) -> None:
-        """Reads no more: what comes stays unread, and its sender can tell so."""
+        """Stops reading: bytes that arrive from now on stay unread, so that a close resets the connection."""
         if self.transport is not None:
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Reads on."""
+        """Resumes reading after `pause`."""
         if self.transport is not None:
             self.transport.resume_reading()
 
     def end(self, reason: ConnectionEnd) -> None:
-        """Closes the connection; what was written goes out, a request that was read but not begun is not handled."""
+        """Closes the connection after flushing written bytes; a request that was read but not started is dropped."""
         self.ended_by = reason
         if self.transport is not None:
             self.transport.close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Tells of the end before the request on it, if there is one, is called off."""
+        """Reports the close before aiohttp cancels the handler of a request on the connection."""
         if self.ended_by is None:
             self.ended_by = ConnectionEnd.CLIENT
         self.on_end(self)
@@ -161,7 +160,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> StreamResponse:
-        """The answer to what could not be read, or could not be handled."""
+        """Builds the JSON response to a request that could not be parsed, or whose handler failed."""
         plain = super().handle_error(request, status, exc, message)
         answer = Response(
             status=status,
@@ -173,7 +172,7 @@
 
 
 class ConnectionFactory(Server):
-    """The protocol factory of `ClientConnection`s; `idle_limit` gives the limit in force, in seconds."""
+    """Protocol factory of `ClientConnection`s; `idle_limit` returns the current idle timeout in seconds."""
 
     def __init__(
         self,
@@ -187,9 +186,9 @@
         self.idle_limit = idle_limit
 
     def open_connections(self) -> list[ClientConnection]:
-        """Those that have been made and are not lost."""
+        """Returns the connections that are currently open."""
         return [cast(ClientConnection, connection) for connection in self.connections if connection.transport]
 
     def __call__(self) -> ClientConnection:
-        """A handler for a new connection."""
+        """Creates the protocol of a new connection, with the current idle timeout."""
         return ClientConnection(self, self.on_end, self.idle_limit(), loop=self._loop, **self._kwargs)
--- a/sumachook/transport/codec.py
+++ b/sumachook/transport/codec.py
@@ -1,4 +1,4 @@
-"""Messages between nodes to bounded thrift frames and back."""
+"""Encoding of messages between nodes as Thrift frames of bounded size, and decoding."""
 
 import zlib
 from collections.abc import Sequence
@@ -17,25 +17,25 @@
 from sumachook.transport.node_message import NodeMessage, kind_of, type_of
 
 MAX_FRAME_BYTES = 4 << 20
-# One protocol for all frames: thrift's C module needs it for the bounds alone, and makes no other use of it.
+# One protocol object serves all frames: Thrift's C module reads only the length limits from it.
 _PROTOCOL = TBinaryProtocolAccelerated(TMemoryBuffer(), fallback=True)
 COMPRESSED, PLAIN, MIN_COMPRESSED_BYTES, MIN_CACHED_BYTES = b"z", b"p", 600, 8000
 CONTAINERS = (list, dict)
-MAX_QUOTED = 40  # characters of a sender's own words in an error
+MAX_QUOTED = 40  # characters of a received value that an error message quotes
 
 
 def _struct(name: str, fields: Sequence[tuple[str, int, Any]]) -> Any:
-    """A TBase class made from its fields; the spec replaces generated code."""
+    """Creates a TBase class from (name, type, type argument) rows; its `thrift_spec` replaces generated code."""
     names = tuple(field[0] for field in fields)
     spec = (None, *((place, kind, field, extra, None) for place, (field, kind, extra) in enumerate(fields, 1)))
 
     def start(self: Any, *values: Any) -> None:
-        """Sets the given fields; a struct that is about to be read has none."""
+        """Sets the given fields; a struct that is created for decoding gets none."""
         for field, value in zip(names, values, strict=False):
             setattr(self, field, value)
 
     made: Any = type(name, (TBase,), {"__slots__": names, "__init__": start, "thrift_spec": spec})
-    made.type_arguments = [made, spec]  # as thrift's C module takes them
+    made.type_arguments = [made, spec]  # in the form that Thrift's C module expects
     return made
 
 
@@ -76,7 +76,7 @@
 
 
 def as_tuples(value: Any) -> Any:
-    """JSON lists as tuples, all the way down; objects are filled in place, so `value` is to be the caller's own.
+    """Converts JSON lists to tuples recursively. Objects are changed in place, so the caller must own `value`.
 
     >>> as_tuples([1, {"a": [2], "b": "c"}])
     (1, {'a': (2,), 'b': 'c'})
@@ -92,23 +92,23 @@
 
 
 def pack_entry(change: Any) -> bytes:
-    """A change of the ordered state as it stands in the log: JSON."""
+    """Encodes a change of the control state as a log entry, in JSON."""
     return msgspec.json.encode(change)
 
 
 def read_entry(entry: bytes) -> Any:
-    """The change that a log entry holds, with tuples for arrays."""
+    """Decodes the change in a log entry; JSON arrays become tuples."""
     return as_tuples(msgspec.json.decode(entry))
 
 
 @lru_cache(maxsize=16)
 def _compressed_entry(entry: bytes) -> bytes:
-    """A long entry goes to many nodes; it is compressed once."""
+    """Compresses a long entry; the result is cached because the entry is sent to many nodes."""
     return _compressed(entry)
 
 
 def _compressed(raw: bytes) -> bytes:
-    """Long documents go compressed; no JSON begins with the mark.
+    """Compresses long JSON documents behind a marker byte that no JSON text starts with.
 
     >>> raw = msgspec.json.encode(["word"] * 500)
     >>> len(_compressed(raw)) < 100, _decompressed(_compressed(raw)) == raw, _compressed(b"[1]")
@@ -123,12 +123,12 @@
     decompressor = zlib.decompressobj()
     data = decompressor.decompress(raw[len(COMPRESSED) :], MAX_FRAME_BYTES)
     if decompressor.unconsumed_tail:
-        raise ValueError("longer than allowed")
+        raise ValueError("decompressed field exceeds MAX_FRAME_BYTES")
     return data
 
 
 def _with_marker(raw: bytes) -> bytes:
-    """Bytes of any kind, which may begin with the mark themselves: a plain value gets a mark of its own.
+    """Compresses long binary values. Since they may start with the marker byte, plain ones get a marker of their own.
 
     >>> [_without_marker(_with_marker(raw)) == raw for raw in (b"", b"z", b"z" * 5000)]
     [True, True, True]
@@ -142,7 +142,7 @@
     if raw.startswith(PLAIN):
         return raw[len(PLAIN) :]
     if not raw.startswith(COMPRESSED):
-        raise ValueError("neither plain nor squeezed")
+        raise ValueError("binary field has no marker byte")
     return _decompressed(raw)
 
 
@@ -164,7 +164,7 @@
     if letter == "o":
         return value or b""
     if value is None:
-        raise ValueError("a field is missing")
+        raise ValueError("required field is missing")
     if letter == "d":
         return read_entry(_decompressed(value))
     if letter == "m":
@@ -198,7 +198,7 @@
 
 
 def _fill(struct: Any, raw: bytes) -> Any:
-    """Reads the fields of a struct; no text and no list in it may claim to be longer than all that there is."""
+    """Decodes a struct in place; no string or list in it may declare a length beyond that of the input."""
     if _PROTOCOL._fast_decode is None:
         struct.read(TBinaryProtocolAccelerated(TMemoryBuffer(raw), len(raw), len(raw), fallback=True))
         return struct
@@ -209,7 +209,7 @@
 
 
 class Codec:
-    """Packs one message of a node; the reading side is `read_frame`.
+    """Encodes the messages of one sending node; `read_frame` decodes them.
 
     >>> codec = Codec("kosice", "core-1", "127.0.0.1:7001", 3)
     >>> from sumachook.membership.messages import Ping
@@ -227,7 +227,7 @@
         self.cluster, self.sender, self.address, self.incarnation = cluster, sender, address, incarnation
 
     def pack(self, message: NodeMessage | tuple[Any, ...]) -> bytes:
-        """The bytes of one message."""
+        """Encodes one message, which may also be a tuple of its kind and field values, as a frame."""
         if isinstance(message, NodeMessage):
             kind, values = kind_of(message), message.values()
         else:
@@ -239,7 +239,7 @@
 
 
 class ReceivedFrame(NamedTuple):
-    """A message with the node that sent it: its name, the address at which it is answered, and its incarnation."""
+    """A decoded message with its sender's name, the address for answers, and the sender's incarnation."""
 
     sender: str
     address: str
@@ -248,14 +248,14 @@
 
 
 def read_frame(cluster: str, raw: bytes) -> ReceivedFrame:
-    """The message that the bytes hold; raises `UnreadableFrameError` where they hold none of this cluster."""
+    """Decodes a frame; raises `UnreadableFrameError` if it is malformed or belongs to another cluster."""
     if len(raw) > MAX_FRAME_BYTES:
         raise UnreadableFrameError(FrameProblem.TOO_LONG, f"{len(raw)} bytes")
     try:
         return _read_frame(cluster, raw)
     except UnreadableFrameError:
         raise
-    except Exception as error:  # thrift raises whatever its C reader meets
+    except Exception as error:  # Thrift's C decoder raises exceptions of many types
         raise UnreadableFrameError(FrameProblem.MALFORMED, type(error).__name__) from error
 
 
--- a/sumachook/transport/connection_limits.py
+++ b/sumachook/transport/connection_limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what a client may send on a connection, and for how long it may take or rest."""
+"""Size limits and timeouts of client connections."""
 
 from dataclasses import dataclass
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """Sizes in bytes, times in seconds.
+    """Limits of one client connection: sizes in bytes, times in seconds.
 
-    `header_timeout` runs from the first byte of a request's head to its last; `idle_timeout` bounds how long a
-    connection may rest between requests, and how long a body may stall.
+    `header_timeout` runs from the first byte of a request's head to its last. `idle_timeout` limits how long a
+    connection may be idle between requests, and how long the transfer of a body may stall.
     """
 
     header_bytes: float = UNBOUNDED
@@ -22,5 +22,5 @@
 
 
 def header_size(request: BaseRequest) -> int:
-    """Bytes of a request's header fields, each with colon, blank and line end; or of its target, if longer."""
+    """Returns the bytes of all header fields, each with colon, blank and line end, or of the target if larger."""
     return max(len(request.raw_path), sum(len(name) + len(value) + 4 for name, value in request.raw_headers))
--- a/sumachook/transport/errors.py
+++ b/sumachook/transport/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with bytes that came from another node."""
+"""Errors in frames received from other nodes."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class FrameProblem(StrEnum):
-    """Why a frame could not be read."""
+    """Reason why a received frame was rejected."""
 
     MALFORMED = "malformed"
     TOO_LONG = "too long"
@@ -15,7 +15,7 @@
 
 
 class UnreadableFrameError(ProtocolError):
-    """A frame that holds no message of this cluster; it is dropped and counted."""
+    """Raised for a frame that holds no valid message of this cluster; the receiver drops and counts it."""
 
     def __init__(self, problem: FrameProblem, detail: str) -> None:
         super().__init__(f"{problem}: {detail}")
--- a/sumachook/transport/http_caller.py
+++ b/sumachook/transport/http_caller.py
@@ -1,4 +1,4 @@
-"""What the HTTP clients of a process share: sessions, the calls under way, and what each failure means."""
+"""Common base of the HTTP clients of a process: sessions, running calls, and the classification of failures."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,10 +14,10 @@
 
 
 class HttpCaller:
-    """Runs calls, each in its own task, and gives the `CallEvent`s of each.
+    """Runs each HTTP call in its own task and emits its `CallEvent`s.
 
-    `RequestSent` comes ahead of the first byte; a failure before that byte is reported as such only if no byte went
-    out: whoever gets `CallFailed` with "refused" or "connect-timeout" knows that the call did not run.
+    `RequestSent` is emitted before the first byte is written. `CallFailed` with "refused" or "connect-timeout" is
+    reported only if no byte was sent, so that its receiver can rely on the call not having run.
     """
 
     __slots__ = ("on_event", "tasks", "sent", "sessions")
@@ -25,16 +25,16 @@
     def __init__(self, on_event: Callable[[Event], None]) -> None:
         self.on_event = on_event
         self.tasks: dict[CallId, asyncio.Task[None]] = {}
-        self.sent: set[CallId] = set()  # calls of which a byte may have gone out
+        self.sent: set[CallId] = set()  # calls that may have sent a byte
         self.sessions: tuple[aiohttp.ClientSession, ...] = ()
 
     @property
     def is_open(self) -> bool:
-        """Whether calls can be made."""
+        """Whether the sessions are open, so that calls can be started."""
         return bool(self.sessions)
 
     async def run(self) -> None:
-        """Keeps the sessions open until it is cancelled; calls that are under way then fail."""
+        """Keeps the sessions open until cancelled; calls still running then fail."""
         self.sessions = self._open_sessions()
         try:
             await asyncio.Event().wait()
@@ -46,7 +46,7 @@
                 await session.close()
 
     def cancel(self, call_id: CallId) -> None:
-        """Calls a call off; nothing more is told of it."""
+        """Cancels a call; it emits no further events."""
         task = self.tasks.pop(call_id, None)
         if task is not None:
             task.cancel()
@@ -58,7 +58,7 @@
         session = aiohttp.ClientSession(
             connector=connector, auto_decompress=False, cookie_jar=aiohttp.DummyCookieJar(), **options
         )
-        # aiohttp would send GET, PUT and their like a second time, unseen, also on a fresh connection
+        # otherwise aiohttp silently retries idempotent methods such as GET and PUT, even on a new connection
         session._retry_connection = False
         return session
 
@@ -68,13 +68,13 @@
         reuse: ConnectionReuse = ConnectionReuse.ALWAYS,
         max_kept: int = DEFAULT_MAX_KEPT,
     ) -> ConnectingCall:
-        """Tells the connector of the session about the call that this task is about to make."""
+        """Sets the context variable from which the session's connector learns which connections this call may use."""
         call = ConnectingCall(partial(self._note_sent, call_id), reuse, max_kept)
         CURRENT_CALL.set(call)
         return call
 
     def _note_sent(self, call_id: CallId, is_reused: bool) -> None:
-        """The connection stands: from here on the call may have run."""
+        """Records that the call has a connection: from now on the server may have run it."""
         self.sent.add(call_id)
         self.on_event(RequestSent(call_id, is_reused))
 
@@ -89,7 +89,7 @@
         self.sent.discard(call_id)
 
     async def _report_outcome(self, call_id: CallId, call: Callable[[], Awaitable[CallEvent]]) -> None:
-        """Gives one outcome for each call, whatever ends it; only one that was called off tells nothing."""
+        """Runs a call and emits exactly one outcome for it, unless it was cancelled by `cancel`."""
         try:
             outcome: CallEvent = await call()
         except asyncio.CancelledError:
@@ -101,7 +101,7 @@
         self.on_event(outcome)
 
     def _failure(self, call_id: CallId, error: Exception) -> CallFailure:
-        """The kind of a failure; one after the first byte never passes for one before it."""
+        """Classifies an error; one that occurred after the first byte is never reported as a connection failure."""
         if call_id not in self.sent:
             if isinstance(error, aiohttp.ConnectionTimeoutError):
                 return CallFailure.CONNECT_TIMEOUT
--- a/sumachook/transport/http_client.py
+++ b/sumachook/transport/http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client of a process: `Fetch` effects become requests, and what happens becomes events."""
+"""HTTP client of a process: sends the requests of `Fetch` effects and emits events for their progress."""
 
 import socket
 import struct
@@ -24,16 +24,16 @@
 from sumachook.transport.http_caller import HttpCaller
 from sumachook.transport.server_connector import ServerConnector
 
-MAX_BODY_BYTES = 8 << 20  # far above the longest report of a model server
+MAX_BODY_BYTES = 8 << 20  # far above the size of the longest report of a model server
 KEEP_ALIVE = timedelta(seconds=5)
-EVENTS = "events"  # the mode of a call whose answer is a stream of server-sent events
-LOOKUP, ORDER = "lookup", "provision"  # first parts of call ids
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # of SO_LINGER: on, for no time
+EVENTS = "events"  # mode of a call whose response is a stream of server-sent events
+LOOKUP, ORDER = "lookup", "provision"  # first elements of call ids
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with a timeout of 0, so that close() sends a reset
 
 
 def _resetting_socket(address: Any) -> socket.socket:
-    """A socket whose closing drops what was not delivered: an order that was given up is not carried out when a cut
-    heals.
+    """Creates a socket that discards undelivered bytes on close, so that an abandoned provisioning order is not
+    executed after a network partition heals.
     """
     family, kind, protocol, *_ = address
     opened = socket.socket(family, kind, protocol)
@@ -42,7 +42,7 @@
 
 
 class Pool(IntEnum):
-    """Which connections a call may use; the pools never share one."""
+    """Connection pool of a call; pools never share connections."""
 
     FRESH = 0
     LOOKUPS = 1
@@ -59,12 +59,11 @@
 
 
 class HttpClient(HttpCaller):
-    """Runs fetches, each in its own task; tells when the first byte may have gone out.
+    """Runs each `Fetch` in its own task; emits `RequestSent` before the first byte may be sent.
 
-    Prompts and the placer's orders get a fresh connection each. Lookups keep theirs, and never share one with a prompt.
-    Orders that name the count of orders they expect keep theirs too, apart from the reports on the same server: their
-    answers bear no id, so that nothing but the connection tells one from the other; an order's connection is reset when
-    it is given up.
+    Each prompt gets a new connection. Lookups reuse connections, but never share one with a prompt. The placer's orders
+    reuse connections too, in a pool separate from the reports of the same server: its responses carry no id, so only
+    the connection tells the response to an order from a report. The connection of an abandoned order is reset.
     """
 
     __slots__ = ()
@@ -79,7 +78,7 @@
         return tuple(self._session(connectors[pool]) for pool in Pool)
 
     def fetch(self, effect: Fetch) -> None:
-        """Begins a call, or says at once that it cannot be made."""
+        """Starts a call; emits `CallFailed` at once if the client is not running."""
         if not self.is_open:
             self.on_event(CallFailed(effect.call_id, CallFailure.REFUSED))
             return
@@ -119,10 +118,10 @@
 
 
 async def _read_body(answer: aiohttp.ClientResponse) -> bytes:
-    """The complete body; raises `ClientPayloadError` for one of more than `MAX_BODY_BYTES`."""
+    """Reads the complete body; raises `ClientPayloadError` if it exceeds `MAX_BODY_BYTES`."""
     body = await answer.content.read(MAX_BODY_BYTES)
     while not answer.content.at_eof():
         body += await answer.content.read(MAX_BODY_BYTES)
         if len(body) > MAX_BODY_BYTES:
-            raise aiohttp.ClientPayloadError("too long")
+            raise aiohttp.ClientPayloadError("response body exceeds MAX_BODY_BYTES")
     return body
--- a/sumachook/transport/http_server.py
+++ b/sumachook/transport/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a process: requests become events of its state machine, and effects become responses."""
+"""HTTP server of a process: turns requests into events of its state machine, and effects into responses."""
 
 import asyncio
 from collections import Counter
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import Any, ClassVar, NoReturn, TypeVar, cast
 
-# aiohttp.web as a whole would bring what serves files and applications: a tenth of the start
+# importing all of aiohttp.web loads file serving and applications too: a tenth of the startup time
 from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import Response, StreamResponse
 from multidict import CIMultiDict
@@ -24,8 +24,8 @@
 
 MAX_BODY_BYTES = 1 << 20
 MAX_UNSENT_BYTES = 1 << 20
-SHUTDOWN_TIMEOUT = timedelta(seconds=0.2)  # for requests that are handled when the server is stopped
-TURNS_LEFT_UNREAD = 4  # of the loop, before a resting connection is closed: what comes in them is reset, unread
+SHUTDOWN_TIMEOUT = timedelta(seconds=0.2)  # for requests in progress when the server is stopped
+TURNS_LEFT_UNREAD = 4  # loop iterations until idle connections are closed; bytes arriving meanwhile are reset unread
 ENDS_BY_CONNECTION = frozenset(
     (ConnectionEnd.IDLE, ConnectionEnd.SLOW_HEAD, ConnectionEnd.LEAVING, ConnectionEnd.STOPPED)
 )
@@ -33,9 +33,9 @@
 
 
 class Exchange:
-    """One request that waits for its effects, bounded by the bytes that its client has not yet taken.
+    """A request in progress and the queue of its response effects, whose size is limited by `unsent_bytes`.
 
-    `transport` is there while the response is a stream and no effect waits: chunks are then written at once.
+    `transport` is set while the response is a stream and no effect is queued: chunks are then written directly.
     """
 
     __slots__ = ("effects", "unsent_bytes", "is_over", "transport")
@@ -48,11 +48,11 @@
 
 
 class HttpServer:
-    """Serves HTTP on one address; every request is an event, and effects say what is answered.
+    """Serves HTTP on one address: emits an event for each request, and writes responses from effects.
 
-    Bodies beyond the limit get 413, what is no HTTP gets 400, both in JSON and without an event. A client that does not
-    read is let go once `MAX_UNSENT_BYTES` wait for it. A stream that must not look complete ends without its closing
-    chunk.
+    Bodies above the limit get 413 and input that is not valid HTTP gets 400, both in JSON and without an event. A
+    client that does not read is disconnected once more than `MAX_UNSENT_BYTES` are buffered for it. A stream that must
+    not look complete is closed without the final chunk.
     """
 
     __slots__ = (
@@ -79,17 +79,17 @@
     ) -> None:
         self.address = address
         self.log = log
-        self.end_counts: Counter[ConnectionEnd] = Counter()  # connections that have ended, by what ended them
+        self.end_counts: Counter[ConnectionEnd] = Counter()  # closed connections by the reason of the close
         self.on_event = on_event
         self.limits = replace(self.LIMITS, body_bytes=max_body_bytes) if max_body_bytes else self.LIMITS
         self.exchanges: dict[CallId, Exchange] = {}
         self.last_call_number = 0
         self.listener: asyncio.Server | None = None
         self.server: ConnectionFactory | None = None
-        self.is_stopping = False  # whether it takes no more connections
+        self.is_stopping = False  # set once no new connections are accepted
 
     async def run(self) -> None:
-        """Serves until it is cancelled; raises `OSError` where the address cannot be bound."""
+        """Serves until cancelled; raises `OSError` if the address cannot be bound."""
         server = self.server = ConnectionFactory(
             self._serve,
             self._note_end,
@@ -110,16 +110,16 @@
             await server.shutdown(SHUTDOWN_TIMEOUT.total_seconds())
 
     async def sweep(self) -> None:
-        """Sweeps connections until it is cancelled; a task of its own, so that its failure ends no connection."""
+        """Closes timed-out connections until cancelled; as a separate task, its failure closes no connection."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL.total_seconds())
             self._sweep(asyncio.get_running_loop().time())
 
     def _note_end(self, connection: ClientConnection) -> None:
-        """Counts what ended a connection; tells of one that was closed here while something of a request was on it.
+        """Counts a closed connection by reason; logs it if this node closed it with an unfinished or unread request.
 
-        Where the machine cut an answer off, the request's own line tells of it. What came in too late for the close is
-        reset, unread; what is on its way even then shows at its client alone.
+        An aborted response is not logged here, since the request's own log line reports it. Bytes that arrive too late
+        before the close are reset unread; a request still in transit at that time is visible to its client alone.
         """
         ended_by = connection.ended_by or ConnectionEnd.CLIENT
         self.end_counts[ended_by] += 1
@@ -131,7 +131,7 @@
             self.log("warning", "http-server", "A connection was closed with a request on it.", fields)
         elif unread:
             fields = self._describe_end(connection, ended_by, unread)
-            self.log("info", "http-server", "A connection was closed as bytes came in that nobody has read.", fields)
+            self.log("info", "http-server", "A connection was closed with unread bytes in the receive buffer.", fields)
 
     @staticmethod
     def _describe_end(connection: ClientConnection, ended_by: ConnectionEnd, unread: int) -> dict[str, Any]:
@@ -145,16 +145,16 @@
         }
 
     def _sweep(self, now: float) -> None:
-        """Closes a connection that rests for too long, and one on which a head has been coming in for too long."""
+        """Closes connections that exceed the idle timeout or the header timeout."""
         for connection in self.server.open_connections() if self.server else []:
             reason = connection.reason_to_end(now, self.limits)
             if reason is not None:
                 connection.end(reason)
 
     def stop_accepting(self) -> None:
-        """Takes no new connections; closes resting ones now, and the others once their request is answered.
+        """Stops accepting connections; closes idle ones now, and the others once their request is answered.
 
-        A request that has come in by now is answered, also one that lies unread in the kernel's buffer.
+        A request that has already arrived is answered, even if it is still unread in the kernel's buffer.
         """
         if self.listener is None or self.server is None:
             return
@@ -162,33 +162,33 @@
         self.listener.close()
         resting = [connection for connection in self.server.open_connections() if connection.may_be_ended]
         for connection in resting:
-            connection.pause()  # what comes from now on stays unread, and may be sent elsewhere
+            connection.pause()  # a request that arrives from now on stays unread; its client may resend it
         self._close_resting(resting, TURNS_LEFT_UNREAD)
 
     def _close_resting(self, resting: list[ClientConnection], turns: int) -> None:
-        """Closes these connections so many turns of the loop later; they are read no more."""
+        """Closes these paused connections after the given number of event loop iterations."""
         if turns:
             asyncio.get_running_loop().call_soon(self._close_resting, resting, turns - 1)
             return
         for connection in resting:
             if connection.is_resting:
                 connection.end(ConnectionEnd.LEAVING)
-            else:  # a request that was read together with the one before it has begun
+            else:  # a pipelined request, read together with the previous one, has started
                 connection.resume()
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Whether something that was written has not left the process, since a client reads slowly."""
+        """Whether bytes of a response are still buffered in the process because a client reads slowly."""
         connections = self.server.open_connections() if self.server else []
         return any(connection.has_unsent_bytes for connection in connections)
 
     def answer(self, effect: ResponseEffect) -> None:
-        """Carries out an effect of the machine; one for a request that is over is dropped."""
+        """Applies a response effect of the state machine; drops it if the request has ended."""
         exchange = self.exchanges.get(effect.call_id)
         if exchange is None or exchange.is_over:
             return
         if not isinstance(effect, SendChunk):
-            exchange.transport = None  # what ends the response is for its task
+            exchange.transport = None  # the request's task writes all other effects
             exchange.effects.put_nowait(effect)
             return
         is_direct = exchange.transport is not None
@@ -202,14 +202,14 @@
             exchange.effects.put_nowait(effect)
 
     def _let_go(self, exchange: Exchange, call_id: CallId) -> None:
-        """Ends the response of a client that does not read."""
+        """Aborts the response to a client that does not read it."""
         exchange.is_over = True
         exchange.transport = None
         exchange.effects.put_nowait(AbortResponse(call_id))
         self.on_event(ClientDisconnected(call_id, ConnectionEnd.NOT_READ))
 
     async def _serve(self, request: BaseRequest) -> StreamResponse:
-        """Handles a request from its head to the last byte of its answer; all this time it is on its connection."""
+        """Handles a request until the last byte of its response; its connection stays in state SERVING until then."""
         connection = cast(ClientConnection, request.protocol)
         if not connection.begin_request():
             raise asyncio.CancelledError
@@ -223,15 +223,15 @@
         return answer
 
     async def _complete_writing(self, request: BaseRequest, answer: StreamResponse) -> None:
-        """Writes what is not yet written of an answer."""
+        """Writes the head and body of a response as far as they are not written yet."""
         try:
             await answer.prepare(request)
             await answer.write_eof()
-        except ConnectionResetError:  # the client has gone
+        except ConnectionResetError:  # the client has disconnected
             raise asyncio.CancelledError from None
 
     async def _read_body(self, request: BaseRequest) -> bytes | Response:
-        """The complete body, or the answer to one that is too long or stalls."""
+        """Reads the complete body; returns an error response instead if it is too large or its transfer stalls."""
         max_bytes, body = self.limits.body_bytes, bytearray()
         if (request.content_length or 0) > max_bytes:
             return _error_response(413, "too-large", f"at most {max_bytes} bytes")
@@ -268,7 +268,7 @@
                 self.on_event(ClientDisconnected(call_id, connection.ended_by or ConnectionEnd.CLIENT))
 
     def _event_of(self, request: BaseRequest, body: bytes) -> tuple[CallId, Event]:
-        """The id of a request's call, and what the machine is told."""
+        """Returns the call id of a request and the event for the state machine."""
         headers = {name.lower(): value for name, value in request.headers.items()}
         return self.last_call_number, HttpRequestReceived(
             self.last_call_number, request.method, request.path, headers, body
@@ -282,16 +282,16 @@
         if isinstance(effect, AbortResponse):
             self._abort(request)
         if not isinstance(effect, BeginResponse):
-            raise TypeError(f"a response does not begin with {effect!r}")
+            raise TypeError(f"first response effect must be Reply, BeginResponse or AbortResponse, not {effect!r}")
         answer = _closing_if_asked(StreamResponse(status=effect.status, headers=CIMultiDict(effect.headers)))
         answer.enable_chunked_encoding()
         try:
             return await self._stream(request, exchange, answer)
-        except ConnectionResetError:  # the client went away between two writes
+        except ConnectionResetError:  # the client disconnected between two writes
             raise asyncio.CancelledError from None
 
     async def _stream(self, request: BaseRequest, exchange: Exchange, answer: StreamResponse) -> StreamResponse:
-        """Writes chunks as they come, until the response is ended or cut off."""
+        """Writes chunks as they arrive until the response is ended or aborted."""
         await answer.prepare(request)
         while True:
             effect = await exchange.effects.get()
@@ -307,30 +307,30 @@
                 self._abort(request)
 
     def _abort(self, request: BaseRequest) -> NoReturn:
-        """Ends without a closing chunk, so that nobody can take the cut answer for a complete one.
+        """Closes the connection without the final chunk, so that no client takes the truncated response as complete.
 
-        What was written goes out; the cancellation tells aiohttp to write nothing more here, not even an error.
+        Bytes already written are flushed; the cancellation keeps aiohttp from writing more, such as an error response.
         """
         cast(ClientConnection, request.protocol).end(ConnectionEnd.ABORTED)
         raise asyncio.CancelledError
 
 
 def _write_chunk(exchange: Exchange, data: bytes) -> None:
-    """Writes a chunk in the coding of the response; one for a client that has just gone is dropped."""
+    """Writes data in chunked transfer coding; drops it if the client has just disconnected."""
     transport = exchange.transport
     if transport is not None and not transport.is_closing():
         transport.write(b"%x\r\n%b\r\n" % (len(data), data))
 
 
 def _closing_if_asked(answer: AnyResponse) -> AnyResponse:
-    """An answer that says `Connection: close` is the last of its connection."""
+    """Makes the response the last one on its connection if its headers say `Connection: close`."""
     if answer.headers.get("Connection", "").lower() == "close":
         answer.force_close()
     return answer
 
 
 def _error_response(status: int, name: str, reason: str) -> Response:
-    """The last answer of its connection, to what never reached the machine."""
+    """Builds an error response to a request that never reached the state machine; it closes the connection."""
     answer = Response(status=status, body=error_body(name, reason), content_type="application/json")
     answer.force_close()
     return answer
--- a/sumachook/transport/message_schemas.py
+++ b/sumachook/transport/message_schemas.py
@@ -1,8 +1,8 @@
-"""The kinds of message and their fields.
+"""Message kinds between nodes and their fields, in wire order.
 
-Letters: s string, i i64, f double, b bool, d document (JSON in a binary field),
-m list of member structs, e list of binary entries, y bytes as they are, r bytes (compressed if long),
-o bytes that may be missing, which is how earlier versions send them: empty then.
+Type letters: s string, i i64, f double, b bool, d document (JSON in a binary field),
+m list of member structs, e list of binary entries, y raw bytes, r bytes (compressed if long),
+o optional bytes, which decode as empty if they are missing, as in messages of earlier versions.
 """
 
 SHAPES = {
@@ -74,7 +74,7 @@
     "usage": "usage:d",
     "places": "fence:i incarnation:i number:i is_snapshot:b servers:d",
     "places_ask": "number:i",
-    # any
+    # any component
     "leaving": "servers:d",
     "cold": "servers:d",
     "outcomes": "counts:d",
--- a/sumachook/transport/node_message.py
+++ b/sumachook/transport/node_message.py
@@ -1,4 +1,4 @@
-"""The base of all messages between nodes, and the types by their kind on the wire."""
+"""Base class of messages between nodes, and the lookup of message types by their kind on the wire."""
 
 from collections.abc import Iterator, Sequence
 from typing import Any, Self
@@ -7,9 +7,9 @@
 
 
 class NodeMessage(msgspec.Struct, frozen=True):
-    """A message between nodes.
+    """Immutable message between nodes.
 
-    A subclass names its kind on the wire as its `tag`; its fields are those of `message_schemas.SHAPES` in their order.
+    The `tag` of a subclass is its kind on the wire; its fields are those of `message_schemas.SHAPES`, in that order.
 
     >>> class Ping(NodeMessage, frozen=True, tag="doctest_ping"):
     ...     number: int
@@ -19,11 +19,11 @@
 
     @classmethod
     def from_values(cls, values: Sequence[Any]) -> Self:
-        """The message from the values of its fields as the codec read them; raises ValueError if they don't fit."""
+        """Builds the message from decoded field values; raises `ValueError` if they do not match its fields."""
         return cls(*values)
 
     def values(self) -> tuple[Any, ...]:
-        """The values of its fields, in order, as the codec packs them."""
+        """Returns the field values in order, as the codec encodes them."""
         return msgspec.structs.astuple(self)
 
 
@@ -31,17 +31,17 @@
 
 
 def kind_of(message: NodeMessage) -> str:
-    """The name of its kind on the wire."""
+    """Returns the kind of a message on the wire, which is the tag of its type."""
     return str(type(message).__struct_config__.tag)
 
 
 def wire_kind(message: NodeMessage | tuple[Any, ...]) -> str:
-    """The kind of a message that may still be a tagged tuple."""
+    """Returns the kind of a message, which may also be a tuple whose first element is the kind."""
     return kind_of(message) if isinstance(message, NodeMessage) else str(message[0])
 
 
 def type_of(kind: str) -> type[NodeMessage] | None:
-    """The type of a kind, or None where no module that defines it was imported."""
+    """Returns the message type of a kind, or None if no imported module defines it."""
     if kind not in _types:
         _types.update({str(each.__struct_config__.tag): each for each in _subclasses(NodeMessage)})
         _types.setdefault(kind, None)
--- a/sumachook/transport/node_messenger.py
+++ b/sumachook/transport/node_messenger.py
@@ -1,4 +1,4 @@
-"""Sends messages to other nodes: packs them, and gives the bytes to the sockets."""
+"""Sends messages to other nodes: encodes them and passes the bytes to the node transport."""
 
 from sumachook.host.effects import Send, SendDatagram
 from sumachook.transport.codec import Codec
@@ -7,9 +7,9 @@
 
 
 class NodeMessenger:
-    """Carries out `Send` and `SendDatagram`.
+    """Executes `Send` and `SendDatagram` effects.
 
-    A message that goes to many nodes in a row is packed once: it is the same object, and messages don't change.
+    A message sent to several nodes in a row is encoded once: it is the same object, and messages are immutable.
     """
 
     __slots__ = ("transport", "codec", "_last_message", "_last_bytes")
@@ -21,11 +21,11 @@
         self._last_bytes = b""
 
     def send(self, effect: Send) -> None:
-        """Sends a message over the connection to a node."""
+        """Queues a message on the TCP connection to a node."""
         self.transport.send(effect.address, self._packed(effect.message))
 
     def send_datagram(self, effect: SendDatagram) -> None:
-        """Sends a message in one datagram."""
+        """Sends a message in one UDP datagram."""
         self.transport.send_datagram(effect.address, self._packed(effect.message))
 
     def _packed(self, message: NodeMessage) -> bytes:
--- a/sumachook/transport/node_transport.py
+++ b/sumachook/transport/node_transport.py
@@ -1,4 +1,4 @@
-"""The sockets between nodes: datagrams for membership, framed TCP connections for all other messages."""
+"""Sockets between nodes: UDP datagrams for membership, and TCP connections with length-prefixed frames for the rest."""
 
 import asyncio
 from collections import deque
@@ -16,16 +16,16 @@
 MAX_QUEUED_FRAMES = 4000
 MAX_DATAGRAM_BYTES = 60000  # below the 65,507 of UDP over IPv4
 RECONNECT_DELAY = timedelta(seconds=0.1)
-CONNECT_TIMEOUT = timedelta(seconds=0.25)  # a machine without power says nothing; the next attempt finds it up
+CONNECT_TIMEOUT = timedelta(seconds=0.25)  # a machine without power never answers; the next attempt may find it up
 UNACKNOWLEDGED_TIMEOUT = timedelta(seconds=1.5)
 
 
 class NodeConnection(asyncio.Protocol):
-    """Sends frames to one other node, in order, over one connection that is made again when it breaks.
+    """Sends frames to one other node, in order, over one TCP connection that is re-established when it breaks.
 
-    A frame is written at once while the other end takes what is written. The oldest of those that wait are dropped
-    beyond `MAX_QUEUED_FRAMES`, and all that wait where nobody takes the connection: by the time somebody does, they are
-    out of date.
+    A frame is written at once unless the write buffer is full. When more than `MAX_QUEUED_FRAMES` are queued, the
+    oldest ones are dropped. When a connection attempt fails, all queued frames are dropped, since they would be out of
+    date by the time the node accepts a connection.
     """
 
     def __init__(self, address: str) -> None:
@@ -38,7 +38,7 @@
         self.is_paused = False
 
     def enqueue(self, raw: bytes) -> None:
-        """Takes one frame; comes back at once."""
+        """Writes or queues one frame without blocking."""
         if self.transport is not None and not self.is_paused and not self.transport.is_closing():
             self.transport.write(with_length(raw))
             return
@@ -49,7 +49,7 @@
         self.not_empty.set()
 
     async def run(self) -> None:
-        """Connects and stays connected until it is cancelled."""
+        """Connects when frames are queued, and reconnects after a failure, until cancelled."""
         host, port = split_address(self.address)
         loop = asyncio.get_running_loop()
         while True:
@@ -68,23 +68,23 @@
                 self._close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends what waited."""
+        """Sends the queued frames."""
         self.transport = cast(asyncio.Transport, transport)
         self.is_paused = False
         set_tcp_timeouts(transport.get_extra_info("socket"), UNACKNOWLEDGED_TIMEOUT)
         self._flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Frames wait again, for the next connection."""
+        """Queues further frames for the next connection."""
         self.transport = None
         self.lost.set()
 
     def pause_writing(self) -> None:
-        """The other end is slow: frames wait."""
+        """Queues further frames, since the other node reads slowly."""
         self.is_paused = True
 
     def resume_writing(self) -> None:
-        """The other end takes frames again."""
+        """Sends the queued frames once the write buffer has drained."""
         self.is_paused = False
         self._flush()
 
@@ -106,7 +106,7 @@
 
 
 class FrameReceiver(asyncio.Protocol):
-    """Cuts what comes on a connection of another node into frames; a frame that is too long ends the connection."""
+    """Splits the bytes from another node's connection into frames; an oversized frame aborts the connection."""
 
     def __init__(self, on_frame: Callable[[bytes], None], on_too_long: Callable[[], None]) -> None:
         self.on_frame = on_frame
@@ -115,12 +115,12 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Another node has connected."""
+        """Sets the TCP timeouts of a connection that another node has opened."""
         self.transport = cast(asyncio.Transport, transport)
         set_tcp_timeouts(transport.get_extra_info("socket"), UNACKNOWLEDGED_TIMEOUT)
 
     def data_received(self, data: bytes) -> None:
-        """Gives each frame that is complete by now."""
+        """Passes each complete frame to `on_frame`; buffers an incomplete one."""
         buffer = self.buffer
         buffer += data
         start = 0
@@ -144,7 +144,7 @@
 
 
 def with_length(raw: bytes) -> bytes:
-    """A frame as it stands on a connection.
+    """Prefixes a frame with its length, as it is sent on a connection.
 
     >>> with_length(b"abc")
     b'\\x00\\x00\\x00\\x03abc'
@@ -153,7 +153,7 @@
 
 
 class NodeTransport(asyncio.DatagramProtocol):
-    """Both sockets of one node's address; `on_event` gets each message, and word of what could not be read."""
+    """TCP and UDP sockets of a node's address; emits an event for each received message or unreadable frame."""
 
     def __init__(self, address: str, cluster: str, on_event: Callable[[Event], None]) -> None:
         self.address = address
@@ -162,10 +162,10 @@
         self.connections: dict[str, NodeConnection] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.transport: asyncio.DatagramTransport | None = None
-        self.has_ended = False  # what is still to be sent while the process ends is dropped
+        self.has_ended = False  # messages that are sent during shutdown are dropped
 
     async def run(self) -> None:
-        """Listens until it is cancelled; raises `OSError` where the address cannot be bound."""
+        """Listens until cancelled; raises `OSError` if the address cannot be bound."""
         host, port = split_address(self.address)
         loop = asyncio.get_running_loop()
         server = await loop.create_server(self._receiver, host, port)
@@ -183,7 +183,7 @@
                 task.cancel()
 
     def send(self, address: str, raw: bytes) -> None:
-        """Sends bytes over the connection to a node, which is made if there is none; drops them once it has ended."""
+        """Sends a frame over the connection to a node, opening one if needed; drops the frame during shutdown."""
         if self.has_ended:
             return
         connection = self.connections.get(address)
@@ -195,16 +195,16 @@
         connection.enqueue(raw)
 
     def send_datagram(self, address: str, raw: bytes) -> None:
-        """Sends bytes in one datagram; what is too long for one is dropped."""
+        """Sends bytes in one datagram; drops them above `MAX_DATAGRAM_BYTES`."""
         if self.transport is not None and len(raw) <= MAX_DATAGRAM_BYTES:
             self.transport.sendto(raw, split_address(address))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Takes a datagram of any sender."""
+        """Decodes a datagram from any sender."""
         self._take(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Does nothing: a member that cannot be reached shows by its silence."""
+        """Ignores socket errors: pings that go unanswered reveal an unreachable member."""
 
     def _take(self, raw: bytes) -> None:
         try:
--- a/sumachook/transport/proxy_server.py
+++ b/sumachook/transport/proxy_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for requests that are forwarded: path, headers and body stay as they came."""
+"""HTTP server for requests to be forwarded, whose path, headers and body are kept unchanged."""
 
 from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import StreamResponse
@@ -10,12 +10,12 @@
 from sumachook.transport.http_server import HttpServer, _error_response
 from sumachook.transport.streaming_client import UNSENDABLE
 
-MAX_FIELD_BYTES = 1 << 20  # of the parser; the limits of the configuration are below it
-NEVER = 1e6  # seconds: the sweep closes what rests, by limits that may change meanwhile
+MAX_FIELD_BYTES = 1 << 20  # limit of the HTTP parser; the configured limits are lower
+NEVER = 1e6  # seconds; the sweep closes idle connections instead, by limits that may change at run time
 
 
 def _reason_not_forwardable(request: BaseRequest) -> str:
-    """Why this request would leave the node in another form than it came, or nothing."""
+    """Returns why this request cannot be forwarded unchanged, or an empty string if it can."""
     if (
         request.method == "CONNECT"
         or "#" in request.raw_path
@@ -30,7 +30,7 @@
 
 
 class ProxyServer(HttpServer):
-    """The HTTP server of clients whose requests are forwarded: it gives `ProxyRequestReceived` events."""
+    """HTTP server that emits a `ProxyRequestReceived` event for each request to be forwarded."""
 
     __slots__ = ()
     OPTIONS = {
@@ -40,10 +40,10 @@
         "max_field_size": MAX_FIELD_BYTES,
         "max_headers": 1000,
     }
-    LIMITS = ConnectionLimits(header_bytes=32 << 10, body_bytes=8 << 20)  # until the configuration is known
+    LIMITS = ConnectionLimits(header_bytes=32 << 10, body_bytes=8 << 20)  # until the configuration is loaded
 
     def apply_limits(self, limits: Limits) -> None:
-        """The configuration's limits of clients (`configuration/limits.py`) are in force from now on."""
+        """Applies the configured client limits (`configuration/limits.py`), also to open connections."""
         self.limits = ConnectionLimits(
             limits.header_bytes, limits.body_bytes, limits.header_ms / 1000, limits.idle_ms / 1000
         )
--- a/sumachook/transport/server_connector.py
+++ b/sumachook/transport/server_connector.py
@@ -1,10 +1,10 @@
-"""Connections to servers: which are kept, and which calls may use one that was used before.
+"""Connection pool to upstream servers: which connections are kept, and which calls may reuse one.
 
-A server may forget a connection that rests, without a word; what is sent there next is reset, and may have run for all
-that anybody can tell. A call that may not run twice therefore uses a connection only if it has just been used; any
-other call may use every kept connection. A connection is watched while it rests: the kernel probes it every second,
-which ends one whose path has gone silent. That a probe was answered proves nothing more: what answers it is the kernel
-at the other end, or something on the way, and not the server that forgot the connection.
+A server may drop an idle connection without notice. The next request on it is then reset, and the client cannot tell
+whether it ran. A call that must not run twice therefore reuses a connection only if it was used a moment ago; any other
+call may reuse every kept connection. An idle connection is watched by TCP keep-alive: the kernel probes it every second
+and closes it when probes go unanswered. An answered probe is no proof that the server still knows the connection, since
+the answer comes from the other host's kernel or a middlebox.
 """
 
 import time
@@ -24,15 +24,15 @@
 from sumachook.host.effects import ConnectionReuse
 from sumachook.transport.tcp_timeouts import unwatch, watch
 
-# A connection that rests for so short a time was not forgotten yet.
+# A server is assumed not to have dropped a connection that was idle for no longer than this.
 JUST_USED = timedelta(seconds=0.25)
-# Before a server closes a connection that rests, by its own word, it is used no more: the close may be on its way.
+# A connection is not reused within this time before the server's announced idle timeout: its close may be in transit.
 CLOSE_MARGIN = timedelta(seconds=1)
-DEFAULT_MAX_KEPT = 8  # connections to one server
+DEFAULT_MAX_KEPT = 8  # idle connections per server
 
 
 class NewConnectionReason(StrEnum):
-    """Why a call got a new connection."""
+    """Reason why a call did not reuse a connection."""
 
     NONE_KEPT = "none kept"
     NOT_ALLOWED = "call may not reuse"
@@ -41,7 +41,7 @@
 
 
 class ClosedConnectionReason(StrEnum):
-    """Why a connection was not kept after a call."""
+    """Reason why a connection was closed after a call."""
 
     NOT_REUSABLE = "answer or server ends it"
     SHARE_USED = "no more may be kept"
@@ -49,9 +49,9 @@
 
 @dataclass(slots=True)
 class ConnectingCall:
-    """What a connector has to know of the call that asks it for a connection, and what it tells of it.
+    """A call that requests a connection: its reuse rules for the connector, and the connection that it got.
 
-    `on_connected` is given whether the connection carried an earlier call; it comes ahead of the first byte.
+    `on_connected` is called before the first byte is sent, with whether the connection carried an earlier call.
     """
 
     on_connected: Callable[[bool], None]
@@ -61,13 +61,13 @@
     protocol: "ServerProtocol | None" = None
 
     def may_use(self, rested: float) -> bool:
-        """Whether a kept connection that has rested for so many seconds may carry this call."""
+        """Whether this call may reuse a connection that was idle for the given number of seconds."""
         if self.reuse is ConnectionReuse.WHEN_ALIVE:
             return rested <= JUST_USED.total_seconds()
         return self.reuse is ConnectionReuse.ALWAYS
 
     def note_keep_alive(self, header: str) -> None:
-        """The server's `Keep-Alive` header: for how many seconds it keeps a connection that rests."""
+        """Stores the idle timeout that the server announces in its `Keep-Alive` header."""
         if self.protocol is not None and header:
             self.protocol.keep_alive_s = read_keep_alive(header)
 
@@ -76,7 +76,7 @@
 
 
 def read_keep_alive(header: str) -> float | None:
-    """For how many seconds a connection may rest, by the server's `Keep-Alive` header, or None where it says nothing.
+    """Returns the seconds that a connection may be idle by the `Keep-Alive` header, or None if it has no timeout.
 
     >>> read_keep_alive("timeout=5, max=100"), read_keep_alive("max=100"), read_keep_alive("timeout=x")
     (4.0, None, None)
@@ -89,22 +89,22 @@
 
 
 class ServerProtocol(ResponseHandler):
-    """A connection to a server; bytes that come while no call is under way on it belong to no call, and end it."""
+    """Connection to an upstream server; bytes received while no call uses it belong to no call and close it."""
 
     is_idle = False
     is_watched = False
-    keep_alive_s: float | None = None  # for how long it may rest, by the server's word
+    keep_alive_s: float | None = None  # idle timeout announced by the server
     max_kept = DEFAULT_MAX_KEPT
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes for the call under way."""
+        """Passes received bytes to the current call; aborts the connection if there is none."""
         if self.is_idle and data:
             self.abort()
             return
         super().data_received(data)
 
     def set_watched(self, is_watched: bool) -> None:
-        """Whether a path on which nothing is acknowledged ends the connection."""
+        """Switches the TCP timeouts that close the connection when the other host acknowledges nothing."""
         transport = self.transport
         if is_watched == self.is_watched or transport is None:
             return
@@ -114,15 +114,15 @@
             (watch if is_watched else unwatch)(connected)
 
     def has_expired(self, rested: float, default_s: float) -> bool:
-        """Whether it has rested for longer than its server keeps it, or than the default."""
+        """Whether the connection was idle for longer than its server or the default allows."""
         return rested > (default_s if self.keep_alive_s is None else min(default_s, self.keep_alive_s))
 
 
 class ServerConnector(aiohttp.TCPConnector):
-    """Keeps connections by server; `CURRENT_CALL` says which of them a call may use.
+    """Keeps idle connections per server; `CURRENT_CALL` determines which of them a call may reuse.
 
-    With `is_watching`, connections are watched while they rest and while a call that may use any of them is under way;
-    a call that may not be sent again is never ended by a path that went silent.
+    With `is_watching`, TCP timeouts are enabled on idle connections and during calls that may reuse any connection.
+    They are disabled during a call that must not be resent, so that an unresponsive network path never ends it.
     """
 
     def __init__(self, keep_alive: timedelta, is_watching: bool = False, **options: Any) -> None:
@@ -134,7 +134,7 @@
         self.reused_count = 0
 
     async def connect(self, req: aiohttp.ClientRequest, traces: Any, timeout: aiohttp.ClientTimeout) -> Connection:
-        """A kept connection that the call may use, or a new one."""
+        """Returns a kept connection that the call may reuse, or a new one."""
         call = CURRENT_CALL.get()
         connection = await super().connect(req, traces, timeout)
         protocol = call.protocol = cast(ServerProtocol, connection.protocol)
@@ -146,7 +146,7 @@
         return connection
 
     async def _get(self, key: Any, traces: Any) -> Connection | None:
-        """The kept connection that was used last, if the call may use it."""
+        """Returns the most recently used idle connection if the call may reuse it; closes expired ones."""
         call = CURRENT_CALL.get()
         reason = NewConnectionReason.NONE_KEPT
         kept = self._conns.get(key)
@@ -191,5 +191,5 @@
         protocol.is_idle = True
 
     def describe(self) -> dict[str, int]:
-        """How many calls used a kept connection, and why others did not, since the start."""
+        """Returns counts since the start: reused connections, and new or closed ones by reason."""
         return {"reused": self.reused_count, **{str(reason): count for reason, count in self.counts.items()}}
--- a/sumachook/transport/socket_buffers.py
+++ b/sumachook/transport/socket_buffers.py
@@ -1,4 +1,4 @@
-"""What the kernel holds for a socket."""
+"""Size of a socket's receive buffer in the kernel."""
 
 import fcntl
 import struct
@@ -9,15 +9,15 @@
 
 
 class HasFileDescriptor(Protocol):
-    """A socket, or what asyncio gives in its place."""
+    """A socket, or the wrapper that asyncio returns for one."""
 
     def fileno(self) -> int:
-        """The descriptor, -1 once it is closed."""
+        """Returns the file descriptor, or -1 once the socket is closed."""
         ...
 
 
 def unread_bytes(connected: HasFileDescriptor) -> int:
-    """How many bytes have come in that nobody has read; 0 for a socket that is closed, or whose kernel doesn't tell."""
+    """Returns how many received bytes are unread; 0 if the socket is closed or the kernel does not report it."""
     descriptor = connected.fileno()
     if descriptor < 0:
         return 0
--- a/sumachook/transport/streaming_client.py
+++ b/sumachook/transport/streaming_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client of an edge's forwarded requests: effects become requests, and what happens becomes events."""
+"""HTTP client for an edge's forwarded requests: sends `ForwardRequest` effects and emits events for their progress."""
 
 import re
 import socket
@@ -28,10 +28,10 @@
 
 KEEP_ALIVE = timedelta(seconds=8)
 MAX_BODY_BYTES = 16 << 20
-LAST_RESORT = timedelta(seconds=1)  # beyond the call's time-out, which the machine keeps itself
+LAST_RESORT = timedelta(seconds=1)  # added to the call's timeout, which the state machine enforces itself
 MAX_FIELD_BYTES = 32 << 10
 STATUSES_WITHOUT_BODY = (204, 304)
-# control characters, and bytes that are no UTF-8: they cannot be passed on as they came
+# control characters, and surrogates that stand for invalid UTF-8, cannot be forwarded unchanged
 UNSENDABLE = re.compile("[\\x00-\\x08\\x0a-\\x1f\\x7f\\ud800-\\udfff]")
 
 
@@ -41,9 +41,7 @@
 
 
 def _has_end(answer: aiohttp.ClientResponse) -> bool:
-    """Whether its end can be told from a cut: a body that only the connection's end closes may be any part of the
-    whole.
-    """
+    """Whether a complete body can be told from a truncated one: not if only the close of the connection ends it."""
     if answer.method == "HEAD" or answer.status in STATUSES_WITHOUT_BODY:
         return True
     codings = [coding.lower() for coding in answer.headers.getall("Transfer-Encoding", ())]
@@ -51,17 +49,17 @@
 
 
 def _is_passable(answer: aiohttp.ClientResponse) -> bool:
-    """Whether its head can be handed on as it is, with an end that shows."""
+    """Whether the head can be forwarded unchanged and, below status 300, the end of the body can be detected."""
     is_proper = not any(UNSENDABLE.search(name) or UNSENDABLE.search(value) for name, value in answer.headers.items())
     return is_proper and (answer.status >= 300 or _has_end(answer))
 
 
 class StreamingClient(HttpCaller):
-    """Runs each `ForwardRequest` in its own task and passes the answer on while it comes.
+    """Runs each `ForwardRequest` in its own task and emits the response as it arrives.
 
-    `ForwardRequest.reuse` says which kept connections a call may use. A path on which nothing is acknowledged ends a
-    call that may use any of them, since it can go on elsewhere, and no other: the silence of a server, or of the way to
-    it, is no reason to end an answer sooner.
+    `ForwardRequest.reuse` determines which kept connections a call may use. Only a call that may use any of them is
+    ended when TCP acknowledgements stop, since it can be retried on another server. For all others, an unresponsive
+    server or network path is no reason to end a response early.
     """
 
     __slots__ = ("connector",)
@@ -80,7 +78,7 @@
         return (self._session(self.connector, **options),)
 
     def forward(self, effect: ForwardRequest) -> None:
-        """Begins a call, or says at once that it cannot be made."""
+        """Starts a call; emits `CallFailed` at once if the client is not running."""
         if not self.is_open:
             self.on_event(CallFailed(effect.call_id, CallFailure.REFUSED))
             return
@@ -102,7 +100,7 @@
             allow_redirects=False,
         ) as answer:
             if not _is_passable(answer):
-                raise aiohttp.ClientPayloadError("a head that cannot be handed on")
+                raise aiohttp.ClientPayloadError("response head cannot be forwarded unchanged")
             call.note_keep_alive(answer.headers.get("Keep-Alive", ""))
             self.on_event(ResponseHeadReceived(call_id, answer.status, tuple(answer.headers.items())))
             await self._pass_body_on(call_id, answer)
@@ -113,5 +111,5 @@
         while chunk := await answer.content.readany():
             size += len(chunk)
             if size > MAX_BODY_BYTES:
-                raise aiohttp.ClientPayloadError("too long")
+                raise aiohttp.ClientPayloadError("response body exceeds MAX_BODY_BYTES")
             self.on_event(ResponseChunkReceived(call_id, chunk))
--- a/sumachook/transport/tcp_timeouts.py
+++ b/sumachook/transport/tcp_timeouts.py
@@ -1,16 +1,16 @@
-"""Connections on which a path that went silent shows soon."""
+"""TCP options that detect an unresponsive network path within seconds."""
 
 import socket
 from datetime import timedelta
 
 UNACKNOWLEDGED_TIMEOUT = timedelta(seconds=1)
-FIRST_PROBE_AFTER = timedelta(seconds=1)  # of rest; the kernel counts in whole seconds
+FIRST_PROBE_AFTER = timedelta(seconds=1)  # of idle time; the kernel counts whole seconds
 PROBE_INTERVAL = timedelta(seconds=1)
 MAX_UNANSWERED_PROBES = 2
 
 
 def set_probe_intervals(opened: socket.socket) -> socket.socket:
-    """Sets when keep-alive probes are sent once they are switched on; gives the socket back."""
+    """Sets the timing of keep-alive probes without enabling them; returns the socket."""
     options = (
         (socket.TCP_KEEPIDLE, int(FIRST_PROBE_AFTER.total_seconds())),
         (socket.TCP_KEEPINTVL, int(PROBE_INTERVAL.total_seconds())),
@@ -22,20 +22,23 @@
 
 
 def watch(connected: socket.socket, unacknowledged: timedelta = UNACKNOWLEDGED_TIMEOUT) -> None:
-    """Switches on keep-alive probes and the bound on unacknowledged bytes."""
+    """Enables keep-alive probes and the timeout of unacknowledged bytes."""
     milliseconds = int(unacknowledged.total_seconds() * 1000)
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
 
 
 def unwatch(connected: socket.socket) -> None:
-    """Takes back what `watch` did: silence does not end the connection."""
+    """Disables keep-alive probes and the timeout of unacknowledged bytes again."""
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 0)
 
 
 def set_tcp_timeouts(connected: socket.socket, unacked: timedelta = UNACKNOWLEDGED_TIMEOUT) -> socket.socket:
-    """Sets keep-alive probes and the bound on unacknowledged bytes, so that a partition shows within seconds."""
+    """Configures and enables keep-alive probes and the timeout of unacknowledged bytes; returns the socket.
+
+    A network partition then closes the connection within seconds.
+    """
     set_probe_intervals(connected)
     watch(connected, unacked)
     return connected
