--- a/harness/mutations/answers.py
+++ b/harness/mutations/answers.py
@@ -44,7 +44,7 @@
     Mutation(
         "MIXED",
         "a head that cannot be handed on unchanged is",
-        "return is_proper and (answer",
+        "return has_valid_headers and (answer",
         "return (answer",
         FORWARD,
         "answer_that_is_not_whole",
@@ -52,7 +52,7 @@
     Mutation(
         "MIXED",
         "a stream of unknown end is begun",
-        "(answer.status >= 300 or _has_end(answer))",
+        "(answer.status >= 300 or _has_delimited_body(answer))",
         "True",
         FORWARD,
         "answer_that_is_not_whole",
@@ -100,7 +100,7 @@
     Mutation(
         "MIXED",
         "an answer whose end cannot be told counts as whole",
-        "return ResponseEnded(call_id) if _has_end(answer) else CallFailed(call_id, CallFailure.RESET)",
+        "return ResponseEnded(call_id) if _has_delimited_body(answer) else CallFailed(call_id, CallFailure.RESET)",
         "return ResponseEnded(call_id)",
         FORWARD,
         "answer_that_is_not_whole",
@@ -124,7 +124,7 @@
     Mutation(
         "TWICE",
         "what may not run twice goes on a connection that its server may have forgotten unseen",
-        "return rested <= JUST_USED.total_seconds()",
+        "return idle_seconds <= MAX_SAFE_IDLE_TIME.total_seconds()",
         "return True",
         KEPT,
         "server_closed_is_no_loss",
@@ -132,8 +132,8 @@
     Mutation(
         "HELD",
         "a connection is used for longer than its server keeps it",
-        "return rested > (default_s if self.keep_alive_s is None else min(default_s, self.keep_alive_s))",
-        "return rested > default_s",
+        "return idle_seconds > (default_s if self.keep_alive_s is None else min(default_s, self.keep_alive_s))",
+        "return idle_seconds > default_s",
         KEPT,
         "no_longer_than_its_server_says",
     ),
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -30,7 +30,7 @@
     Mutation(
         "LOST",
         "idle connections stay when the front is shut",
-        "self._close_resting(resting, TURNS_LEFT_UNREAD)",
+        "self._close_idle(resting, LOOP_TURNS_BEFORE_CLOSE)",
         "pass",
         LEAVING,
         "in_hand_when_the_front",
@@ -38,7 +38,7 @@
     Mutation(
         "LOST",
         "the sweep closes a connection whose request lies unread",
-        "return ConnectionEnd.IDLE if self.may_be_ended else None",
+        "return ConnectionEnd.IDLE if self.may_be_closed else None",
         "return ConnectionEnd.IDLE",
         CONNECTION_ENDS,
         "unread_is_answered",
@@ -46,7 +46,7 @@
     Mutation(
         "LOST",
         "a shut front closes a connection whose request lies unread",
-        "if connection.may_be_ended]",
+        "if connection.may_be_closed]",
         "if connection.is_resting]",
         CONNECTION_ENDS,
         "unread_is_answered",
@@ -62,8 +62,8 @@
     Mutation(
         "LOST",
         "a shut front goes on reading what it will not answer",
-        "connection.pause()  # what",
-        "pass  # what",
+        "connection.pause()  # a request",
+        "pass  # a request",
         LEAVING,
         "after_the_front_was_shut",
     ),
@@ -151,7 +151,7 @@
     Mutation(
         "LOST",
         "idle time before an answer counts after it",
-        "        self.state = state\n        self.swept_since = None",
+        "        self.state = state\n        self.first_swept_at = None",
         "        self.state = state",
         HTTP_ADDRESS,
         "in_use",
@@ -240,7 +240,7 @@
     Mutation(
         "LIMITS",
         "half a head is given the idle time",
-        "now - self.head_since > limits.header_timeout",
+        "now - self.request_started_at > limits.header_timeout",
         "False",
         LIMITS,
         "header_time",
@@ -264,7 +264,7 @@
     Mutation(
         "LIMITS",
         "the library's own timer ends connections that rest",
-        '"keepalive_timeout": NEVER',
+        '"keepalive_timeout": NO_KEEP_ALIVE_TIMEOUT',
         '"keepalive_timeout": 15.0',
         LIMITS,
         "time_of_its_own",
--- a/sumachook/membership/gossip.py
+++ b/sumachook/membership/gossip.py
@@ -29,7 +29,7 @@
         """Queues an update about this node, whose state has changed, with its transmission count at zero."""
         self._transmissions[node] = 0
 
-    def note_heard(self, node: str) -> None:
+    def count_received(self, node: str) -> None:
         """Counts an update that arrived from another node as a transmission: fewer nodes still lack it."""
         if node in self._transmissions:
             self._transmissions[node] += 1
--- a/sumachook/membership/membership.py
+++ b/sumachook/membership/membership.py
@@ -57,17 +57,17 @@
 
     # docs/design.md, "Membership", lists these intervals and the detection time that results from them
     PING_INTERVAL = timedelta(seconds=0.3)
-    ACK_TIMEOUT = timedelta(seconds=0.25)  # after which other nodes are asked to ping the target too
-    SUSPECT_AFTER = ACK_TIMEOUT * 3  # without a direct or indirect acknowledgement
-    SUSPICION_TIMEOUT = timedelta(seconds=1.5)  # within which a suspect can refute the suspicion
+    ACK_TIMEOUT = timedelta(seconds=0.25)  # then other nodes are asked to ping the target too
+    SUSPECT_AFTER = ACK_TIMEOUT * 3  # a ping not acknowledged by then, directly or indirectly, makes its target suspect
+    SUSPICION_TIMEOUT = timedelta(seconds=1.5)  # a suspect that has not refuted the suspicion by then is marked gone
     SEED_INTERVAL = timedelta(seconds=2)
-    # Between two join requests of a node that has just started and knows no seed, and between two to unknown nodes that
-    # ping this one.
+    # Minimum time between two join requests of a node that has just started and knows no seed, and between two that are
+    # sent to unknown nodes which ping this one.
     JOIN_RETRY_INTERVAL = timedelta(seconds=0.3)
     MAX_COMPARISONS_SKIPPED = 4  # while updates are queued, views are compared once in this many seed intervals
     SEED_JITTER = (0.8, 1.2)  # factors of the interval; they spread the requests of nodes started together
     FORGET_AFTER = timedelta(minutes=10)  # how long a removed member stays listed
-    LATE_TICK = timedelta(seconds=0.8)  # a longer gap means that this process was paused, not that others were
+    PAUSE_THRESHOLD = timedelta(seconds=0.8)  # a longer gap between ticks means this process was paused, not the others
     INDIRECT_PING_COUNT = 3
 
     latest_feed_number = MonotonicValue("_latest_feed_number")  # highest change feed position reported by any node
@@ -117,11 +117,11 @@
         """Returns the other members that are alive or suspect, in the order in which they became known."""
         return [member for member in self.members.values() if member.status in LIVE_STATUSES]
 
-    # time -------------------------------------------------------------------
+    # timers -----------------------------------------------------------------
 
     def _handle_tick(self, tick: Tick, now: timedelta) -> list[Effect]:
         self.feed_number = tick.feed_number
-        self._note_pause(now)
+        self._detect_local_pause(now)
         effects = self._check_pings(now)
         effects += self._check_suspects(now)
         self.pings.drop_relayed_before(now - self.SUSPICION_TIMEOUT)
@@ -132,9 +132,9 @@
             effects += self._ask_one_seed(now) if self._is_joining(now) else self._compare_views(now)
         return effects
 
-    def _note_pause(self, now: timedelta) -> None:
+    def _detect_local_pause(self, now: timedelta) -> None:
         """Discards pending pings after a pause of this process, when missing answers are no evidence of a failure."""
-        if now - self._last_tick_at > self.LATE_TICK:
+        if now - self._last_tick_at > self.PAUSE_THRESHOLD:
             self._resumed_at = now
             self.pings.pending.clear()
         self._last_tick_at = now
@@ -243,7 +243,7 @@
     def _leave(self) -> list[Effect]:
         self.local_member.status = MemberStatus.LEFT
         self.gossip.add(self.local_member.node)
-        return [SendDatagram(member.address, self._introduction()) for member in self.live]
+        return [SendDatagram(member.address, self._self_announcement()) for member in self.live]
 
     # messages ---------------------------------------------------------------
 
@@ -282,9 +282,9 @@
         """
         effects: list[Effect] = []
         for update in message.updates:
-            is_stranger = update.node not in self.members and update.node != self.local_member.node
+            is_unknown = update.node not in self.members and update.node != self.local_member.node
             effects += self._apply(update, now)
-            if is_stranger:
+            if is_unknown:
                 self.gossip.remove(update.node)
         return effects
 
@@ -294,7 +294,7 @@
         if sender not in self.members and now >= self._next_introduction_at:
             self._next_introduction_at = now + self.JOIN_RETRY_INTERVAL
             effects.append(SendDatagram(address, self._join()))
-        self._note_clocks(sender, ping, now)
+        self._record_clocks(sender, ping, now)
         ack = PingAck(
             sequence=ping.sequence,
             updates=self._updates(self.members.get(sender)),
@@ -305,7 +305,7 @@
 
     def _on_ping_ack(self, sender: str, ack: PingAck, now: timedelta) -> list[Effect]:
         self.pings.acknowledge(ack.sequence, sender)
-        self._note_clocks(sender, ack, now)
+        self._record_clocks(sender, ack, now)
         return self._apply_all(ack.updates, now)
 
     def _on_indirect_ping_request(self, address: str, request: IndirectPingRequest, now: timedelta) -> list[Effect]:
@@ -323,11 +323,11 @@
         answer = IndirectPingAck(relayed.requester_sequence, self._updates())
         return [*effects, SendDatagram(relayed.requester_address, answer)]
 
-    def _note_clocks(self, sender: str, message: Ping | PingAck, now: timedelta) -> None:
+    def _record_clocks(self, sender: str, message: Ping | PingAck, now: timedelta) -> None:
         self.latest_feed_number = message.feed_number
         self.cluster_clock.record_vote(sender, message.wall_clock_ms, now)
 
-    # updates ----------------------------------------------------------------
+    # member updates ---------------------------------------------------------
 
     def _updates(self, target: Member | None = None) -> tuple[MemberUpdate, ...]:
         return self.gossip.next_updates(self.local_member, self.members, target)
@@ -335,7 +335,7 @@
     def _join(self) -> Join:
         return Join((self.local_member.to_update(),), self._digest())
 
-    def _introduction(self) -> Join:
+    def _self_announcement(self) -> Join:
         """Builds a join message without a digest, which announces this node's state."""
         return Join((self.local_member.to_update(),))
 
@@ -355,19 +355,19 @@
 
     def _apply(self, update: MemberUpdate, now: timedelta) -> list[Effect]:
         if update.node == self.local_member.node:
-            return self._check_own(update)
+            return self._refute_if_wrong(update)
         known = self.members.get(update.node)
         if known is None and update.status in REMOVED_STATUSES:
             return []
         if known is not None and not _is_newer(update, known):
             if not _is_older(update, known):
-                self.gossip.note_heard(update.node)
+                self.gossip.count_received(update.node)
             return []
         self.gossip.add(update.node)
         self.members[update.node] = Member(update, now)
         return [MemberChanged(update)]
 
-    def _check_own(self, update: MemberUpdate) -> list[Effect]:
+    def _refute_if_wrong(self, update: MemberUpdate) -> list[Effect]:
         """Refutes a suspicion of this node, or an update about an earlier run of it, by a higher incarnation."""
         local_member = self.local_member
         is_wrong = update.status != MemberStatus.ALIVE or update.restart_epoch != local_member.restart_epoch
--- a/sumachook/transport/client_connection.py
+++ b/sumachook/transport/client_connection.py
@@ -37,21 +37,22 @@
 class ClientConnection(RequestHandler):
     """Reads the requests of one client; input that is not valid HTTP gets an error response in JSON.
 
-    `head_since` is the event loop's time in seconds when the first byte of the incomplete request was read, None
-    without one; `idle_limit` is the idle timeout in seconds that the client knows; `swept_since` is when a sweep first
-    found the connection in its present state; `ended_by` is the reason, set as soon as this node closes the connection.
+    `request_started_at` is the event loop's time in seconds when the first byte of the incomplete request was read,
+    None without one; `idle_limit` is the idle timeout in seconds that the client knows; `first_swept_at` is when a
+    sweep first found the connection in its present state; `ended_by` is the reason of its close, set as soon as this
+    node closes it.
     """
 
-    __slots__ = ("state", "head_since", "idle_limit", "swept_since", "ended_by", "on_end")
+    __slots__ = ("state", "request_started_at", "idle_limit", "first_swept_at", "ended_by", "on_end")
 
     def __init__(
         self, manager: Any, on_end: Callable[["ClientConnection"], None], idle_limit: float, **options: Any
     ) -> None:
         super().__init__(manager, **options)
         self.state = ConnectionState.RESTING
-        self.head_since: float | None = None
+        self.request_started_at: float | None = None
         self.idle_limit = idle_limit
-        self.swept_since: float | None = None
+        self.first_swept_at: float | None = None
         self.ended_by: ConnectionEnd | None = None
         self.on_end = on_end
 
@@ -61,7 +62,7 @@
         return self.state is ConnectionState.RESTING
 
     @property
-    def may_be_ended(self) -> bool:
+    def may_be_closed(self) -> bool:
         """Whether the connection is idle and the kernel holds no unread bytes, as it can after a long loop iteration.
 
         A request that arrives later crosses the close on its way; it is not read, and its client may resend it.
@@ -81,8 +82,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Passes received bytes to the HTTP parser; the first ones mark the start of a request."""
-        if self.head_since is None:
-            self.head_since = self._loop.time()
+        if self.request_started_at is None:
+            self.request_started_at = self._loop.time()
         if self.is_resting:
             self._change_state(ConnectionState.READING)
         super().data_received(data)
@@ -97,20 +98,20 @@
         self._change_state(ConnectionState.SERVING)
         return True
 
-    def note_request_read(self) -> None:
+    def mark_request_read(self) -> None:
         """Records that the body is complete: bytes read from now on belong to another request."""
-        self.head_since = None
+        self.request_started_at = None
 
     def end_request(self, idle_limit: float) -> None:
         """Records that the response is written; the connection may then be idle for `idle_limit` seconds."""
         self.idle_limit = idle_limit
-        self._change_state(ConnectionState.RESTING if self.head_since is None else ConnectionState.READING)
+        self._change_state(ConnectionState.RESTING if self.request_started_at is None else ConnectionState.READING)
 
     def _change_state(self, state: ConnectionState) -> None:
         self.state = state
-        self.swept_since = None
+        self.first_swept_at = None
 
-    def reason_to_end(self, now: float, limits: ConnectionLimits) -> ConnectionEnd | None:
+    def close_reason(self, now: float, limits: ConnectionLimits) -> ConnectionEnd | None:
         """Returns why a sweep should close the connection (idle or reading a request for too long), or None.
 
         The idle timeout is the larger of the one in force when the connection became idle, which is the only one that
@@ -119,14 +120,14 @@
         """
         if self.state is ConnectionState.SERVING:
             return None
-        if self.swept_since is None:
-            self.swept_since = now
+        if self.first_swept_at is None:
+            self.first_swept_at = now
             return None
-        if now - self.swept_since > max(self.idle_limit, limits.idle_timeout):
+        if now - self.first_swept_at > max(self.idle_limit, limits.idle_timeout):
             if not self.is_resting:
                 return ConnectionEnd.SLOW_HEAD
-            return ConnectionEnd.IDLE if self.may_be_ended else None
-        if self.head_since is not None and now - self.head_since > limits.header_timeout:
+            return ConnectionEnd.IDLE if self.may_be_closed else None
+        if self.request_started_at is not None and now - self.request_started_at > limits.header_timeout:
             return ConnectionEnd.SLOW_HEAD
         return None
 
--- a/sumachook/transport/codec.py
+++ b/sumachook/transport/codec.py
@@ -19,34 +19,34 @@
 MAX_FRAME_BYTES = 4 << 20
 # One protocol object serves all frames: Thrift's C module reads only the length limits from it.
 _PROTOCOL = TBinaryProtocolAccelerated(TMemoryBuffer(), fallback=True)
-COMPRESSED, PLAIN, MIN_COMPRESSED_BYTES, MIN_CACHED_BYTES = b"z", b"p", 600, 8000
+COMPRESSED_MARKER, PLAIN_MARKER, MIN_COMPRESSED_BYTES, MIN_CACHED_BYTES = b"z", b"p", 600, 8000
 CONTAINERS = (list, dict)
-MAX_QUOTED = 40  # characters of a received value that an error message quotes
+MAX_QUOTED_CHARS = 40  # characters of a received value that an error message quotes
 
 
-def _struct(name: str, fields: Sequence[tuple[str, int, Any]]) -> Any:
+def _thrift_struct(name: str, fields: Sequence[tuple[str, int, Any]]) -> Any:
     """Creates a TBase class from (name, type, type argument) rows; its `thrift_spec` replaces generated code."""
     names = tuple(field[0] for field in fields)
-    spec = (None, *((place, kind, field, extra, None) for place, (field, kind, extra) in enumerate(fields, 1)))
+    spec = (None, *((field_id, kind, field, extra, None) for field_id, (field, kind, extra) in enumerate(fields, 1)))
 
-    def start(self: Any, *values: Any) -> None:
+    def set_fields(self: Any, *values: Any) -> None:
         """Sets the given fields; a struct that is created for decoding gets none."""
         for field, value in zip(names, values, strict=False):
             setattr(self, field, value)
 
-    made: Any = type(name, (TBase,), {"__slots__": names, "__init__": start, "thrift_spec": spec})
-    made.type_arguments = [made, spec]  # in the form that Thrift's C module expects
-    return made
+    struct_class: Any = type(name, (TBase,), {"__slots__": names, "__init__": set_fields, "thrift_spec": spec})
+    struct_class.type_arguments = [struct_class, spec]  # in the form that Thrift's C module expects
+    return struct_class
 
 
-MemberStruct = _struct(
+MemberStruct = _thrift_struct(
     "MemberStruct",
     [
         (field, *((TType.I64, None) if field in ("incarnation", "restart_epoch") else (TType.STRING, "UTF8")))
         for field in MemberUpdate._fields
     ],
 )
-_KINDS = {
+_THRIFT_TYPES = {
     "s": (TType.STRING, "UTF8"),
     "i": (TType.I64, None),
     "f": (TType.DOUBLE, None),
@@ -59,10 +59,10 @@
     "o": (TType.STRING, "BINARY"),
 }
 BODIES = {
-    kind: _struct("Body_" + kind, [(field, *_KINDS[letter]) for field, letter in fields])
+    kind: _thrift_struct("Body_" + kind, [(field, *_THRIFT_TYPES[letter]) for field, letter in fields])
     for kind, fields in FIELDS.items()
 }
-Frame = _struct(
+Frame = _thrift_struct(
     "Parcel",
     [
         ("cluster", TType.STRING, "UTF8"),
@@ -114,34 +114,34 @@
     >>> len(_compressed(raw)) < 100, _decompressed(_compressed(raw)) == raw, _compressed(b"[1]")
     (True, True, b'[1]')
     """
-    return COMPRESSED + zlib.compress(raw, 3) if len(raw) >= MIN_COMPRESSED_BYTES else raw
+    return COMPRESSED_MARKER + zlib.compress(raw, 3) if len(raw) >= MIN_COMPRESSED_BYTES else raw
 
 
 def _decompressed(raw: bytes) -> bytes:
-    if not raw.startswith(COMPRESSED):
+    if not raw.startswith(COMPRESSED_MARKER):
         return raw
     decompressor = zlib.decompressobj()
-    data = decompressor.decompress(raw[len(COMPRESSED) :], MAX_FRAME_BYTES)
+    data = decompressor.decompress(raw[len(COMPRESSED_MARKER) :], MAX_FRAME_BYTES)
     if decompressor.unconsumed_tail:
         raise ValueError("decompressed field exceeds MAX_FRAME_BYTES")
     return data
 
 
 def _with_marker(raw: bytes) -> bytes:
-    """Compresses long binary values. Since they may start with the marker byte, plain ones get a marker of their own.
+    """Compresses long binary values. Since they may start with its marker byte, plain ones get another marker.
 
     >>> [_without_marker(_with_marker(raw)) == raw for raw in (b"", b"z", b"z" * 5000)]
     [True, True, True]
     >>> len(_with_marker(b"z" * 5000)) < 100
     True
     """
-    return _compressed(raw) if len(raw) >= MIN_COMPRESSED_BYTES else PLAIN + raw
+    return _compressed(raw) if len(raw) >= MIN_COMPRESSED_BYTES else PLAIN_MARKER + raw
 
 
 def _without_marker(raw: bytes) -> bytes:
-    if raw.startswith(PLAIN):
-        return raw[len(PLAIN) :]
-    if not raw.startswith(COMPRESSED):
+    if raw.startswith(PLAIN_MARKER):
+        return raw[len(PLAIN_MARKER) :]
+    if not raw.startswith(COMPRESSED_MARKER):
         raise ValueError("binary field has no marker byte")
     return _decompressed(raw)
 
@@ -189,7 +189,7 @@
     )
 
 
-def _bytes_of(struct: Any) -> bytes:
+def _encode_struct(struct: Any) -> bytes:
     if _PROTOCOL._fast_encode is not None:
         return bytes(_PROTOCOL._fast_encode(struct, struct.type_arguments))
     buffer = TMemoryBuffer()
@@ -197,7 +197,7 @@
     return bytes(buffer.getvalue())
 
 
-def _fill(struct: Any, raw: bytes) -> Any:
+def _decode_into(struct: Any, raw: bytes) -> Any:
     """Decodes a struct in place; no string or list in it may declare a length beyond that of the input."""
     if _PROTOCOL._fast_decode is None:
         struct.read(TBinaryProtocolAccelerated(TMemoryBuffer(raw), len(raw), len(raw), fallback=True))
@@ -235,7 +235,9 @@
         body = BODIES[kind](
             *(_to_field(letter, value) for (_, letter), value in zip(FIELDS[kind], values, strict=True))
         )
-        return _bytes_of(Frame(self.cluster, self.sender, self.address, self.incarnation, kind, _bytes_of(body)))
+        return _encode_struct(
+            Frame(self.cluster, self.sender, self.address, self.incarnation, kind, _encode_struct(body))
+        )
 
 
 class ReceivedFrame(NamedTuple):
@@ -260,12 +262,12 @@
 
 
 def _read_frame(cluster: str, raw: bytes) -> ReceivedFrame:
-    frame = _fill(Frame(), raw)
+    frame = _decode_into(Frame(), raw)
     if frame.cluster != cluster:
-        raise UnreadableFrameError(FrameProblem.OTHER_CLUSTER, str(frame.cluster)[:MAX_QUOTED])
+        raise UnreadableFrameError(FrameProblem.OTHER_CLUSTER, str(frame.cluster)[:MAX_QUOTED_CHARS])
     if frame.kind not in BODIES:
-        raise UnreadableFrameError(FrameProblem.UNKNOWN_KIND, str(frame.kind)[:MAX_QUOTED])
-    body = _fill(BODIES[frame.kind](), frame.body)
+        raise UnreadableFrameError(FrameProblem.UNKNOWN_KIND, str(frame.kind)[:MAX_QUOTED_CHARS])
+    body = _decode_into(BODIES[frame.kind](), frame.body)
     values = [_from_field(letter, getattr(body, field, None)) for field, letter in FIELDS[frame.kind]]
     message_type = type_of(frame.kind)
     message = (frame.kind, *values) if message_type is None else message_type.from_values(values)
--- a/sumachook/transport/http_caller.py
+++ b/sumachook/transport/http_caller.py
@@ -69,11 +69,11 @@
         max_kept: int = DEFAULT_MAX_KEPT,
     ) -> ConnectingCall:
         """Sets the context variable from which the session's connector learns which connections this call may use."""
-        call = ConnectingCall(partial(self._note_sent, call_id), reuse, max_kept)
+        call = ConnectingCall(partial(self._record_sent, call_id), reuse, max_kept)
         CURRENT_CALL.set(call)
         return call
 
-    def _note_sent(self, call_id: CallId, is_reused: bool) -> None:
+    def _record_sent(self, call_id: CallId, is_reused: bool) -> None:
         """Records that the call has a connection: from now on the server may have run it."""
         self.sent.add(call_id)
         self.on_event(RequestSent(call_id, is_reused))
@@ -97,10 +97,10 @@
                 raise
             outcome = CallFailed(call_id, CallFailure.RESET)
         except Exception as error:
-            outcome = CallFailed(call_id, self._failure(call_id, error))
+            outcome = CallFailed(call_id, self._classify_failure(call_id, error))
         self.on_event(outcome)
 
-    def _failure(self, call_id: CallId, error: Exception) -> CallFailure:
+    def _classify_failure(self, call_id: CallId, error: Exception) -> CallFailure:
         """Classifies an error; one that occurred after the first byte is never reported as a connection failure."""
         if call_id not in self.sent:
             if isinstance(error, aiohttp.ConnectionTimeoutError):
--- a/sumachook/transport/http_client.py
+++ b/sumachook/transport/http_client.py
@@ -26,7 +26,7 @@
 
 MAX_BODY_BYTES = 8 << 20  # far above the size of the longest report of a model server
 KEEP_ALIVE = timedelta(seconds=5)
-EVENTS = "events"  # mode of a call whose response is a stream of server-sent events
+EVENT_STREAM_MODE = "events"  # mode of a call whose response is a stream of server-sent events
 LOOKUP, ORDER = "lookup", "provision"  # first elements of call ids
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with a timeout of 0, so that close() sends a reset
 
@@ -104,13 +104,13 @@
             allow_redirects=False,
         ) as answer:
             headers = {name.lower(): value for name, value in answer.headers.items()}
-            if effect.mode == EVENTS and headers.get("content-type", "").startswith("text/event-stream"):
+            if effect.mode == EVENT_STREAM_MODE and headers.get("content-type", "").startswith("text/event-stream"):
                 self.on_event(ResponseHeadReceived(call_id, answer.status, headers))
-                await self._pass_events_on(call_id, answer)
+                await self._forward_events(call_id, answer)
                 return ResponseEnded(call_id)
             return ResponseReceived(call_id, answer.status, headers, await _read_body(answer))
 
-    async def _pass_events_on(self, call_id: CallId, answer: aiohttp.ClientResponse) -> None:
+    async def _forward_events(self, call_id: CallId, answer: aiohttp.ClientResponse) -> None:
         parser = Parser()
         async for chunk in answer.content.iter_any():
             for event in parser.receive_bytes(chunk):
--- a/sumachook/transport/http_server.py
+++ b/sumachook/transport/http_server.py
@@ -25,8 +25,10 @@
 MAX_BODY_BYTES = 1 << 20
 MAX_UNSENT_BYTES = 1 << 20
 SHUTDOWN_TIMEOUT = timedelta(seconds=0.2)  # for requests in progress when the server is stopped
-TURNS_LEFT_UNREAD = 4  # loop iterations until idle connections are closed; bytes arriving meanwhile are reset unread
-ENDS_BY_CONNECTION = frozenset(
+LOOP_TURNS_BEFORE_CLOSE = (
+    4  # loop iterations until idle connections are closed; bytes arriving meanwhile are reset unread
+)
+SERVER_CLOSE_REASONS = frozenset(
     (ConnectionEnd.IDLE, ConnectionEnd.SLOW_HEAD, ConnectionEnd.LEAVING, ConnectionEnd.STOPPED)
 )
 LINGER_TIMEOUT, SWEEP_INTERVAL, IDLE_TIMEOUT = timedelta(seconds=1), timedelta(seconds=1), timedelta(seconds=15)
@@ -79,7 +81,7 @@
     ) -> None:
         self.address = address
         self.log = log
-        self.end_counts: Counter[ConnectionEnd] = Counter()  # closed connections by the reason of the close
+        self.end_counts: Counter[ConnectionEnd] = Counter()  # number of closed connections per reason
         self.on_event = on_event
         self.limits = replace(self.LIMITS, body_bytes=max_body_bytes) if max_body_bytes else self.LIMITS
         self.exchanges: dict[CallId, Exchange] = {}
@@ -92,7 +94,7 @@
         """Serves until cancelled; raises `OSError` if the address cannot be bound."""
         server = self.server = ConnectionFactory(
             self._serve,
-            self._note_end,
+            self._record_close,
             lambda: self.limits.idle_timeout,
             handler_cancellation=True,
             access_log=None,
@@ -115,7 +117,7 @@
             await asyncio.sleep(SWEEP_INTERVAL.total_seconds())
             self._sweep(asyncio.get_running_loop().time())
 
-    def _note_end(self, connection: ClientConnection) -> None:
+    def _record_close(self, connection: ClientConnection) -> None:
         """Counts a closed connection by reason; logs it if this node closed it with an unfinished or unread request.
 
         An aborted response is not logged here, since the request's own log line reports it. Bytes that arrive too late
@@ -123,7 +125,7 @@
         """
         ended_by = connection.ended_by or ConnectionEnd.CLIENT
         self.end_counts[ended_by] += 1
-        if self.log is None or ended_by not in ENDS_BY_CONNECTION:
+        if self.log is None or ended_by not in SERVER_CLOSE_REASONS:
             return
         unread = connection.unread_byte_count
         if not connection.is_resting:
@@ -139,7 +141,7 @@
         return {
             "by": str(ended_by),
             "state": connection.state.name.lower(),
-            "readFor": None if connection.head_since is None else round(now - connection.head_since, 4),
+            "readFor": None if connection.request_started_at is None else round(now - connection.request_started_at, 4),
             "idleLimit": connection.idle_limit,
             "unreadBytes": unread,
         }
@@ -147,7 +149,7 @@
     def _sweep(self, now: float) -> None:
         """Closes connections that exceed the idle timeout or the header timeout."""
         for connection in self.server.open_connections() if self.server else []:
-            reason = connection.reason_to_end(now, self.limits)
+            reason = connection.close_reason(now, self.limits)
             if reason is not None:
                 connection.end(reason)
 
@@ -160,15 +162,15 @@
             return
         self.is_stopping = True
         self.listener.close()
-        resting = [connection for connection in self.server.open_connections() if connection.may_be_ended]
+        resting = [connection for connection in self.server.open_connections() if connection.may_be_closed]
         for connection in resting:
             connection.pause()  # a request that arrives from now on stays unread; its client may resend it
-        self._close_resting(resting, TURNS_LEFT_UNREAD)
+        self._close_idle(resting, LOOP_TURNS_BEFORE_CLOSE)
 
-    def _close_resting(self, resting: list[ClientConnection], turns: int) -> None:
+    def _close_idle(self, resting: list[ClientConnection], turns: int) -> None:
         """Closes these paused connections after the given number of event loop iterations."""
         if turns:
-            asyncio.get_running_loop().call_soon(self._close_resting, resting, turns - 1)
+            asyncio.get_running_loop().call_soon(self._close_idle, resting, turns - 1)
             return
         for connection in resting:
             if connection.is_resting:
@@ -194,14 +196,14 @@
         is_direct = exchange.transport is not None
         unsent = exchange.transport.get_write_buffer_size() if exchange.transport else exchange.unsent_bytes
         if unsent + len(effect.data) > MAX_UNSENT_BYTES:
-            self._let_go(exchange, effect.call_id)
+            self._disconnect_slow_client(exchange, effect.call_id)
         elif is_direct:
             _write_chunk(exchange, effect.data)
         else:
             exchange.unsent_bytes += len(effect.data)
             exchange.effects.put_nowait(effect)
 
-    def _let_go(self, exchange: Exchange, call_id: CallId) -> None:
+    def _disconnect_slow_client(self, exchange: Exchange, call_id: CallId) -> None:
         """Aborts the response to a client that does not read it."""
         exchange.is_over = True
         exchange.transport = None
@@ -252,7 +254,7 @@
         if isinstance(body, Response):
             return body
         connection = cast(ClientConnection, request.protocol)
-        connection.note_request_read()
+        connection.mark_request_read()
         self.last_call_number += 1
         call_id, event = self._event_of(request, body)
         exchange = self.exchanges[call_id] = Exchange()
@@ -278,12 +280,12 @@
         effect = await exchange.effects.get()
         if isinstance(effect, Reply):
             headers = CIMultiDict(effect.headers)
-            return _closing_if_asked(Response(status=effect.status, headers=headers, body=effect.body))
+            return _close_if_requested(Response(status=effect.status, headers=headers, body=effect.body))
         if isinstance(effect, AbortResponse):
             self._abort(request)
         if not isinstance(effect, BeginResponse):
             raise TypeError(f"first response effect must be Reply, BeginResponse or AbortResponse, not {effect!r}")
-        answer = _closing_if_asked(StreamResponse(status=effect.status, headers=CIMultiDict(effect.headers)))
+        answer = _close_if_requested(StreamResponse(status=effect.status, headers=CIMultiDict(effect.headers)))
         answer.enable_chunked_encoding()
         try:
             return await self._stream(request, exchange, answer)
@@ -322,7 +324,7 @@
         transport.write(b"%x\r\n%b\r\n" % (len(data), data))
 
 
-def _closing_if_asked(answer: AnyResponse) -> AnyResponse:
+def _close_if_requested(answer: AnyResponse) -> AnyResponse:
     """Makes the response the last one on its connection if its headers say `Connection: close`."""
     if answer.headers.get("Connection", "").lower() == "close":
         answer.force_close()
--- a/sumachook/transport/node_transport.py
+++ b/sumachook/transport/node_transport.py
@@ -40,7 +40,7 @@
     def enqueue(self, raw: bytes) -> None:
         """Writes or queues one frame without blocking."""
         if self.transport is not None and not self.is_paused and not self.transport.is_closing():
-            self.transport.write(with_length(raw))
+            self.transport.write(with_length_prefix(raw))
             return
         if len(self.queue) >= MAX_QUEUED_FRAMES:
             self.queue.popleft()
@@ -90,7 +90,7 @@
 
     def _flush(self) -> None:
         while self.queue and self.transport is not None and not self.is_paused:
-            self.transport.write(with_length(self.queue.popleft()))
+            self.transport.write(with_length_prefix(self.queue.popleft()))
         if not self.queue:
             self.not_empty.clear()
 
@@ -143,10 +143,10 @@
             self.transport.abort()
 
 
-def with_length(raw: bytes) -> bytes:
+def with_length_prefix(raw: bytes) -> bytes:
     """Prefixes a frame with its length, as it is sent on a connection.
 
-    >>> with_length(b"abc")
+    >>> with_length_prefix(b"abc")
     b'\\x00\\x00\\x00\\x03abc'
     """
     return len(raw).to_bytes(LENGTH_PREFIX_BYTES, "big") + raw
@@ -168,7 +168,7 @@
         """Listens until cancelled; raises `OSError` if the address cannot be bound."""
         host, port = split_address(self.address)
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(self._receiver, host, port)
+        server = await loop.create_server(self._new_frame_receiver, host, port)
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
         self.transport = transport
         self.has_ended = False
@@ -201,12 +201,12 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Decodes a datagram from any sender."""
-        self._take(data)
+        self._receive_frame(data)
 
     def error_received(self, exc: Exception) -> None:
         """Ignores socket errors: pings that go unanswered reveal an unreachable member."""
 
-    def _take(self, raw: bytes) -> None:
+    def _receive_frame(self, raw: bytes) -> None:
         try:
             frame = read_frame(self.cluster, raw)
         except UnreadableFrameError:
@@ -214,5 +214,5 @@
             return
         self.on_event(MessageReceived(frame.sender, frame.address, frame.message))
 
-    def _receiver(self) -> FrameReceiver:
-        return FrameReceiver(self._take, lambda: self.on_event(UnreadableMessageReceived()))
+    def _new_frame_receiver(self) -> FrameReceiver:
+        return FrameReceiver(self._receive_frame, lambda: self.on_event(UnreadableMessageReceived()))
--- a/sumachook/transport/proxy_server.py
+++ b/sumachook/transport/proxy_server.py
@@ -11,7 +11,7 @@
 from sumachook.transport.streaming_client import UNSENDABLE
 
 MAX_FIELD_BYTES = 1 << 20  # limit of the HTTP parser; the configured limits are lower
-NEVER = 1e6  # seconds; the sweep closes idle connections instead, by limits that may change at run time
+NO_KEEP_ALIVE_TIMEOUT = 1e6  # seconds; the sweep closes idle connections instead, by limits that may change at run time
 
 
 def _reason_not_forwardable(request: BaseRequest) -> str:
@@ -35,7 +35,7 @@
     __slots__ = ()
     OPTIONS = {
         "auto_decompress": False,
-        "keepalive_timeout": NEVER,
+        "keepalive_timeout": NO_KEEP_ALIVE_TIMEOUT,
         "max_line_size": MAX_FIELD_BYTES,
         "max_field_size": MAX_FIELD_BYTES,
         "max_headers": 1000,
--- a/sumachook/transport/server_connector.py
+++ b/sumachook/transport/server_connector.py
@@ -22,10 +22,10 @@
 from aiohttp.connector import Connection
 
 from sumachook.host.effects import ConnectionReuse
-from sumachook.transport.tcp_timeouts import unwatch, watch
+from sumachook.transport.tcp_timeouts import disable_tcp_timeouts, enable_tcp_timeouts
 
 # A server is assumed not to have dropped a connection that was idle for no longer than this.
-JUST_USED = timedelta(seconds=0.25)
+MAX_SAFE_IDLE_TIME = timedelta(seconds=0.25)
 # A connection is not reused within this time before the server's announced idle timeout: its close may be in transit.
 CLOSE_MARGIN = timedelta(seconds=1)
 DEFAULT_MAX_KEPT = 8  # idle connections per server
@@ -36,7 +36,7 @@
 
     NONE_KEPT = "none kept"
     NOT_ALLOWED = "call may not reuse"
-    UNSURE = "rested too long to be sure"
+    IDLE_TOO_LONG = "rested too long to be sure"
     EXPIRED = "rested longer than the server allows"
 
 
@@ -44,7 +44,7 @@
     """Reason why a connection was closed after a call."""
 
     NOT_REUSABLE = "answer or server ends it"
-    SHARE_USED = "no more may be kept"
+    LIMIT_REACHED = "no more may be kept"
 
 
 @dataclass(slots=True)
@@ -60,10 +60,10 @@
     is_reused: bool = False
     protocol: "ServerProtocol | None" = None
 
-    def may_use(self, rested: float) -> bool:
+    def may_use(self, idle_seconds: float) -> bool:
         """Whether this call may reuse a connection that was idle for the given number of seconds."""
         if self.reuse is ConnectionReuse.WHEN_ALIVE:
-            return rested <= JUST_USED.total_seconds()
+            return idle_seconds <= MAX_SAFE_IDLE_TIME.total_seconds()
         return self.reuse is ConnectionReuse.ALWAYS
 
     def note_keep_alive(self, header: str) -> None:
@@ -111,11 +111,11 @@
         self.is_watched = is_watched
         connected = transport.get_extra_info("socket")
         if connected is not None:
-            (watch if is_watched else unwatch)(connected)
+            (enable_tcp_timeouts if is_watched else disable_tcp_timeouts)(connected)
 
-    def has_expired(self, rested: float, default_s: float) -> bool:
+    def has_expired(self, idle_seconds: float, default_s: float) -> bool:
         """Whether the connection was idle for longer than its server or the default allows."""
-        return rested > (default_s if self.keep_alive_s is None else min(default_s, self.keep_alive_s))
+        return idle_seconds > (default_s if self.keep_alive_s is None else min(default_s, self.keep_alive_s))
 
 
 class ServerConnector(aiohttp.TCPConnector):
@@ -153,22 +153,22 @@
         now = time.monotonic()
         while kept:
             protocol, released_at = kept[-1]
-            rested = now - released_at
-            is_expired = cast(ServerProtocol, protocol).has_expired(rested, self.default_keep_alive_s)
+            idle_seconds = now - released_at
+            is_expired = cast(ServerProtocol, protocol).has_expired(idle_seconds, self.default_keep_alive_s)
             if is_expired or not protocol.is_connected():
                 reason = NewConnectionReason.EXPIRED if is_expired else NewConnectionReason.NONE_KEPT
                 kept.pop()
                 protocol.close()
                 continue
-            if call.may_use(rested):
+            if call.may_use(idle_seconds):
                 kept.pop()
                 self._acquired.add(protocol)
                 call.is_reused = True
                 self.reused_count += 1
                 self._forget_empty(key)
                 return Connection(self, key, protocol, self._loop)
-            is_barred = call.reuse is ConnectionReuse.NEVER
-            reason = NewConnectionReason.NOT_ALLOWED if is_barred else NewConnectionReason.UNSURE
+            is_reuse_forbidden = call.reuse is ConnectionReuse.NEVER
+            reason = NewConnectionReason.NOT_ALLOWED if is_reuse_forbidden else NewConnectionReason.IDLE_TOO_LONG
             break
         self._forget_empty(key)
         self.counts[reason] += 1
@@ -183,7 +183,7 @@
         if is_ending:
             self.counts[ClosedConnectionReason.NOT_REUSABLE] += 1
         elif len(self._conns.get(key, ())) >= protocol.max_kept:
-            self.counts[ClosedConnectionReason.SHARE_USED] += 1
+            self.counts[ClosedConnectionReason.LIMIT_REACHED] += 1
             is_ending = True
         elif self.is_watching:
             protocol.set_watched(True)
--- a/sumachook/transport/streaming_client.py
+++ b/sumachook/transport/streaming_client.py
@@ -28,19 +28,19 @@
 
 KEEP_ALIVE = timedelta(seconds=8)
 MAX_BODY_BYTES = 16 << 20
-LAST_RESORT = timedelta(seconds=1)  # added to the call's timeout, which the state machine enforces itself
+TIMEOUT_MARGIN = timedelta(seconds=1)  # added to the call's timeout, which the state machine enforces itself
 MAX_FIELD_BYTES = 32 << 10
 STATUSES_WITHOUT_BODY = (204, 304)
 # control characters, and surrogates that stand for invalid UTF-8, cannot be forwarded unchanged
 UNSENDABLE = re.compile("[\\x00-\\x08\\x0a-\\x1f\\x7f\\ud800-\\udfff]")
 
 
-def _probed_socket(found: Any) -> socket.socket:
-    family, kind, proto, *_ = found
+def _socket_with_probes(address_info: Any) -> socket.socket:
+    family, kind, proto, *_ = address_info
     return set_probe_intervals(socket.socket(family, kind, proto))
 
 
-def _has_end(answer: aiohttp.ClientResponse) -> bool:
+def _has_delimited_body(answer: aiohttp.ClientResponse) -> bool:
     """Whether a complete body can be told from a truncated one: not if only the close of the connection ends it."""
     if answer.method == "HEAD" or answer.status in STATUSES_WITHOUT_BODY:
         return True
@@ -48,10 +48,12 @@
     return codings == ["chunked"] if codings else "Content-Length" in answer.headers
 
 
-def _is_passable(answer: aiohttp.ClientResponse) -> bool:
+def _is_forwardable(answer: aiohttp.ClientResponse) -> bool:
     """Whether the head can be forwarded unchanged and, below status 300, the end of the body can be detected."""
-    is_proper = not any(UNSENDABLE.search(name) or UNSENDABLE.search(value) for name, value in answer.headers.items())
-    return is_proper and (answer.status >= 300 or _has_end(answer))
+    has_valid_headers = not any(
+        UNSENDABLE.search(name) or UNSENDABLE.search(value) for name, value in answer.headers.items()
+    )
+    return has_valid_headers and (answer.status >= 300 or _has_delimited_body(answer))
 
 
 class StreamingClient(HttpCaller):
@@ -69,7 +71,7 @@
         self.connector: ServerConnector | None = None
 
     def _open_sessions(self) -> tuple[aiohttp.ClientSession, ...]:
-        self.connector = ServerConnector(KEEP_ALIVE, is_watching=True, socket_factory=_probed_socket)
+        self.connector = ServerConnector(KEEP_ALIVE, is_watching=True, socket_factory=_socket_with_probes)
         options: dict[str, Any] = {
             "max_line_size": MAX_FIELD_BYTES,
             "max_field_size": MAX_FIELD_BYTES,
@@ -87,7 +89,7 @@
     async def _forward(self, effect: ForwardRequest) -> CallEvent:
         call_id = effect.call_id
         timeout = aiohttp.ClientTimeout(
-            total=(effect.total_timeout + LAST_RESORT).total_seconds(),
+            total=(effect.total_timeout + TIMEOUT_MARGIN).total_seconds(),
             sock_connect=effect.connect_timeout.total_seconds(),
         )
         call = self._begin_connecting(call_id, effect.reuse, effect.max_kept_connections)
@@ -99,14 +101,14 @@
             timeout=timeout,
             allow_redirects=False,
         ) as answer:
-            if not _is_passable(answer):
+            if not _is_forwardable(answer):
                 raise aiohttp.ClientPayloadError("response head cannot be forwarded unchanged")
             call.note_keep_alive(answer.headers.get("Keep-Alive", ""))
             self.on_event(ResponseHeadReceived(call_id, answer.status, tuple(answer.headers.items())))
-            await self._pass_body_on(call_id, answer)
-        return ResponseEnded(call_id) if _has_end(answer) else CallFailed(call_id, CallFailure.RESET)
+            await self._forward_body(call_id, answer)
+        return ResponseEnded(call_id) if _has_delimited_body(answer) else CallFailed(call_id, CallFailure.RESET)
 
-    async def _pass_body_on(self, call_id: CallId, answer: aiohttp.ClientResponse) -> None:
+    async def _forward_body(self, call_id: CallId, answer: aiohttp.ClientResponse) -> None:
         size = 0
         while chunk := await answer.content.readany():
             size += len(chunk)
--- a/sumachook/transport/tcp_timeouts.py
+++ b/sumachook/transport/tcp_timeouts.py
@@ -21,24 +21,24 @@
     return opened
 
 
-def watch(connected: socket.socket, unacknowledged: timedelta = UNACKNOWLEDGED_TIMEOUT) -> None:
+def enable_tcp_timeouts(connected: socket.socket, unacknowledged: timedelta = UNACKNOWLEDGED_TIMEOUT) -> None:
     """Enables keep-alive probes and the timeout of unacknowledged bytes."""
     milliseconds = int(unacknowledged.total_seconds() * 1000)
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
 
 
-def unwatch(connected: socket.socket) -> None:
+def disable_tcp_timeouts(connected: socket.socket) -> None:
     """Disables keep-alive probes and the timeout of unacknowledged bytes again."""
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 0)
 
 
-def set_tcp_timeouts(connected: socket.socket, unacked: timedelta = UNACKNOWLEDGED_TIMEOUT) -> socket.socket:
+def set_tcp_timeouts(connected: socket.socket, user_timeout: timedelta = UNACKNOWLEDGED_TIMEOUT) -> socket.socket:
     """Configures and enables keep-alive probes and the timeout of unacknowledged bytes; returns the socket.
 
     A network partition then closes the connection within seconds.
     """
     set_probe_intervals(connected)
-    watch(connected, unacked)
+    enable_tcp_timeouts(connected, user_timeout)
     return connected
--- a/tests/membership/test_view_comparison.py
+++ b/tests/membership/test_view_comparison.py
@@ -13,7 +13,7 @@
 from sumachook.membership.member import Member, MemberStatus, MemberUpdate
 from sumachook.membership.membership import Membership
 from sumachook.membership.messages import Join, MemberList, Ping, ViewDifference
-from sumachook.membership.view_digest import BUCKETS, bucket_of, differing_buckets, digest_of
+from sumachook.membership.view_digest import BUCKET_COUNT, bucket_of, differing_buckets, digest_of
 from sumachook.runtime.cluster_clock import UNIX_EPOCH, ClusterClock
 from sumachook.transport.codec import Codec, read_frame
 
@@ -249,4 +249,4 @@
 
     quiet, busy = comparisons(has_news=False), comparisons(has_news=True)
     assert 8 <= quiet <= 13 and 1 <= busy <= quiet / 3
-    assert BUCKETS * 4 == len(node("a")._digest())
+    assert BUCKET_COUNT * 4 == len(node("a")._digest())
--- a/tests/nodes/test_edge_shutdown.py
+++ b/tests/nodes/test_edge_shutdown.py
@@ -18,7 +18,7 @@
 from sumachook.nodes.edge_shutdown import FINAL_ANSWERS_BEFORE_END, MAX_OPEN_FRACTION, MIN_OPEN_TIME, QUIET_TIME
 from sumachook.runtime.clock import Clock
 from sumachook.transport.addresses import split_address
-from sumachook.transport.http_server import TURNS_LEFT_UNREAD
+from sumachook.transport.http_server import LOOP_TURNS_BEFORE_CLOSE
 from sumachook.transport.node_transport import NodeTransport
 from tests.forwarding.forwarding_fixtures import FixedTrust, catalogue, route, server
 from tests.short_forms import event_of, tuple_of_effect
@@ -381,7 +381,7 @@
         assert status not in (200, 503) or b"connection: close" in top.lower()
 
 
-@pytest.mark.parametrize("turns", range(TURNS_LEFT_UNREAD))
+@pytest.mark.parametrize("turns", range(LOOP_TURNS_BEFORE_CLOSE))
 def test_a_request_that_comes_just_after_the_front_was_shut_is_left_unread(turns):
     """Given requests that come on idle connections in the turns between the shutting of the front and their closing, none is read."""
 
--- a/tests/transport/test_connection_ends.py
+++ b/tests/transport/test_connection_ends.py
@@ -42,7 +42,9 @@
 def sweep_slow_heads(front):
     """The first bytes of the request came a header's time ago."""
     for connection in front.server.connections:
-        connection.head_since = connection.head_since and connection.head_since - front.limits.header_timeout - 1.0
+        connection.request_started_at = (
+            connection.request_started_at and connection.request_started_at - front.limits.header_timeout - 1.0
+        )
     front._sweep(asyncio.get_running_loop().time())
 
 
--- a/tests/transport/test_http_client.py
+++ b/tests/transport/test_http_client.py
@@ -123,9 +123,9 @@
     http_client = HttpClient(lambda message: None)
     for error, failure in errors.items():
         http_client.sent.clear()
-        assert http_client._failure(order(1), error) is failure
+        assert http_client._classify_failure(order(1), error) is failure
         http_client.sent.add(order(1))
-        assert not http_client._failure(order(1), error).was_before_first_byte
+        assert not http_client._classify_failure(order(1), error).was_before_first_byte
 
 
 def test_orders_and_reports_never_share_a_connection_and_each_keep_their_own():
