--- a/harness/mutations/answers.py
+++ b/harness/mutations/answers.py
@@ -31,7 +31,7 @@
         "if not has_id or status < 200:",
         "if status < 200:",
         FORWARD,
-        "answer_that_is_not_whole",
+        "incomplete_response",
     ),
     Mutation(
         "MIXED",
@@ -39,7 +39,7 @@
         "if not has_id or status < 200:",
         "if not has_id:",
         FORWARD,
-        "answer_that_is_not_whole",
+        "incomplete_response",
     ),
     Mutation(
         "MIXED",
@@ -47,7 +47,7 @@
         "return has_valid_headers and (answer",
         "return (answer",
         FORWARD,
-        "answer_that_is_not_whole",
+        "incomplete_response",
     ),
     Mutation(
         "MIXED",
@@ -55,7 +55,7 @@
         "(answer.status >= 300 or _has_delimited_body(answer))",
         "True",
         FORWARD,
-        "answer_that_is_not_whole",
+        "incomplete_response",
     ),
     Mutation(
         "MIXED",
@@ -103,7 +103,7 @@
         "return ResponseEnded(call_id) if _has_delimited_body(answer) else CallFailed(call_id, CallFailure.RESET)",
         "return ResponseEnded(call_id)",
         FORWARD,
-        "answer_that_is_not_whole",
+        "incomplete_response",
     ),
     Mutation(
         "MIXED",
@@ -111,7 +111,7 @@
         "auto_decompress=False",
         "auto_decompress=True",
         FORWARD,
-        "packed_body",
+        "compressed_error_body",
     ),
     Mutation(
         "MIXED",
@@ -119,7 +119,7 @@
         "return ConnectionReuse.ALWAYS if request.is_repeatable else ConnectionReuse.WHEN_ALIVE",
         "return ConnectionReuse.ALWAYS",
         KEPT,
-        "closed or surplus or second_answer",
+        "closed or surplus or second_response",
     ),
     Mutation(
         "TWICE",
@@ -127,7 +127,7 @@
         "return idle_seconds <= MAX_SAFE_IDLE_TIME.total_seconds()",
         "return True",
         KEPT,
-        "server_closed_is_no_loss",
+        "closed_by_the_server",
     ),
     Mutation(
         "HELD",
@@ -135,7 +135,7 @@
         "return idle_seconds > (default_s if self.keep_alive_s is None else min(default_s, self.keep_alive_s))",
         "return idle_seconds > default_s",
         KEPT,
-        "no_longer_than_its_server_says",
+        "keep_alive_timeout_of_the_server",
     ),
     Mutation(
         "HELD",
@@ -143,7 +143,7 @@
         "elif len(self._conns.get(key, ())) >= protocol.max_kept:",
         "elif False:",
         KEPT,
-        "no_more_are_kept",
+        "connection_limit",
     ),
     Mutation(
         "TWICE",
@@ -167,7 +167,7 @@
         "session._retry_connection = False",
         "pass",
         FORWARD,
-        "machine_did_not_send",
+        "only_the_state_machine",
     ),
     Mutation(
         "TWICE",
@@ -191,7 +191,7 @@
         "is_marked and status in REFUSING_STATUSES",
         "is_marked",
         FORWARD,
-        "success_that_says",
+        "mark_on_a_success",
     ),
     Mutation(
         "REFUSED",
@@ -263,7 +263,7 @@
         "            else:\n                self._abort(request)",
         "            else:\n                await answer.write_eof()\n                return answer",
         FORWARD,
-        "never_looks_whole",
+        "never_looks_complete",
     ),
     Mutation(
         "ORDER",
--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -189,7 +189,7 @@
         "        updates = self._updates_of(differing_buckets(self._digest(), join.digest))",
         '        updates = self._updates_of(differing_buckets(self._digest(), b""))',
         VIEWS,
-        "nothing_to_tell or told_of_few",
+        "views_are_equal or only_the_bucket",
     ),
     Mutation(
         5,
@@ -197,7 +197,7 @@
         "        if any(update.status in REMOVED_STATUSES for update in join.updates):",
         "        if False:",
         VIEWS,
-        "leaves_is_told_nothing",
+        "leaving_node_gets_no_answer",
     ),
     Mutation(
         5,
@@ -206,7 +206,7 @@
         "        return tuple(\n            member.to_update()\n            for member in members\n"
         "            if bucket_of(member.node) in buckets and member.status in LIVE_STATUSES\n        )",
         VIEWS,
-        "both_object",
+        "both_refute",
     ),
     Mutation(
         5,
@@ -214,7 +214,7 @@
         "                self.gossip.remove(update.node)",
         "                pass",
         VIEWS,
-        "not_told_on",
+        "not_gossiped",
     ),
     Mutation(
         5,
@@ -222,7 +222,7 @@
         "update.node not in self.members and update.node != self.local_member.node",
         "update.node not in self.members",
         VIEWS,
-        "objection_to_what",
+        "refutation_of",
     ),
     Mutation(
         5,
@@ -230,7 +230,7 @@
         "            if not _is_older(update, known):\n",
         "            if True:\n",
         VIEWS,
-        "do_not_know_the_news",
+        "outdated_updates",
     ),
     Mutation(
         5,
@@ -238,7 +238,7 @@
         "        if member.status in LIVE_STATUSES:\n            bucket",
         "        if True:\n            bucket",
         VIEWS,
-        "never_knew_them",
+        "removed_members",
     ),
     Mutation(
         5,
@@ -246,7 +246,7 @@
         "            self._next_introduction_at = now + self.JOIN_RETRY_INTERVAL\n",
         "",
         VIEWS,
-        "few_joins",
+        "trigger_one_join",
     ),
     Mutation(
         5,
@@ -254,7 +254,7 @@
         "        if len(self.gossip) and self._comparisons_skipped < self.MAX_COMPARISONS_SKIPPED:",
         "        if len(self.gossip):",
         VIEWS,
-        "seldom_while_there_is_news",
+        "less_often_while",
     ),
     Mutation(
         0,
--- a/harness/mutations/placement.py
+++ b/harness/mutations/placement.py
@@ -204,7 +204,7 @@
         "opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)",
         "pass",
         "tests/transport/test_http_client.py",
-        "given_up",
+        "timed_out_order",
     ),
     Mutation(
         "ONE",
--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -59,7 +59,7 @@
         'request.method == "CONNECT"\n        or "#" in request.raw_path\n        or ',
         "False and ",
         FORWARD,
-        "cannot_go_through",
+        "cannot_be_forwarded",
     ),
     Mutation(
         "ROUTE",
@@ -67,7 +67,7 @@
         "if any(UNSENDABLE.search(value) for value in request.headers.values()):",
         "if False:",
         FORWARD,
-        "cannot_go_through",
+        "cannot_be_forwarded",
     ),
     Mutation(
         "ROUTE",
@@ -75,7 +75,7 @@
         '"chunked").lower() != "chunked":',
         '"chunked").lower() == "":',
         FORWARD,
-        "cannot_go_through",
+        "cannot_be_forwarded",
     ),
     Mutation(
         "DRAIN",
@@ -264,7 +264,7 @@
         "protocol.set_watched(call.reuse is ConnectionReuse.ALWAYS)",
         "protocol.set_watched(True)",
         KEPT,
-        "silence_of_a_path",
+        "tcp_timeouts_apply",
         file="transport/server_connector.py",
     ),
     Mutation(
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -17,7 +17,7 @@
         "        if self.ended_by is not None:\n            return False\n",
         "",
         CONNECTION_ENDS,
-        "closed_here",
+        "closed_by_this_node",
     ),
     Mutation(
         "LOST",
@@ -41,7 +41,7 @@
         "return ConnectionEnd.IDLE if self.may_be_closed else None",
         "return ConnectionEnd.IDLE",
         CONNECTION_ENDS,
-        "unread_is_answered",
+        "unread_in_the_kernel",
     ),
     Mutation(
         "LOST",
@@ -49,7 +49,7 @@
         "if connection.may_be_closed]",
         "if connection.is_resting]",
         CONNECTION_ENDS,
-        "unread_is_answered",
+        "unread_in_the_kernel",
     ),
     Mutation(
         "LOST",
@@ -57,7 +57,7 @@
         "            self._change_state(ConnectionState.READING)\n        super()",
         "            pass\n        super()",
         CONNECTION_ENDS,
-        "passed_on",
+        "not_forwarded",
     ),
     Mutation(
         "LOST",
@@ -138,7 +138,7 @@
         "            if not self.is_resting:\n                return ConnectionEnd.SLOW_HEAD\n",
         "            if not self.is_resting:\n                return None\n",
         HTTP_ADDRESS,
-        "whole_head",
+        "complete_head",
     ),
     Mutation(
         "LOST",
@@ -195,7 +195,7 @@
         "            if call_id not in self.tasks:\n                raise\n",
         "            raise\n",
         "tests/transport/test_http_client.py",
-        "under_way",
+        "running_calls",
     ),
     Mutation(
         "LOST",
@@ -203,7 +203,7 @@
         "            if connection.is_resting:\n                connection.end(ConnectionEnd.LEAVING)\n            else:",
         "            if True:\n                connection.end(ConnectionEnd.LEAVING)\n            else:",
         CONNECTION_ENDS,
-        "read_together",
+        "pipelined",
     ),
     Mutation(
         "LOST",
@@ -211,7 +211,7 @@
         "        self.idle_limit = idle_limit\n        self._change_state",
         "        self.idle_limit = 0.0\n        self._change_state",
         LIMITS,
-        "began_to_rest",
+        "already_idle",
     ),
     Mutation(
         "LOST",
@@ -235,7 +235,7 @@
         "async with asyncio.timeout(self.limits.idle_timeout):",
         "async with asyncio.timeout(None):",
         LIMITS,
-        "half_a_body",
+        "stalled_body",
     ),
     Mutation(
         "LIMITS",
@@ -267,7 +267,7 @@
         '"keepalive_timeout": NO_KEEP_ALIVE_TIMEOUT',
         '"keepalive_timeout": 15.0',
         LIMITS,
-        "time_of_its_own",
+        "keep_alive_timeout_is_disabled",
     ),
     Mutation(
         "LIMITS",
@@ -275,7 +275,7 @@
         "return [ApplyClientLimits(catalogue.limits)]",
         "return []",
         LIMITS,
-        "tells_its_front",
+        "applies_client_limits",
     ),
     Mutation(
         "PARKED",
--- a/tests/compatibility/stored_fleet.py
+++ b/tests/compatibility/stored_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in memory that starts from the committed data folders."""
+"""A simulated cluster that starts from the committed data folders of an earlier version."""
 
 import json
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 def small_spec() -> DeploymentSpec:
-    """Košice with three of its models, so that the stored files stay small."""
+    """Returns the deployment of Košice with three of its models, so that the stored files stay small."""
     small = spec()
     catalogue = small.catalogue
     models = [model for model in catalogue["models"] if model["name"] in MODELS]
@@ -29,12 +29,12 @@
 
 
 def folder_of(node: str) -> Path:
-    """Where the committed files of a node lie."""
+    """Returns the folder with the committed files of a node."""
     return STORED / node.split("-")[0] / node
 
 
 def expected(node: str) -> dict:
-    """What a reader finds in a node's folder: {"records": {file: records}, "state": image}."""
+    """Returns the expected content of a node's folder: {"records": {file: records}, "state": image}."""
     *lines, (_, state) = read_lines(f"expected-{node}.jsonl")
     records: dict[str, list] = {}
     for file, record in lines:
@@ -43,17 +43,17 @@
 
 
 def read_lines(name: str) -> list:
-    """The values of a committed file, one a line."""
+    """Returns the JSON values of a committed file, one per line."""
     return [json.loads(line) for line in (STORED / name).read_text().splitlines()]
 
 
 def plain(value):
-    """The value as JSON has it: lists for tuples."""
+    """Returns the value after a JSON round trip, with lists for tuples."""
     return json.loads(msgspec.json.encode(value))
 
 
 def snapshot_after(restored) -> dict:
-    """The image of the state that a log's snapshot and the entries after it give."""
+    """Returns the image of the state after replaying a log's snapshot and the entries after it."""
     log, state = restored.log, State()
     if log.snapshot.number:
         state.restore(read_entry(log.snapshot.state))
@@ -63,7 +63,7 @@
 
 
 def stored_fleet(seed: int) -> Deployment:
-    """Three cores and one edge, each on the files that an earlier version wrote."""
+    """Starts three cores and one edge, each on the files that an earlier version wrote."""
     deployment = Deployment(small_spec(), seed, edges=1, data="data")
     for node in NODES:
         deployment.kill(node, writes_kept=0)
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data folders of an earlier version are read, answered from and written on by this one."""
+"""Data folders written by an earlier version: this version reads them, answers from them and appends to them."""
 
 import json
 import shutil
@@ -25,8 +25,8 @@
 EXPECTED = {node: expected(node) for node in NODES}
 CHANGES = read_lines("changes.jsonl")
 CORES = tuple(node for node in NODES if node.startswith("core"))
-WITH_SNAPSHOT = ("core-2", "core-3")  # the third core kept its whole log
-WITH_ROWS = ("core-1", "core-3")  # the keepers of the stored requests
+WITH_SNAPSHOT = ("core-2", "core-3")  # core-1 kept its whole log
+WITH_ROWS = ("core-1", "core-3")  # the replicas of the stored ledger rows
 DAY_LOG = "day-2026-03-02.jsonl"
 STORED_REQUESTS = [row["request"] for row in EXPECTED["core-1"]["records"][DAY_LOG] if row["state"] != "open"]
 PENDING = {(record["request"], is_close) for _, record, is_close in EXPECTED["edge-1"]["records"]["spool"]}
@@ -43,12 +43,12 @@
     return {name: file_system.read(name) for name in file_system.names()}
 
 
-# the files ------------------------------------------------------------------------------------
+# files ------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("node", NODES)
-def test_a_stored_folder_opens_whole_with_the_records_that_were_written(node, tmp_path):
-    """Given a committed folder, each record file is read without damage, and opening it changes none of its bytes."""
+def test_stored_folder_opens_undamaged_with_all_records(node, tmp_path):
+    """Each record file of a committed folder is read without damage, and opening the folder changes no byte of it."""
     place = tmp_path / node
     shutil.copytree(folder_of(node), place)
     opened = DataFolder(RealFileSystem(place)).open(FILES, IDENTITY_FILES)
@@ -59,8 +59,10 @@
     }
 
 
-def test_the_stored_folders_hold_each_kind_of_record():
-    """Given the committed expectation, it has the seat, promises, a snapshot, views and entries, rows, lines, image and spool."""
+def test_stored_folders_contain_each_record_kind():
+    """The committed folders contain the seat, promises, a snapshot, views and entries, ledger rows and lines, the image
+    and the spool, so that the other tests cover each kind.
+    """
     cores = [EXPECTED[node]["records"] for node in CORES]
     kinds = {record[0] for records in cores for record in records["consensus"]}
     assert kinds == {"seat", "promise", "snapshot", "view", "entries"}
@@ -72,8 +74,8 @@
 
 
 @pytest.mark.parametrize("node", CORES)
-def test_a_stored_log_gives_the_state_of_its_time(node):
-    """Given the log's snapshot and the entries after it, applying them gives the committed state, field by field."""
+def test_stored_log_replays_to_the_stored_state(node):
+    """The log's snapshot with the entries after it replays to the committed state, field by field."""
     restored = Restored()
     restored.replay(EXPECTED[node]["records"]["consensus"])
     assert restored.log.entries
@@ -81,12 +83,12 @@
     assert plain(snapshot_after(restored)) == EXPECTED[node]["state"]
 
 
-# packed changes -------------------------------------------------------------------------------
+# encoded changes -------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("kind,packed", CHANGES)
-def test_a_packed_change_is_read_and_packed_again_to_the_same_bytes(kind, packed):
-    """Given the committed bytes of a change, it is read as its kind with its values, and packing gives the bytes back."""
+def test_encoded_change_round_trips_to_the_same_bytes(kind, packed):
+    """The committed bytes of a change decode to its kind and values, and encode to the same bytes again."""
     change = read_entry(packed.encode())
     assert change[0] == kind.removesuffix(" in part") and plain(change) == json.loads(packed)
     assert isinstance(change, tuple) and pack_entry(change) == packed.encode()
@@ -95,8 +97,9 @@
 # nodes on the stored folders ------------------------------------------------------------------
 
 
-def test_cores_come_up_with_what_was_stored():
-    """Given the stored folders of three cores, they are who they were and answer with the state, the rows and the results."""
+def test_cores_start_from_stored_folders():
+    """Three cores on the stored folders keep their identity and answer with the stored state, ledger rows and results.
+    """
     deployment = _running_fleet(1)
     for node in CORES:
         stored, core = EXPECTED[node], deployment.boxes[node].machine
@@ -112,13 +115,15 @@
         for node in CORES:
             status, row = deployment.ask(node, "GET", f"/ledger/{request}")
             assert status == 200 and row["request"] == request and row["state"] == "done"
-    # a repeat of a stored order gets the result that it had
+    # a repeated operator order gets its stored result
     again = deployment.ask("core-1", "POST", "/operator/evacuate", {"request": "out", "area": "hall-c"})
     assert again[0] == 200 and leader(deployment).state.evacuated == tuple(wanted["evacuated"])
 
 
-def test_an_edge_comes_up_with_its_stored_state_and_hands_in_its_pending_records():
-    """Given the stored folder of an edge, it holds the state and the records that no two keepers had, and the cores get them."""
+def test_edge_starts_from_a_stored_folder_and_delivers_pending_records():
+    """An edge on its stored folder has the stored state and the records that had not reached two replicas; it then
+    sends these records to the cores.
+    """
     deployment = stored_fleet(2)
     edge = deployment.boxes["edge-1"].machine
     assert plain(edge.state.snapshot()) == EXPECTED["edge-1"]["state"] and set(edge.ledger_writer.pending) == PENDING
@@ -129,9 +134,10 @@
         assert status == 200 and row["state"] == "done"
 
 
-def test_nodes_go_on_writing_behind_what_was_stored():
-    """Given a new order, a new request and a new record that no core takes, folders open again with old and new data; what was
-    stored stays in place as the beginning of each file that is only appended to."""
+def test_nodes_append_to_stored_files():
+    """After an operator order, a request, and a record that no core can receive, the folders open again with old and
+    new data. The stored bytes stay the beginning of each append-only file.
+    """
     deployment = _running_fleet(3)
     deployment.run(3)
     callers = quiet(deployment)
@@ -163,8 +169,10 @@
         assert deployment.ask("core-3", "GET", f"/ledger/{request}")[0] == 200
 
 
-def test_the_stored_fleet_serves_a_new_request_by_a_stored_catalogue():
-    """Given nothing but stored files, a prompt for a model of the stored catalogue is answered once its server holds it again."""
+def test_stored_fleet_serves_a_new_request():
+    """With only stored files, a prompt for a model of the stored catalogue is answered once a server has loaded it
+    again.
+    """
     deployment = _running_fleet(4)
     deployment.run(60)
     call = ask(deployment, quiet(deployment), "refunds", edge="edge-1", model=MODELS[0])
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes on the wire stay as the version before the renaming wrote them: parcels between nodes, and what public surfaces answer."""
+"""Wire compatibility with earlier versions: frames between nodes, and the answers of public interfaces."""
 
 import json
 from pathlib import Path
@@ -32,7 +32,7 @@
 FIXTURES = Path(__file__).parent.parent / "fixtures" / "wire"
 PARCELS = json.loads((FIXTURES / "parcels.json").read_text())
 CLUSTER, SENDER, ADDRESS, INCARNATION = "kosice", "core-1", "127.0.0.1:7001", 3
-LONGEST_FORWARDED = 256 << 10  # bytes of an order that a follower hands to its leader itself
+LONGEST_FORWARDED = 256 << 10  # size in bytes of the largest operator order that a follower forwards to its leader
 SERVER_REPORT = {
     "models": [{"name": "m", "version": 1, "adapters": ["a1", "a2"]}],
     "busy": False,
@@ -47,11 +47,11 @@
 }
 
 
-# parcels between nodes --------------------------------------------------------------
+# frames between nodes --------------------------------------------------------------
 
 
 def message_from(kind: str, values: list):
-    """The message of a fixture, typed where its kind has a type: lists are tuples, {"hex": ...} are bytes."""
+    """Builds the message of a fixture, as a tuple if its kind has no message type. Lists become tuples, {"hex": ...} bytes."""
     message_type = type_of(kind)
     fields = tuple(_value_from(value) for value in values)
     return (kind, *fields) if message_type is None else message_type.from_values(fields)
@@ -68,18 +68,18 @@
 
 
 def pack_frame(kind: str, values: list) -> bytes:
-    """The bytes that a node sends for the message of a fixture."""
+    """Returns the frame that a node sends for the message of a fixture."""
     return Codec(CLUSTER, SENDER, ADDRESS, INCARNATION).pack(message_from(kind, values))
 
 
 def test_every_kind_of_message_has_a_fixture():
-    """Given the kinds that nodes send each other, each has a fixture, and there are fixtures of no other."""
+    """There is a fixture for each message kind between nodes, and for no other kind."""
     assert {frame["kind"] for frame in PARCELS} == set(SHAPES)
 
 
 @pytest.mark.parametrize("frame", PARCELS, ids=[frame["name"] for frame in PARCELS])
-def test_parcel_has_the_same_bytes(frame):
-    """Given the message of a fixture, it is packed to the fixture's bytes, and these are read as the same message."""
+def test_frame_has_the_same_bytes(frame):
+    """The message of a fixture encodes to the fixture's bytes, and these decode to the same message."""
     raw = bytes.fromhex(frame["bytes"])
     assert pack_frame(frame["kind"], frame["values"]) == raw
     message = message_from(frame["kind"], frame["values"])
@@ -88,11 +88,11 @@
         assert message.values() == tuple(_value_from(value) for value in frame["values"])
 
 
-# texts of calls and answers ------------------------------------------------------------
+# transcripts of calls and answers ------------------------------------------------------------
 
 
 class Transcript:
-    """Calls and answers as text, in the order in which they were written down."""
+    """Text of calls and answers, in the order in which they were recorded."""
 
     def __init__(self):
         self.parts = []
@@ -126,7 +126,7 @@
 
 
 def _answer_of(effect):
-    """(status, headers, body) of what a node tells a client, or None of any other effect."""
+    """Returns (status, headers, body) of a response effect, or None for any other effect."""
     match effect:
         case Reply(_, status, headers, body):
             return status, headers, body
@@ -142,11 +142,11 @@
 
 
 class OpenDeployment(Deployment):
-    """A town on whose answers a test can look in."""
+    """A simulated deployment whose answers a test can record."""
 
 
 class ControlCaller:
-    """Calls the cores of a fleet with raw bodies and writes down each answer as the core gave it."""
+    """Calls the cores of a simulated cluster and records each answer as the core returned it."""
 
     def __init__(self, deployment, transcript: Transcript):
         self.deployment, self.transcript, self.replies = deployment, transcript, []
@@ -177,11 +177,11 @@
     return ahead, next(name for name in names if name != ahead)
 
 
-# what public surfaces answer ---------------------------------------------------------------
+# answers of public interfaces ---------------------------------------------------------------
 
 
 def core_answers() -> str:
-    """A core's answers to operators."""
+    """Records the answers of cores to operators."""
     with patch.object(deployment_scene, "Deployment", OpenDeployment):
         deployment, transcript = settled(5, edges=1), Transcript()
     caller = ControlCaller(deployment, transcript)
@@ -228,7 +228,7 @@
 
 
 def edge_answers() -> str:
-    """An edge's answers of its own."""
+    """Records the answers that an edge gives itself, without a server."""
     deployment, transcript = settled(5, edges=1), Transcript()
     edge = deployment.machines("edge")[0]
     for method, path in (("GET", "/condition"), ("GET", "/metrics"), ("GET", "/none"), ("POST", "/v1/none")):
@@ -245,7 +245,7 @@
 
 
 def forwarding() -> str:
-    """What an edge sends to servers and tells its clients when it forwards."""
+    """Records what an edge sends to servers and to clients when it forwards requests."""
     transcript = Transcript()
     more = (("Connection", "keep-alive, X-Own"), ("X-Own", "1"), ("X-Urgency", "7"), ("Accept", "*/*"))
     cases = {
@@ -285,7 +285,7 @@
 
 
 def model_servers() -> str:
-    """Orders to model servers, and what their answers and reports are read as."""
+    """Records orders to model servers, and how the servers' answers and reports are parsed."""
     transcript = Transcript()
     body = json.dumps(SERVER_REPORT).encode()
     for port in (ServerPort, adapters.PlatformOrderPort):
@@ -303,7 +303,7 @@
 
 
 def _report_document(report):
-    """A report of a server as the fixture writes it."""
+    """Returns a parsed server report in the form of the fixture, or None."""
     return report and {
         "models": report.models,
         "busy": report.is_busy,
@@ -316,7 +316,7 @@
 
 
 def platform_documents() -> str:
-    """Settings, documents and headers of the platform, translated and back."""
+    """Records settings, documents and headers of the platform, translated to the internal form and back."""
     transcript, samples = Transcript(), platform_fixtures
     zones, whole = tuple(samples.ZONES), samples.whole
     for title, text in (("edge", samples.SETTINGS), ("core", samples.CORE)):
@@ -356,7 +356,7 @@
 
 
 def platform_answers() -> str:
-    """What the platform's operator is answered over a fleet, and what a node's readiness says."""
+    """Records the answers of a simulated cluster to the platform's operator, and the readiness of its nodes."""
     samples, transcript = platform_fixtures, Transcript()
     scene = test_platform_operator.Scene(301)
     caller = ControlCaller(scene.deployment, transcript)
@@ -404,5 +404,5 @@
 
 @pytest.mark.parametrize("name", SURFACES)
 def test_public_surface_has_the_same_bytes(name):
-    """Given the same calls to the same seeded fleet, what a surface answers and sends is the committed text, byte for byte."""
+    """The same calls to the same seeded cluster give the committed answers and requests, byte for byte."""
     assert SURFACES[name]().encode() == (FIXTURES / name).read_bytes()
--- a/tests/membership/test_failure_detection.py
+++ b/tests/membership/test_failure_detection.py
@@ -1,4 +1,4 @@
-"""How a member that does not answer is suspected, removed and taken back."""
+"""Failure detection: an unreachable member is suspected, removed, and accepted again when it returns."""
 
 from datetime import timedelta
 from random import Random
@@ -25,7 +25,7 @@
 
 
 def _run(nodes, start, end, unreachable=()):
-    """Runs the nodes; gives (node, effect) of all that is no message."""
+    """Runs the nodes from `start` to `end`; returns (node, effect) for each effect that is not a message."""
     now, told = start, []
     while now < end:
         now += TICK
@@ -45,8 +45,10 @@
     return told
 
 
-def test_silence_is_suspected_then_removed_and_return_is_seen():
-    """Given a member that is cut off, it is suspected, then gone, and live again under a higher incarnation later."""
+def test_unreachable_member_is_suspected_then_removed_and_rejoins_with_higher_incarnation():
+    """A member cut off from the network becomes suspect and then gone; once reachable again, it is alive with
+    incarnation 2.
+    """
     nodes = _three_nodes()
     _run(nodes, timedelta(0), SECOND * 3)
     assert set(nodes["b"].members) == {"a", "c"}
--- a/tests/membership/test_member_updates.py
+++ b/tests/membership/test_member_updates.py
@@ -1,4 +1,4 @@
-"""What a node makes of updates about itself and others."""
+"""How a node applies updates about itself and about other members."""
 
 from datetime import timedelta
 from random import Random
@@ -37,38 +37,38 @@
         ({"incarnation": 3}, True),
     ],
 )
-def test_an_update_overrides_by_incarnation_then_by_status(changes, is_taken):
-    """Given a known member, an update of a higher incarnation is taken, or one of the same with a graver status."""
+def test_update_overrides_by_incarnation_then_by_status(changes, is_taken):
+    """An update of a known member applies if its incarnation is higher, or equal with a status of higher precedence."""
     membership, update = _membership(), OTHER._replace(**changes)
     _apply(membership, OTHER)
     assert _apply(membership, update) == ([MemberChanged(update)] if is_taken else [])
 
 
 @pytest.mark.parametrize("status", [MemberStatus.GONE, MemberStatus.LEFT])
-def test_an_unknown_member_that_is_gone_is_not_taken_up(status):
-    """Given an update that a member nobody knew is gone, there is nothing to know."""
+def test_update_about_unknown_removed_member_is_ignored(status):
+    """An update that an unknown member is gone or has left adds no member and emits no effect."""
     membership = _membership()
     assert _apply(membership, OTHER._replace(status=status)) == [] and membership.members == {}
 
 
-def test_a_doubt_and_an_earlier_run_are_refuted_by_a_higher_incarnation():
-    """Given updates that this node is suspected, or that describe an earlier run of it, it raises its incarnation above."""
+def test_suspicion_and_update_of_earlier_run_are_refuted_by_higher_incarnation():
+    """A node raises its incarnation above an update that suspects it or describes an earlier run of it."""
     membership = _membership()
     assert _apply(membership, LOCAL._replace(status=MemberStatus.SUSPECT)) == [IncarnationRaised(6)]
     assert _apply(membership, LOCAL._replace(incarnation=9, restart_epoch=4)) == [IncarnationRaised(10)]
     assert _apply(membership, LOCAL._replace(incarnation=10)) == []
 
 
-def test_a_join_is_answered_with_all_members():
-    """Given a node that joins, it is told of all members, this node among them."""
+def test_join_without_digest_is_answered_with_all_members():
+    """A joining node that sends no digest gets all members, including the answering node itself."""
     membership = _membership()
     joined, answer = membership.take(MessageReceived("b", "b:1", Join((OTHER,))), START)
     assert joined == MemberChanged(OTHER)
     assert answer == SendDatagram("b:1", MemberList((OTHER, LOCAL)))
 
 
-def test_an_update_with_a_status_of_a_later_version_is_still_read():
-    """Given a status that this version does not know, the message is read, and the member counts neither as live nor as gone."""
+def test_member_with_unknown_status_is_not_counted_as_live():
+    """A status that only a later version knows is decoded as text, and its member is listed but not counted as live."""
     raw = Codec("kosice", "b", "b:1", 1).pack(MemberList((OTHER._replace(status="moved"),)))
     message = read_frame("kosice", raw).message
     membership = _membership()
--- a/tests/membership/test_ping_answers.py
+++ b/tests/membership/test_ping_answers.py
@@ -1,4 +1,4 @@
-"""Answers to pings between nodes, and which of them count."""
+"""Acknowledgements of pings: which of them remove a pending ping."""
 
 from datetime import timedelta
 from random import Random
@@ -16,7 +16,7 @@
 
 
 class PingingNode:
-    """One node that knows two others, in the run of this restart epoch."""
+    """The membership of one node that knows two others, with the given restart epoch."""
 
     def __init__(self, restart_epoch):
         local_update = MemberUpdate("a", "a:1", "edge", "hall", restart_epoch, MemberStatus.ALIVE, "a:2", restart_epoch)
@@ -34,7 +34,7 @@
         return self.membership.pings.pending
 
     def next_ping(self):
-        """(node, sequence number) of the next ping that goes out."""
+        """Ticks until a ping is sent; returns its target and sequence number."""
         while True:
             self.now += TICK
             for effect in self.membership.take(Tick(0), self.now):
@@ -45,9 +45,10 @@
         self.membership.take(MessageReceived(node, f"{node}:1", PingAck(sequence, (), 0, 0)), self.now)
 
 
-def test_an_answer_of_an_earlier_run_or_of_another_node_is_none():
-    """Given a ping that waits, an answer with its number from another node, or one to a ping of an earlier run, leaves it
-    waiting; the pinged node's own answer ends the wait."""
+def test_ack_from_another_node_or_to_an_earlier_run_leaves_the_ping_pending():
+    """An acknowledgement sent by another node, or for a ping of an earlier run, must not hide that a node does not
+    answer. Only the pinged node's own acknowledgement removes the pending ping.
+    """
     earlier, later = PingingNode(1000), PingingNode(1001)
     _, old_sequence = earlier.next_ping()
     node, sequence = later.next_ping()
@@ -59,7 +60,7 @@
     assert sequence not in later.pending
 
 
-def test_no_later_run_uses_the_numbers_of_an_earlier_one():
-    """Given two runs that began a millisecond apart, sixty thousand pings of the first stay below the first of the second."""
+def test_sequence_numbers_of_a_later_run_exceed_those_of_an_earlier_one():
+    """Of two runs started one millisecond apart, 60,000 pings of the first stay below the first ping of the second."""
     earlier, later = PingingNode(1000), PingingNode(1001)
     assert earlier.next_ping()[1] + 60000 < later.next_ping()[1] < 1 << 62
--- a/tests/membership/test_view_comparison.py
+++ b/tests/membership/test_view_comparison.py
@@ -1,4 +1,4 @@
-"""How nodes compare what they know of the members, and how little they say where they agree."""
+"""Comparison of member views by digest: nodes send each other only the members in which their views differ."""
 
 from datetime import timedelta
 from random import Random
@@ -28,7 +28,7 @@
 
 
 def node(name, *known, seeds=(), role="edge"):
-    """A node that knows these members and has no news to tell."""
+    """Creates the membership of a node that knows these members and has no updates queued."""
     clock = ClusterClock(lambda: UNIX_EPOCH, START)
     membership = Membership(update(name, role=role), seeds, Random(1), START, clock)
     membership.members = {each.node: Member(each, START) for each in known}
@@ -41,14 +41,14 @@
 
 
 def answer(membership, asker, digest=None):
-    """What a node answers to another one's Join, or None."""
+    """Returns the message with which a node answers the join of `asker`, or None."""
     join = Join((asker.local_member.to_update(),), asker._digest() if digest is None else digest)
     effects = hear(membership, asker.local_member.node, join)
     return next((each.message for each in effects if isinstance(each, SendDatagram)), None)
 
 
 def joins(membership, seconds):
-    """The addresses that a node sends a Join to within so many seconds, tick by tick."""
+    """Returns, for each tick of the given time, the addresses to which the node sends a join."""
     found = []
     for number in range(1, round(seconds / TICK.total_seconds()) + 1):
         effects = membership.take(Tick(0), START + TICK * number)
@@ -57,18 +57,19 @@
     return found
 
 
-# what is answered ------------------------------------------------------------------------------------
+# answers to joins ------------------------------------------------------------------------------------
 
 
-def test_nodes_that_know_the_same_have_nothing_to_tell_each_other():
-    """Given two nodes that know the same members, a Join of one is not answered."""
+def test_join_gets_no_answer_if_views_are_equal():
+    """A join is not answered by a node that knows the same members as the sender."""
     others = [update(f"n{number}") for number in range(MEMBERS)]
     one, other = node("a", update("b"), *others), node("b", update("a"), *others)
     assert answer(other, one) is None
 
 
-def test_a_node_that_lacks_one_member_is_told_of_few():
-    """Given 200 members of whom a node lacks one, the answer to its Join holds that one, and only members of its bucket."""
+def test_answer_to_a_join_lists_only_the_bucket_that_differs():
+    """When the sender of a join lacks one of 200 members, the answer lists that member and only members of its bucket.
+    """
     others = [update(f"n{number}") for number in range(MEMBERS)]
     one, other = node("a", update("b"), *others[1:]), node("b", update("a"), *others)
     told = answer(other, one)
@@ -87,32 +88,33 @@
         {"address": "elsewhere:1"},
     ],
 )
-def test_whatever_may_change_of_a_member_shows_in_the_digest(changed):
-    """Given a member of which two nodes know different things, their digests differ in its bucket alone."""
+def test_digest_covers_each_mutable_field_of_a_member(changed):
+    """If two nodes differ in one field of a member, their digests differ in that member's bucket alone."""
     same = [Member(update(f"n{number}"), START) for number in range(20)]
     known, other = update("x"), update("x")._replace(**changed)
     differing = differing_buckets(digest_of([*same, Member(known, START)]), digest_of([Member(other, START), *same]))
     assert differing == {bucket_of("x")}
 
 
-def test_two_changes_alike_do_not_hide_each_other():
-    """Given two members of one bucket that changed in the same way, the digest shows it."""
+def test_equal_changes_in_one_bucket_do_not_cancel_out():
+    """The same change of two members in one bucket still changes the digest of that bucket."""
     names = [name for name in (f"n{number}" for number in range(300)) if bucket_of(name) == 0][:2]
     before = [Member(update(name), START) for name in names]
     after = [Member(update(name, MemberStatus.SUSPECT), START) for name in names]
     assert differing_buckets(digest_of(before), digest_of(after)) == {0}
 
 
-def test_members_that_are_gone_are_no_difference_to_one_that_never_knew_them():
-    """Given a member gone before a node began, the node and one that remembers it agree."""
+def test_removed_members_are_not_part_of_the_digest():
+    """A node that started after a member was removed agrees with a node that still lists that member as removed."""
     one = node("a", update("b"))
     other = node("b", update("a"), update("x", MemberStatus.GONE), update("y", MemberStatus.LEFT))
     assert answer(other, one) is None
 
 
-def test_two_nodes_that_hold_each_other_for_gone_both_object():
-    """Given two halves that met again, a Join makes the asked node tell the asker that it is held for gone, and the other way round;
-    both come back with a higher incarnation."""
+def test_nodes_that_removed_each_other_both_refute_it():
+    """After a partition heals, the answer to a join tells the sender that it is listed as gone, in either direction;
+    both nodes refute it with a higher incarnation and are alive again.
+    """
     one, other = node("a", update("b", MemberStatus.GONE)), node("b", update("a", MemberStatus.GONE))
     for asker, asked in ((one, other), (other, one)):
         effects = hear(asker, asked.local_member.node, answer(asked, asker))
@@ -121,8 +123,8 @@
     assert one.members["b"].status == MemberStatus.ALIVE
 
 
-def test_an_earlier_version_that_gives_no_digest_gets_all_members_in_the_form_that_it_reads():
-    """Given a Join without a digest, the answer is the whole list."""
+def test_join_without_digest_is_answered_with_a_member_list():
+    """A node of an earlier version sends no digest and reads only the complete member list."""
     one, other = node("a", update("b")), node("b", update("a"), update("c"))
     told = answer(other, one, digest=b"")
     assert isinstance(told, MemberList) and {each.node for each in told.updates} == {"a", "b", "c"}
@@ -130,14 +132,14 @@
     assert read_frame("kosice", raw).message == Join((update("a"),), b"")
 
 
-def test_a_digest_of_another_form_is_answered_with_everything():
-    """Given a digest of a version with other buckets, all members are told."""
+def test_join_with_digest_of_other_length_is_answered_with_all_members():
+    """A digest of a version with another number of buckets cannot be compared, so all members are sent."""
     one, other = node("a", update("b")), node("b", update("a"), update("c"))
     assert {each.node for each in answer(other, one, digest=b"\1" * 5).updates} == {"a", "b", "c"}
 
 
-def test_a_node_that_leaves_is_told_nothing():
-    """Given one that says that it leaves, nobody answers."""
+def test_leaving_node_gets_no_answer():
+    """A join message that announces a departure gets no answer, also when it is repeated with a higher incarnation."""
     other = node("b", update("a"), *(update(f"n{number}") for number in range(MEMBERS)))
     assert hear(other, "a", Join((update("a", MemberStatus.LEFT, incarnation=2),))) != []
     sends = [
@@ -148,8 +150,8 @@
     assert sends == [] and other.members["a"].status == MemberStatus.LEFT
 
 
-def test_a_difference_of_many_members_is_short_on_the_wire():
-    """Given all of 200 members, what differs takes less than a fifth of a plain list's bytes."""
+def test_view_difference_of_many_members_is_compressed():
+    """A view difference of 200 members takes less than a fifth of the bytes of a plain member list."""
     updates = tuple(update(f"edge-hall-{number % 6}-{number}") for number in range(MEMBERS))
     codec = Codec("kosice", "a", "a:1", 1)
     raw = codec.pack(ViewDifference(updates))
@@ -157,31 +159,31 @@
     assert len(raw) * 5 < len(codec.pack(MemberList(updates)))
 
 
-def test_a_status_of_a_later_version_in_a_difference_is_still_read():
-    """Given a status that this version does not know, the update is read with it as text."""
+def test_view_difference_with_unknown_status_is_decoded():
+    """A status that only a later version knows stays in the update as text instead of making the message unreadable."""
     raw = Codec("kosice", "b", "b:1", 1).pack(ViewDifference((update("x")._replace(status="moved"),)))
     assert read_frame("kosice", raw).message.updates[0].status == "moved"
 
 
-# what is told on -----------------------------------------------------------------------------------
+# gossip of received updates -----------------------------------------------------------------------------------
 
 
-def test_members_learned_from_a_list_are_not_told_on_but_changes_are():
-    """Given a node that learns of strangers and of a change from a list, it tells on the change alone."""
+def test_new_members_from_a_list_are_not_gossiped_but_changes_are():
+    """A node that learns of new members and of one change from a view difference gossips only the change."""
     one = node("a", update("b"), update("c"))
     hear(one, "b", ViewDifference((update("d"), update("e"), update("c", MemberStatus.GONE))))
     assert set(one.gossip._transmissions) == {"c"} and {"d", "e"} <= set(one.members)
 
 
-def test_an_objection_to_what_a_list_says_of_this_node_is_told_on():
-    """Given a node that learns from a difference that it is held for gone, it tells its higher incarnation to the next it pings."""
+def test_refutation_of_a_list_entry_is_gossiped():
+    """A node that learns from a view difference that it is listed as gone gossips its higher incarnation."""
     one = node("a", update("b"))
     hear(one, "b", ViewDifference((update("a", MemberStatus.GONE),)))
     assert [(each.node, each.incarnation, each.status) for each in one._updates()] == [("a", 2, MemberStatus.ALIVE)]
 
 
-def test_others_that_do_not_know_the_news_yet_make_no_telling_less():
-    """Given a node that knows of a member's end, however often others tell of it as live, it goes on telling the end."""
+def test_outdated_updates_do_not_count_as_transmissions():
+    """Outdated updates that still call a removed member alive do not reduce how often its removal is sent."""
     one = node("a", *(update(f"n{number}") for number in range(30)))
     hear(one, "n1", Ping(1, (update("n5", MemberStatus.GONE),), 0, 0))
     for _ in range(20):
@@ -189,8 +191,8 @@
     assert [(each.node, each.status) for each in one._updates()] == [("n5", MemberStatus.GONE)]
 
 
-def test_news_that_others_tell_again_is_told_less_often():
-    """Given a node with one piece of news, each time that another node tells it the same there is one telling less to do."""
+def test_repeated_updates_count_as_transmissions():
+    """Each time another node repeats an update, this node sends it one time less."""
     silent, told = (node("a", *(update(f"n{number}") for number in range(30))) for _ in range(2))
     for each in (silent, told):
         hear(each, "n1", Ping(1, (update("n5", incarnation=2),), 0, 0))
@@ -203,11 +205,11 @@
     assert tellings(silent) - tellings(told) >= 5
 
 
-# when others are asked --------------------------------------------------------------------------------
+# when joins are sent --------------------------------------------------------------------------------
 
 
-def test_an_edge_that_begins_asks_one_seed_after_the_other_until_it_knows_them():
-    """Given an edge without answers, it asks one seed at a time; once it knows all seeds it asks none again."""
+def test_starting_edge_asks_one_seed_at_a_time_until_it_knows_all():
+    """A starting edge without answers asks one random seed at a time, and none once it knows all seeds."""
     silent = [addresses for addresses in joins(node("a", seeds=SEEDS), 1.9) if addresses]
     assert 4 <= len(silent) <= 9 and all(len(addresses) == 1 for addresses in silent)
     assert {addresses[0] for addresses in silent} <= set(SEEDS) and len({tuple(each) for each in silent}) > 1
@@ -215,27 +217,29 @@
     assert not [address for addresses in joins(known, 1.9)[1:] for address in addresses]
 
 
-def test_a_core_that_begins_asks_all_seeds_at_once():
-    """Given a core without answers, its first tick asks every seed."""
+def test_starting_core_asks_all_seeds_at_once():
+    """The first tick of a core without answers sends a join to every seed."""
     assert set(joins(node("a", seeds=SEEDS, role="core"), 0.05)[0]) == set(SEEDS)
 
 
-def test_an_edge_whose_seeds_stay_silent_asks_them_all_again():
-    """Given seeds that are not heard for longer than an interval, all are asked, and a live member besides."""
+def test_edge_asks_all_seeds_again_if_none_answers():
+    """An edge that gets no answer for longer than a seed interval sends joins to all seeds and one live member."""
     one = node("a", update("b"), seeds=SEEDS)
     later = [addresses for addresses in joins(one, 6.0)[41:] if addresses]
     assert later and all(set(addresses) == {*SEEDS, "b:1"} for addresses in later)
 
 
-def test_pings_of_strangers_are_answered_with_few_joins():
-    """Given pings of 20 strangers within a moment, as after a restart among many, one of them is sent a Join."""
+def test_pings_from_unknown_nodes_trigger_one_join():
+    """Pings of 20 unknown nodes at once, as after a restart in a large cluster, make the node send a join to one of
+    them.
+    """
     one = node("a", update("b"))
     effects = [effect for number in range(20) for effect in hear(one, f"n{number}", Ping(number, (), 0, 0))]
     assert sum(isinstance(each, SendDatagram) and isinstance(each.message, Join) for each in effects) == 1
 
 
-def test_views_are_compared_seldom_while_there_is_news_and_often_when_there_is_none():
-    """Given a node with news to tell for all the while, it compares its view with a member a quarter as often as one without."""
+def test_views_are_compared_less_often_while_updates_are_queued():
+    """A node with updates queued all the time compares its view at most a third as often as one without."""
 
     def comparisons(has_news):
         one, count = node("a", update("b")), 0
--- a/tests/transport/proxy_fixtures.py
+++ b/tests/transport/proxy_fixtures.py
@@ -1,4 +1,4 @@
-"""Raw clients, raw servers and the way between them over real sockets: a proxy server, the pipeline and a streaming client."""
+"""Raw clients and raw servers with a proxy server, the pipeline and a streaming client between them, over real sockets."""
 
 import asyncio
 import re
@@ -23,14 +23,14 @@
 from tests.forwarding.forwarding_fixtures import START, Scene, server
 from tests.short_forms import effect_of, tuple_of_event
 
-BOUND = 8.0  # seconds for one story, far more than it takes
-SOON = 2.5  # seconds, well under the time of a route
+BOUND = 8.0  # time limit of a scenario in seconds, far more than it needs
+SOON = 2.5  # seconds, well under the timeout of a route
 TICK = 0.02
 EVENTS = b"Content-Type: text/event-stream\r\n"
 
 
 class Request:
-    """One request as a server saw it, byte for byte."""
+    """One request as a server received it, byte for byte."""
 
     def __init__(self, head, body):
         self.line, *lines = head.decode("latin-1").split("\r\n")
@@ -45,7 +45,7 @@
 
 
 class Server:
-    """A raw server: `answer(server, request, reader, writer)` writes what it likes; True keeps the connection for another."""
+    """A raw server that calls `answer(server, request, reader, writer)` for each request; True keeps the connection open."""
 
     def __init__(self, answer):
         self.answer, self.requests, self.connections, self.tasks, self.address, self.listener = (
@@ -88,7 +88,7 @@
 
 
 def sealed(request, body=b"done", more=b"", status=b"200 OK", length=None):
-    """A whole answer of a server; `length` may lie."""
+    """Returns a sealed response to a request; `length` overrides the content length, also with a wrong one."""
     size = len(body) if length is None else length
     return b"HTTP/1.1 %s\r\nX-Request-Id: %s\r\nX-Server-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
@@ -116,7 +116,7 @@
 
 
 class Path:
-    """A front, a Transit and a forwarder as a daemon hosts them, before one raw server or several."""
+    """A proxy server, a pipeline and a streaming client, connected as in a daemon, in front of raw servers."""
 
     def __init__(self, *servers, doc=None):
         self.servers, self.doc, self.inbox, self.is_handing = servers, doc, [], False
@@ -175,7 +175,7 @@
         return await asyncio.open_connection(*split_address(self.front.address), limit=1 << 25)
 
     async def raw(self, raw):
-        """All that comes back on a connection of its own, until it is closed."""
+        """Sends raw bytes on a new connection; returns all bytes received until the server closes it."""
         reader, writer = await self.connect()
         writer.write(raw)
         answer = await reader.read()
@@ -183,7 +183,7 @@
         return answer
 
     async def ask(self, path="/once/x", method="POST", body=b"", number=1, more=b""):
-        """(status, headers, body, whether it is whole) of one request."""
+        """Sends one request on a new connection; returns (status, headers, body, whether the response is complete)."""
         length = b"Content-Length: %d\r\n" % len(body) if body or method in ("POST", "PUT") else b""
         return parted(await self.raw(head(path, method, number, more + length + b"Connection: close\r\n") + body))
 
@@ -209,7 +209,7 @@
 
 
 def _joined(raw):
-    """(what the chunks hold, whether the closing one is there)."""
+    """Decodes a chunked body; returns its data and whether the final chunk is there."""
     whole = b""
     while size := re.match(rb"([0-9a-f]+)\r\n", raw):
         begin, length = size.end(), int(size[1], 16)
@@ -220,7 +220,7 @@
 
 
 def play(story, *answers, doc=None):
-    """Runs `story(path, *servers)` before servers that answer so, bounded in time."""
+    """Runs `story(path, *servers)` with a server for each of `answers`, with a time limit."""
 
     async def run():
         servers = [Server(answer) for answer in answers]
--- a/tests/transport/test_client_limits.py
+++ b/tests/transport/test_client_limits.py
@@ -1,4 +1,6 @@
-"""The configuration's limits of clients at an edge's front: sizes, times, and changes while connections rest (docs/design/forwarding.md)."""
+"""Configured client limits of an edge's proxy server: sizes, timeouts, and changes of them while connections are idle
+(docs/design/forwarding.md).
+"""
 
 import asyncio
 
@@ -16,7 +18,7 @@
 
 
 class Hall:
-    """A front with limits, whose machine answers each request at once; its sweep is called by the stories alone."""
+    """A proxy server with limits that answers each request at once; only the tests call its sweep."""
 
     def __init__(self, **limits):
         self.messages, self.writers, self.front = [], [], ProxyServer(free_address(), self.hear)
@@ -45,7 +47,7 @@
         while len(self.front.server.connections) == before:
             await asyncio.sleep(0)
         writer.write(raw)
-        self.writers.append(writer)  # a writer that nobody holds is closed
+        self.writers.append(writer)  # an unreferenced writer is garbage collected, which closes its connection
         await turns()
         return reader, writer
 
@@ -93,9 +95,10 @@
         ),
     ],
 )
-def test_what_is_larger_than_the_limits_is_refused_and_reaches_no_machine(raw, status):
-    """Given heads and bodies up to the limits and beyond, in one field and in many, with a length and in chunks, the former pass and
-    the latter are refused."""
+def test_requests_larger_than_the_limits_are_rejected_without_an_event(raw, status):
+    """Heads and bodies up to the limits are accepted and larger ones rejected, with one header field or many, with a
+    content length or in chunks.
+    """
 
     async def story(hall):
         return await ask(hall, raw), len(hall.messages)
@@ -103,8 +106,10 @@
     assert play(story) == (status, 1 if status == 200 else 0)
 
 
-def test_larger_limits_let_more_through_at_once():
-    """Given limits that grow, a head of half a megabyte and a body of ten pass from then on, over a connection made before too."""
+def test_raised_limits_apply_at_once_to_open_connections():
+    """After the limits are raised, a head of half a megabyte and a body of 10 MiB are accepted on an open connection
+    too.
+    """
 
     async def story(hall):
         large = post(10 << 20, b"A: %s\r\n" % (b"a" * (512 << 10)))
@@ -116,8 +121,10 @@
     assert play(story) == (431, 200)
 
 
-def test_a_head_that_does_not_come_whole_is_given_the_header_time():
-    """Given half a head, first on a new connection, then after a request, it is closed once the header time is over and not before."""
+def test_incomplete_head_is_closed_after_the_header_timeout():
+    """An incomplete head, on a new connection or after a request, closes the connection after the header timeout and
+    not before.
+    """
 
     async def story(hall):
         begun = b"GET /x HTTP/1.1\r\nHost"
@@ -135,9 +142,10 @@
     play(story)
 
 
-def test_half_a_body_that_never_comes_is_swept():
-    """Given bodies of which half comes, one of which goes on shortly after, and one of which does not: the former is answered, the
-    latter told so after the idle time, its connection closed, and its request reaches no machine."""
+def test_stalled_body_gets_408_after_the_idle_timeout():
+    """A body that stalls gets 408 after the idle timeout, its connection is closed and it emits no event; a body that
+    continues before the timeout is answered.
+    """
 
     async def story(hall):
         reader, _ = await hall.connect(post(100)[:-50])
@@ -153,9 +161,10 @@
     play(story, idle_ms=100.0)
 
 
-def test_connections_rest_by_the_limit_that_their_clients_know():
-    """Given connections that rest, when the limit shrinks they keep theirs, and what rests from then on has the new one; when it grows
-    they may rest longer; and no other bound ends them sooner."""
+def test_idle_connections_keep_the_timeout_that_their_clients_know():
+    """When the idle timeout shrinks, connections already idle keep theirs and later ones get the new one; when it
+    grows, idle connections may stay longer. No other limit closes them sooner.
+    """
 
     async def story(hall):
         start = hall.now()
@@ -179,9 +188,10 @@
     play(story)
 
 
-def test_a_shorter_limit_holds_for_no_connection_that_began_to_rest_before_it():
-    """Given a connection on which a request was answered, and a shorter limit right after, before any sweep has seen it rest, it may
-    rest for as long as its client knows."""
+def test_shorter_idle_timeout_does_not_apply_to_connections_already_idle():
+    """A connection that became idle before the timeout was shortened, but was not swept yet, keeps the longer timeout,
+    which is the one that its client knows.
+    """
 
     async def story(hall):
         reader, _ = await hall.connect(post(2))
@@ -198,13 +208,16 @@
     play(story)
 
 
-def test_the_parser_closes_no_resting_connection_by_a_time_of_its_own():
-    """Given an idle limit longer than any default, no timer of the library ends a connection that was used."""
+def test_aiohttp_keep_alive_timeout_is_disabled():
+    """The keep-alive timer of aiohttp must not close a used connection before a configured idle timeout that is longer.
+    """
     assert ProxyServer.OPTIONS["keepalive_timeout"] >= 1e6
 
 
-def test_an_edge_tells_its_front_the_limits_when_they_change():
-    """Given configurations, the edge hands its front the limits of each that changes them, and no others."""
+def test_edge_applies_client_limits_only_when_they_change():
+    """An edge passes the client limits of a configuration to its proxy server only if they differ from the previous
+    ones.
+    """
     from datetime import timedelta
     from random import Random
 
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -1,4 +1,4 @@
-"""Parcels between nodes: what the codec reads, and that both kinds of socket bring them (docs/design/transport.md)."""
+"""Frames between nodes: encoding, rejection of invalid ones, and transfer by TCP and UDP (docs/design/transport.md)."""
 
 import asyncio
 
@@ -13,9 +13,10 @@
 from sumachook.transport.node_transport import NodeTransport
 
 
-def test_every_kind_survives_the_wire(monkeypatch):
-    """Given values of every letter, each kind is read as it was packed; what the types of messages make of values is
-    tested with the fixtures of all kinds (tests/compatibility/test_wire_bytes.py)."""
+def test_every_message_kind_round_trips(monkeypatch):
+    """Each message kind decodes to the values that were encoded, for every type letter. The conversion to message types
+    is tested with the fixtures of all kinds (tests/compatibility/test_wire_bytes.py).
+    """
     monkeypatch.setattr("sumachook.transport.codec.type_of", lambda kind: None)
     samples = {
         "s": "x",
@@ -30,7 +31,7 @@
         "m": (("n1", "127.0.0.1:1", "edge", "hall", 2, "alive", "127.0.0.1:2", 9),),
     }
     records, acks = (({"k": (2,)}, ("a",)), ({"k": 3}, ())), (("r1", "ok", {"state": "open"}),)
-    documents = {  # of kinds that are typed down to their documents
+    documents = {  # of kinds whose documents have a fixed structure
         **dict.fromkeys(("open", "close", "hand"), records),
         **dict.fromkeys(("opened", "closed", "handed"), acks),
         "carry": (({"k": (2,)}, True),),
@@ -45,7 +46,7 @@
         assert read_frame("c", codec.pack(message))[3] == message
 
 
-def test_garbage_is_a_fault_at_every_cut():
+def test_truncated_and_oversized_frames_are_rejected():
     raw = Codec("c", "n", "127.0.0.1:1", 1).pack(("heartbeat", (1, "a"), 7, 4, 4, True, ("a", "b"), 3))
     for length in range(len(raw)):
         with pytest.raises(UnreadableFrameError) as caught:
@@ -56,7 +57,7 @@
     assert caught.value.problem is FrameProblem.TOO_LONG
 
 
-def test_parcels_arrive_and_garbage_is_counted():
+def test_frames_arrive_by_tcp_and_udp_and_garbage_is_reported():
     async def story():
         heard, done = [], asyncio.Event()
 
--- a/tests/transport/test_connection_ends.py
+++ b/tests/transport/test_connection_ends.py
@@ -1,14 +1,14 @@
-"""What ends a client's connection while a request is on it, at every turn of the event loop (docs/incidents/kosice-lookup-without-an-answer.md).
+"""Close of a client's connection with a request on it, at each event loop iteration
+(docs/incidents/kosice-lookup-without-an-answer.md).
 
-The story: beside a change of the configuration a client's lookup was sent to an edge, a server began to run it, and in the
-same millisecond the edge closed both connections. The client got neither an answer nor a refusal.
+During a configuration change an edge forwarded a client's lookup, a server started it, and in the same millisecond the edge
+closed both connections: the client got neither a response nor an error. The edge had read the request and closed the
+connection before its handler started, because it only looked at requests being handled. The handler then started, forwarded
+the request over a kept connection, and was cancelled one loop iteration later because its client's connection was lost.
 
-The order of events that gives this picture: the bytes of a request are read; before its handler begins, the edge closes the
-connection, because it goes by the requests that are being handled; the handler begins all the same and sends the request on,
-over a connection to the server that was kept; one turn later it is cancelled, since its client's connection is lost.
-
-The evidence: `test_a_request_that_was_read_is_answered_or_not_passed_on` on the code before the repair. The sweep of resting
-connections, run in the turn in which a request was read or in the next one, closed its connection; the server had the request.
+On the code before the fix, `test_request_read_before_a_close_is_answered_or_not_forwarded` reproduces this: a sweep of idle
+connections, run in the loop iteration in which a request was read or in the next one, closed its connection although the
+server got the request.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 TURNS_TO_SETTLE = 200
 MAX_TURNS_BEFORE_CLOSE = 6
-TURNS_OF_TWO_REQUESTS = 40  # more than it takes to answer two
+TURNS_OF_TWO_REQUESTS = 40  # more loop iterations than two responses take
 REQUEST = head(more=b"Content-Length: 2\r\n") + b"{}"
 SECOND_REQUEST = head(number=2, more=b"Content-Length: 2\r\n") + b"{}"
 
@@ -35,12 +35,12 @@
 
 
 def sweep_resting(front):
-    """The connection has rested for longer than the limit by the edge's count."""
+    """Sweeps with a clock at which each idle connection exceeds the idle timeout."""
     front._sweep(asyncio.get_running_loop().time() + front.limits.idle_timeout + 1.0)
 
 
 def sweep_slow_heads(front):
-    """The first bytes of the request came a header's time ago."""
+    """Sweeps as if the first byte of each incomplete request had arrived longer than the header timeout ago."""
     for connection in front.server.connections:
         connection.request_started_at = (
             connection.request_started_at and connection.request_started_at - front.limits.header_timeout - 1.0
@@ -49,12 +49,15 @@
 
 
 def stop_accepting(front):
-    """The node takes no more clients."""
+    """Stops accepting connections, as a leaving node does."""
     front.stop_accepting()
 
 
 async def answered_connection(path, count=1):
-    """A client's connection on which one request was answered, both ends of it; so many connections stand by then."""
+    """Opens a client connection and gets one response; returns (reader, writer, server-side connection).
+
+    `count` is the number of connections that must be open then.
+    """
     reader, writer = await asyncio.open_connection(*split_address(path.front.address))
     writer.write(REQUEST)
     await reader.readuntil(b"done")
@@ -67,7 +70,10 @@
 
 
 async def sent_just_before(path, peer, close, turn_count):
-    """(answer of the second request, whether the server got it); its bytes are read so many turns before `close`."""
+    """Runs `close` the given number of loop iterations after a second request was read.
+
+    Returns the response to that request, and whether the server got it.
+    """
     path.front.apply_limits(Limits())
     reader, writer, connection = await answered_connection(path)
     path.front._sweep(asyncio.get_running_loop().time())
@@ -83,9 +89,10 @@
 
 @pytest.mark.parametrize("turn_count", range(MAX_TURNS_BEFORE_CLOSE))
 @pytest.mark.parametrize("close", [sweep_resting, sweep_slow_heads, stop_accepting])
-def test_a_request_that_was_read_is_answered_or_not_passed_on(close, turn_count):
-    """Given a request whose bytes are read on a connection that this node is about to close, whatever the turn of the loop, its
-    client gets a whole answer, or no server gets the request."""
+def test_request_read_before_a_close_is_answered_or_not_forwarded(close, turn_count):
+    """A request read on a connection that this node is about to close, at any event loop iteration, gets a complete
+    response or reaches no server.
+    """
 
     async def story(path, peer):
         answer, was_passed_on = await sent_just_before(path, peer, close, turn_count)
@@ -100,9 +107,10 @@
 
 @pytest.mark.parametrize("turn_count", [0, 1])
 @pytest.mark.parametrize("reason", [ConnectionEnd.IDLE, ConnectionEnd.SLOW_HEAD, ConnectionEnd.LEAVING])
-def test_a_request_on_a_connection_that_was_closed_here_before_it_began_is_not_passed_on(reason, turn_count):
-    """Given a request whose bytes were read, and a close that does not ask what is on the connection, no server gets the request: its
-    client, who gets no answer, may send it again."""
+def test_request_on_a_connection_closed_by_this_node_before_it_started_is_not_forwarded(reason, turn_count):
+    """If a connection is closed regardless of a request read on it, no server gets the request: its client gets no
+    response and may resend it.
+    """
 
     async def story(path, peer):
         _, writer, connection = await answered_connection(path)
@@ -119,8 +127,8 @@
 
 @pytest.mark.parametrize("turn_count", range(TURNS_OF_TWO_REQUESTS))
 @pytest.mark.parametrize("close", [sweep_resting, stop_accepting])
-def test_requests_that_were_read_together_are_answered_or_not_passed_on(close, turn_count):
-    """Given two requests whose bytes are read at once, the first is answered, and the second is answered or reaches no server."""
+def test_pipelined_requests_are_answered_or_not_forwarded(close, turn_count):
+    """Of two requests read at once, the first is answered, and the second is answered or reaches no server."""
 
     async def story(path, peer):
         reader, writer, connection = await answered_connection(path)
@@ -139,9 +147,10 @@
 
 
 @pytest.mark.parametrize("close", [sweep_resting, stop_accepting])
-def test_a_request_that_has_reached_this_node_unread_is_answered(close):
-    """Given a request that lies in the kernel's buffer of a connection which this node is about to close, its client gets a whole
-    answer: a busy turn of the loop, in which nothing is read, must not cut what came in during it."""
+def test_request_unread_in_the_kernel_buffer_is_answered(close):
+    """A request that is unread in the kernel's buffer when its connection is about to be closed gets a complete
+    response. A long event loop iteration, in which nothing is read, must not lose requests that arrived during it.
+    """
 
     async def story(path, peer):
         path.front.apply_limits(Limits())
@@ -158,9 +167,10 @@
     assert (status, body, is_whole) == (200, b"done", True) and requests == ["q1", "q2"]
 
 
-def test_the_close_of_a_connection_with_a_request_on_it_is_logged_with_its_cause():
-    """Given a head that never comes whole, and a connection that rests, the end of the former is a warning that says why; both are
-    counted."""
+def test_closing_a_connection_with_a_request_logs_the_reason():
+    """The close of a connection with an incomplete head is logged as a warning with the reason; the close of an idle
+    one is only counted.
+    """
     lines = []
 
     async def story(path, peer):
@@ -182,9 +192,10 @@
     assert level == "warning" and fields["by"] == ConnectionEnd.SLOW_HEAD and fields["state"] == "reading"
 
 
-def test_bytes_that_come_in_too_late_for_a_close_are_told_as_unread():
-    """Given a client whose request comes in after its connection was told to close, no server gets it, and a line says how many
-    bytes were left unread."""
+def test_bytes_received_after_a_close_are_logged_as_unread():
+    """A request that arrives after its connection was closed reaches no server, and a log line gives the number of
+    unread bytes.
+    """
     lines = []
 
     async def story(path, peer):
@@ -208,7 +219,7 @@
 
 
 class SeriesClient:
-    """A client on one connection at a time; it writes its next request whether its connection still stands or not."""
+    """A client with one connection at a time; it writes its next request even if the server is closing the connection."""
 
     def __init__(self):
         self.answered = []
@@ -233,7 +244,10 @@
 
 
 async def play_series(path, peer, seed):
-    """Requests, sweeps whose clock runs ahead, and changes of the limits, at random turns of the loop; the node stops in between."""
+    """Sends requests, sweeps with a clock that runs ahead, and changes limits at random loop iterations.
+
+    The node stops accepting connections halfway through. Returns the ids of the answered requests.
+    """
     random, clients, number = Random(seed), [SeriesClient() for _ in range(CLIENTS)], 0
     stops_at = random.randrange(STEPS // 2, STEPS)
     ahead = 0.0
@@ -243,7 +257,7 @@
         free = [client for client in clients if not client.is_waiting]
         for client in random.sample(free, min(len(free), random.randrange(4))):
             number += 1
-            with contextlib.suppress(OSError):  # the node has stopped
+            with contextlib.suppress(OSError):  # the node no longer accepts connections
                 await client.ask(path, number)
         await turns(random.randrange(MOST_TURNS_BETWEEN))
         if random.random() < 0.5:
@@ -261,9 +275,10 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_whatever_ends_connections_at_whatever_turn_what_a_server_ran_is_answered(seed):
-    """Given clients on kept connections, sweeps by a clock that runs ahead, limits that change, and a node that stops, all at random
-    turns of the loop, each request that a server got has its answer, and some were answered."""
+def test_every_request_that_a_server_ran_is_answered_at_random_closes(seed):
+    """Clients send requests on kept connections while sweeps, limit changes and a shutdown happen at random event loop
+    iterations. Each request that a server received must be answered, and some must be answered at all.
+    """
 
     async def story(path, peer):
         answered = await play_series(path, peer, seed)
--- a/tests/transport/test_http_client.py
+++ b/tests/transport/test_http_client.py
@@ -1,4 +1,6 @@
-"""The fetcher over real sockets: what its failures promise, and that no answer is read as another call's (docs/design/transport.md, docs/design/failures.md)."""
+"""HTTP client over real sockets: what its failures guarantee, and that no response is taken for that of another call
+(docs/design/transport.md, docs/design/failures.md).
+"""
 
 import asyncio
 import socket
@@ -12,15 +14,15 @@
 from sumachook.host.events import CallFailed, RequestSent, ResponseReceived
 from sumachook.transport.http_client import HttpClient
 
-BOUND = 8.0  # seconds for one story
+BOUND = 8.0  # time limit of a scenario in seconds
 SOON = timedelta(seconds=2)
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-SILENT = b""  # a server that is at work
+SILENT = b""  # a server that has not responded yet
 TAKEN = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
 
 class Peer:
-    """A raw server: `answers` are written in turn, None closes the connection; it keeps which connection each request came on."""
+    """A raw server that writes `answers` in turn, None to close the connection; records the connection of each request."""
 
     def __init__(self, *answers):
         self.answers, self.requests, self.connections, self.writers = list(answers), [], 0, []
@@ -49,7 +51,7 @@
 
 
 class Line:
-    """A fetcher, and what it tells of each call."""
+    """An HTTP client that records the events of each call."""
 
     def __init__(self):
         self.http_client, self.heard, self.done, self.task = HttpClient(self._hear), {}, {}, None
@@ -60,7 +62,7 @@
             self.done[event.call_id].set()
 
     async def call(self, call, address, method="POST", connect=SOON):
-        """The last that is told of a call."""
+        """Runs a call; returns its last event."""
         self.done[call] = asyncio.Event()
         self.http_client.fetch(Fetch(call, method, f"http://{address}/x", {}, b"", connect, SOON, "whole"))
         await self.done[call].wait()
@@ -88,8 +90,8 @@
     return ("provision", 1, number)
 
 
-def test_a_connection_that_is_refused_promises_that_nothing_was_sent():
-    """Given a port where nobody listens, the call fails before its first byte and was never told as sent."""
+def test_refused_connection_reports_that_nothing_was_sent():
+    """A call to a closed port fails as refused and emits no `RequestSent`."""
 
     async def story(line, peer):
         with socket.socket() as unheard:
@@ -102,8 +104,9 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_a_connection_that_is_closed_after_the_send_promises_nothing_and_nothing_is_sent_again(method):
-    """Given a server that closes without an answer, the call may have run, and the library sends it no second time, whatever its method."""
+def test_connection_closed_after_sending_may_have_run_and_is_not_retried(method):
+    """If the server closes without a response, the call counts as possibly run, and aiohttp retries it for no method.
+    """
 
     async def story(line, peer):
         return await line.call(order(1), peer.address, method), line.heard[order(1)], peer.requests
@@ -113,8 +116,8 @@
     assert heard[0] == RequestSent(order(1), False) and len(requests) == 1
 
 
-def test_a_failure_after_the_first_byte_never_passes_for_one_before_it():
-    """Given errors that a library raises while it connects, they count as such only for a call of which no byte went out."""
+def test_failure_after_the_first_byte_is_not_reported_as_a_connect_failure():
+    """Connection errors of aiohttp count as such only for a call that has sent no byte."""
     key = aiohttp.client_reqrep.ConnectionKey("h", 1, False, None, None, None, None)
     errors = {
         aiohttp.ConnectionTimeoutError(): CallFailure.CONNECT_TIMEOUT,
@@ -128,8 +131,8 @@
         assert not http_client._classify_failure(order(1), error).was_before_first_byte
 
 
-def test_orders_and_reports_never_share_a_connection_and_each_keep_their_own():
-    """Given orders and reports to one server in turn, whose answers bear no id, each kind has one connection of its own."""
+def test_orders_and_reports_never_share_a_connection():
+    """Orders and reports to one server, whose responses carry no id, each reuse one connection of their own."""
 
     async def story(line, peer):
         for number in range(6):
@@ -147,8 +150,8 @@
 
 
 @pytest.mark.parametrize("surplus", [TAKEN, TAKEN[:20], b"x"])
-def test_bytes_that_come_between_two_orders_are_never_read_as_the_answer_to_the_second(surplus):
-    """Given a server that sends more while nothing is asked, its connection is given up, and the next order has its own answer on a new one."""
+def test_bytes_received_between_two_orders_are_not_read_as_the_second_response(surplus):
+    """Bytes received on an idle connection close it, and the next order gets its own response on a new connection."""
 
     async def story(line, peer):
         first = await line.call(order(1), peer.address)
@@ -161,8 +164,8 @@
     assert play(story, TAKEN, OK) == (202, 200, 2)
 
 
-def test_nothing_is_told_of_a_call_that_was_called_off():
-    """Given a call that is called off while its server works, nothing more is heard of it."""
+def test_cancelled_call_emits_no_events():
+    """A call cancelled while its server works emits no further events, even if the response arrives."""
 
     async def story(line, peer):
         task = asyncio.get_running_loop().create_task(line.call(order(1), peer.address))
@@ -179,9 +182,10 @@
 
 
 @pytest.mark.parametrize("turns", range(1, 9))
-def test_a_call_that_is_called_off_before_it_was_told_as_sent_never_arrives(turns):
-    """Given a call that is called off some turns of the loop after it began, about when its connection stands, it arrives only if it was told
-    as sent before: who was told "not run" is told the truth."""
+def test_call_cancelled_before_request_sent_never_reaches_the_server(turns):
+    """A call cancelled at any loop iteration around the connect reaches the server only if `RequestSent` was emitted
+    before. Otherwise a request reported as not run would have run.
+    """
 
     async def story(line, peer):
         task = asyncio.get_running_loop().create_task(line.call(order(1), peer.address))
@@ -198,14 +202,14 @@
     assert (was_told or arrivals == 0) and is_told == was_told
 
 
-# connections that are given up ---------------------------------------------------------------
+# timed-out calls ---------------------------------------------------------------
 
 GIVEN_UP_AFTER = timedelta(seconds=0.2)
 GIVEN_UP, CLOSED = "reset", "closed"
 
 
 async def _end_of_a_request_without_an_answer(tid):
-    """How the connection of a request ends, as its server sees it, when the request is given up; the server answers nothing."""
+    """Returns how the server sees the connection of a request end when the request times out without a response."""
     ends, told = asyncio.Queue(), asyncio.Queue()
 
     async def serve(reader, writer):
@@ -235,15 +239,17 @@
 
 
 @pytest.mark.parametrize("tid, end", [(("provision", 7, 1), GIVEN_UP), (("lookup", 1), CLOSED)])
-def test_an_order_that_is_given_up_resets_its_connection_so_that_no_cut_delivers_it_later(tid, end):
-    """Given a server that is silent, an order's connection is reset at its timeout: what a cut still holds of it is lost with it.
-    A lookup's is closed."""
+def test_timed_out_order_resets_its_connection(tid, end):
+    """The connection of a timed-out order is reset, so that bytes delayed by a partition are not delivered when it
+    heals. The connection of a lookup is closed normally.
+    """
     assert asyncio.run(_end_of_a_request_without_an_answer(tid)) == end
 
 
-def test_a_call_that_fails_in_a_way_that_nobody_foresaw_is_told_like_any_other():
-    """Given a header that the library cannot write, and an error that is none of the network's, the call's failure is told: what waits
-    for it would otherwise wait for its whole time."""
+def test_unexpected_exception_is_reported_as_call_failure():
+    """An exception that is no network error, here a header that aiohttp cannot write, is reported as a failed call;
+    otherwise the caller would wait until its own timeout.
+    """
 
     async def story(line, peer):
         line.done[order(1)] = asyncio.Event()
@@ -256,9 +262,10 @@
     assert isinstance(play(story), CallFailed)
 
 
-def test_calls_under_way_when_their_client_is_stopped_are_told():
-    """Given a call whose server is at work when the client's task ends, as when it is started again, its failure is told, and that it
-    may have run; one that was called off tells nothing more."""
+def test_running_calls_are_reported_as_failed_when_the_client_stops():
+    """When the client's task ends, as on a restart of it, a running call is reported as failed and possibly run; a
+    cancelled one emits nothing more.
+    """
 
     async def story(line, peer):
         for number in (1, 2):
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -1,4 +1,4 @@
-"""The door: what it takes for a request, how its answers end, and its sweep over connections, by a clock of its own (docs/design/transport.md)."""
+"""HTTP server: which requests it accepts, how responses end, and the sweep of idle connections (docs/design/transport.md)."""
 
 import asyncio
 
@@ -10,13 +10,13 @@
 from sumachook.transport.addresses import split_address
 from sumachook.transport.http_server import IDLE_TIMEOUT, MAX_BODY_BYTES, HttpServer
 
-BOUND, START = 8.0, 1000.0  # seconds for one story; where its clock begins
+BOUND, START = 8.0, 1000.0  # time limit of a scenario in seconds; time of the first sweep
 LONG = IDLE_TIMEOUT.total_seconds()
 ASKED = b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
 
 
 class Hall:
-    """A door whose machine keeps what it hears and answers when it is told to; its own sweep's clock is left alone."""
+    """An HTTP server that records its events and responds only on `answer`; tests call its sweep with their own clock."""
 
     def __init__(self):
         self.messages, self.http_server, self.task = (
@@ -35,7 +35,7 @@
         await asyncio.gather(self.task, return_exceptions=True)
 
     async def connect(self, raw=b""):
-        """(reader, writer) once the door knows the connection, and has read what was written."""
+        """Connects and writes `raw`; returns (reader, writer) once the server has accepted the connection and read it."""
         before = len(self.http_server.server.connections)
         reader, writer = await asyncio.open_connection(*split_address(self.http_server.address))
         while len(self.http_server.server.connections) == before:
@@ -62,16 +62,17 @@
 
 
 async def _has_ended(reader):
-    """Whether the connection was closed with nothing more on it; the end is told within a few turns."""
+    """Whether the connection was closed without further data, which shows within a few loop iterations."""
     for _ in range(20):
         await asyncio.sleep(0)
     return reader.at_eof()
 
 
 @pytest.mark.parametrize("raw", [b"", b"POST /x HT", ASKED[:-20]])
-def test_a_connection_without_a_whole_head_is_closed_after_the_idle_time(raw):
-    """Given a connection with nothing on it or with half a head, it stays for the idle time and is then closed; its machine hears
-    of nothing."""
+def test_connection_without_complete_head_is_closed_after_the_idle_timeout(raw):
+    """A connection with no bytes or an incomplete head is closed after the idle timeout, not before, and emits no
+    event.
+    """
 
     async def story(hall):
         reader, _ = await hall.connect(raw)
@@ -86,12 +87,12 @@
     play(story)
 
 
-def test_a_connection_in_use_is_never_swept_and_is_idle_only_from_its_answer_on():
-    """Given a request that is answered only long after, its connection stands until then, and for the idle time after that."""
+def test_connection_in_use_is_never_closed_and_is_idle_only_after_its_response():
+    """A connection stays open until its late response is written; its idle timeout counts from then on."""
 
     async def story(hall):
         reader, writer = await hall.connect()
-        hall.http_server._sweep(START)  # idle before its first request: that time does not count on
+        hall.http_server._sweep(START)  # idle before its first request; that time must not count later
         writer.write(ASKED)
         await hall.heard(1)
         for turn in range(1, 20):
@@ -107,7 +108,7 @@
         hall.answer(2)
         assert (await reader.readuntil(b"ok")).startswith(b"HTTP/1.1 200 ")
         hall.http_server._sweep(START + 21 * LONG + 1)
-        hall.http_server._sweep(START + 22 * LONG + 0.5)  # the idle time began anew
+        hall.http_server._sweep(START + 22 * LONG + 0.5)  # the idle timeout has restarted
         assert not await _has_ended(reader)
         hall.http_server._sweep(START + 22 * LONG + 1.1)
         assert await _has_ended(reader) and [type(event) for event in hall.messages] == [HttpRequestReceived] * 2
@@ -115,11 +116,11 @@
     play(story)
 
 
-# requests and answers ----------------------------------------------------------------------
+# requests and responses ----------------------------------------------------------------------
 
 
 async def _with_http_server(answers, story):
-    """Runs `story(address, messages)` against a door whose machine answers by path."""
+    """Runs `story(address, messages)` against a server that responds with the effects given for each path."""
     messages = []
 
     def hear(message):
@@ -146,7 +147,7 @@
     return answer
 
 
-def test_a_dropped_stream_has_no_closing_chunk_and_a_whole_one_has():
+def test_only_a_complete_stream_ends_with_the_final_chunk():
     begin = [(BeginResponse, 200, {"Content-Type": "text/event-stream"}), (SendChunk, b"data: 1\n\n")]
     answers = {"/cut": [*begin, (AbortResponse,)], "/whole": [*begin, (EndResponse,)]}
 
@@ -159,7 +160,7 @@
     assert b"data: 1" in whole and whole.endswith(b"0\r\n\r\n")
 
 
-def test_garbage_and_too_large_bodies_get_json_and_reach_no_machine():
+def test_invalid_requests_and_large_bodies_get_json_errors_and_emit_no_event():
     async def story(address, messages):
         garbage = await _raw(address, b"NONSENSE\r\n\r\n")
         size = MAX_BODY_BYTES + 1
--- a/tests/transport/test_kept_connections.py
+++ b/tests/transport/test_kept_connections.py
@@ -1,4 +1,6 @@
-"""Connections to servers that are kept, over real sockets: which calls may use one, and what never comes out of one (docs/design/transport.md)."""
+"""Reuse of connections to servers, over real sockets: which calls may reuse one, and that no response is mixed up
+(docs/design/transport.md).
+"""
 
 import asyncio
 import socket
@@ -8,10 +10,11 @@
 from tests.transport.proxy_fixtures import head, play, reset, sealed
 
 
-def test_a_kept_connection_that_the_server_closed_is_no_loss():
-    """Given a server that closes a kept connection just as it is used again, the repeatable request is answered all the same, and
-    each arrival was the machine's own sending; what may not run twice goes on a connection that was used just before, and after
-    any longer rest, in which the server may have forgotten it unseen, on a new one."""
+def test_request_survives_a_kept_connection_closed_by_the_server():
+    """When a server closes a kept connection just as it is reused, a repeatable request is resent, by the state machine
+    only. A non-repeatable request reuses a connection only right after its last use; after a longer idle time, in which
+    the server may have dropped the connection, it gets a new one.
+    """
 
     async def once_each(server, request, reader, writer):
         if server.connections == 1 and len(server.requests) == 2:
@@ -33,16 +36,17 @@
 
 
 def rest(path, seconds):
-    """All kept connections have rested for so much longer."""
+    """Makes all kept connections appear idle for the given additional seconds."""
     for kept in path.streaming_client.connector._conns.values():
         resting = [(protocol, released_at - seconds) for protocol, released_at in kept]
         kept.clear()
         kept.extend(resting)
 
 
-def test_a_server_that_forgets_what_rests_though_its_kernel_answers_probes_costs_no_request_that_may_run_once():
-    """Given a server that resets whatever comes on a connection that rested for 0.3 s, and whose kernel knows the connection for as
-    long as it stands, requests that may run only once are all answered, however long they come after each other."""
+def test_non_repeatable_requests_survive_a_server_that_drops_idle_connections():
+    """The server resets requests on connections idle for 0.3 s, while its kernel still answers keep-alive probes.
+    Non-repeatable requests are all answered, whatever the time between them.
+    """
 
     async def forgetful(server, request, reader, writer):
         if writer in server.rested:
@@ -63,9 +67,10 @@
     assert play(story, forgetful) == ([200] * 6, 6)
 
 
-def test_what_may_not_run_twice_and_is_cut_on_a_kept_connection_is_not_sent_again():
-    """Given a server that resets a kept connection as it is used again, the request is answered as one that may have run, and is not
-    sent a second time."""
+def test_non_repeatable_request_reset_on_a_kept_connection_is_not_resent():
+    """A non-repeatable request that is reset on a kept connection may have run: its client gets 502 and it is not
+    resent.
+    """
 
     async def cut(server, request, reader, writer):
         if len(server.requests) == 2:
@@ -82,9 +87,10 @@
     assert play(story, cut) == (200, 502, ["q1", "q2"], 1)
 
 
-def test_a_connection_is_used_no_longer_than_its_server_says_and_no_more_are_kept_than_allowed():
-    """Given a server that keeps connections for five seconds, one that rested for more than four is not used; of six that were in
-    use at once no more are kept than the edge's part."""
+def test_keep_alive_timeout_of_the_server_and_connection_limit_are_respected():
+    """A connection idle for more than four of the five seconds that its server announces is not reused. Of six
+    connections in use at once, no more are kept than the edge's share.
+    """
     everybody = asyncio.Event()
 
     async def kept(server, request, reader, writer):
@@ -121,8 +127,9 @@
     ],
 )
 def test_surplus_bytes_never_reach_another_request(surplus, is_at_once):
-    """Given a server that sends more after a whole answer, at once or while its kept connection is idle, the next request has its own
-    answer whole, and nothing of the surplus reaches any client."""
+    """If a server sends more bytes after a complete response, at once or while the connection is idle, the next request
+    gets its own complete response, and no client gets the surplus bytes.
+    """
     done = asyncio.Event()
 
     async def chatty(server, request, reader, writer):
@@ -139,7 +146,7 @@
     async def story(path, peer):
         answers = [await path.ask("/plain/x", number=1)]
         done.set()
-        for _ in range(20):  # the surplus comes in while nothing is asked
+        for _ in range(20):  # the surplus bytes arrive while the connection is idle
             await asyncio.sleep(0)
         answers += [await path.ask("/plain/x", number=number) for number in (2, 3)]
         return answers, len(peer.requests), path.forwards
@@ -150,13 +157,14 @@
         (200, b"q2"),
         (200, b"q3"),
     ] and arrivals == forwards
-    assert is_at_once or forwards == 3  # what came while the connection was idle costs nobody a try
+    assert is_at_once or forwards == 3  # surplus bytes on an idle connection cost no attempt
 
 
 @pytest.mark.parametrize("status", [b"503 Full", b"200 OK"])
-def test_an_answer_without_an_id_is_not_believed_on_a_connection_that_was_used_before(status):
-    """Given a kept connection on which a surplus answer without an id takes the place of the one due, sealed or a word that it was not
-    run, the request is asked again, and its own record says that it may have run there."""
+def test_response_without_an_id_is_rejected_on_a_reused_connection(status):
+    """On a reused connection, a surplus response without an id arrives instead of the expected one, either sealed or
+    marked as not run. The request is resent, and its ledger record says that it may have run there.
+    """
 
     async def mixed(server, request, reader, writer):
         if len(server.requests) == 2:
@@ -174,9 +182,10 @@
     assert [[fault for _, fault, _ in each] for each in tries] == [[""], ["reset", ""]]
 
 
-def test_the_silence_of_a_path_ends_only_what_can_go_on_elsewhere():
-    """Given a request that may run once and one that may run twice, both with a server, only the connection of the second is given up
-    when nothing on it is acknowledged for a while."""
+def test_tcp_timeouts_apply_only_to_repeatable_requests():
+    """The timeout of unacknowledged bytes is set on the connection of a repeatable request, which can be retried
+    elsewhere, and not on that of a non-repeatable one.
+    """
     bounds, both = {}, asyncio.Event()
 
     async def silent(server, request, reader, writer):
@@ -201,8 +210,8 @@
     assert bounds["once"] == 0 < bounds["plain"]
 
 
-def test_a_second_answer_in_the_place_of_the_next_is_told_by_its_id():
-    """Given a server that answers a repeatable request on a kept connection with what belongs to another, it is asked again."""
+def test_second_response_in_place_of_the_next_is_detected_by_its_id():
+    """If the response on a kept connection carries the id of another request, a repeatable request is resent."""
 
     async def mixed(server, request, reader, writer):
         if len(server.requests) == 2:
--- a/tests/transport/test_node_transport.py
+++ b/tests/transport/test_node_transport.py
@@ -1,8 +1,7 @@
-"""The sockets between nodes at the end of a process (docs/design/transport.md).
+"""Sockets between nodes during shutdown (docs/design/transport.md).
 
-The story: a node was told to leave for a second time, or to read its settings again, while its tasks were being ended. What its machine
-then had to say to other nodes went to a socket that was closed already: an error out of the signal's callback, and the rest of the
-effects was dropped.
+A second signal to leave, or to reload the settings, can arrive while the tasks of a node are being cancelled. Messages that
+the node sent then went to a closed socket: the signal's callback raised, and the remaining effects were dropped.
 """
 
 import asyncio
@@ -14,8 +13,8 @@
 TURNS = 20
 
 
-def test_what_is_sent_after_the_sockets_are_closed_is_dropped():
-    """Given a transport whose task has ended, a message and a datagram to another node are dropped, and no connection is begun."""
+def test_messages_sent_after_shutdown_are_dropped():
+    """After the transport's task has ended, messages and datagrams are dropped without an error or a new connection."""
 
     async def run():
         transport = NodeTransport(free_address(), "c", lambda event: None)
--- a/tests/transport/test_proxy_sockets.py
+++ b/tests/transport/test_proxy_sockets.py
@@ -1,4 +1,6 @@
-"""Front, Transit and Forwarder over real sockets, between raw clients and raw servers (docs/design/forwarding.md)."""
+"""Proxy server, pipeline and streaming client over real sockets, between raw clients and raw servers
+(docs/design/forwarding.md).
+"""
 
 import asyncio
 import gzip
@@ -21,7 +23,7 @@
     well,
 )
 
-# what goes through ---------------------------------------------------------------------
+# forwarding of valid requests and responses ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -40,8 +42,10 @@
         '/once/x?a[]=1|2"',
     ],
 )
-def test_the_raw_path_and_query_reach_the_server_unchanged(target):
-    """Given percent signs of either case, double slashes, dots, empty and odd queries, the server's request line is the client's."""
+def test_raw_path_and_query_reach_the_server_unchanged(target):
+    """Percent escapes of either case, double slashes, dots and unusual queries reach the server as the client sent
+    them.
+    """
 
     async def story(path, peer):
         assert (await path.ask(target))[0] == 200
@@ -52,8 +56,10 @@
 
 
 @pytest.mark.parametrize("target", ["/once/x#part", "/once/x?a#part", "/once/x?", "/once/#"])
-def test_what_cannot_go_through_unchanged_is_refused_and_never_sent(target):
-    """Given a target with a fragment, which no client may send, or an empty query, it reaches no server in another form."""
+def test_targets_that_cannot_be_forwarded_unchanged_are_rejected(target):
+    """A target with a fragment, which no client may send, or with an empty query never reaches a server in another
+    form.
+    """
 
     async def story(path, peer):
         status = (await path.ask(target))[0]
@@ -70,9 +76,8 @@
         b"POST /once/x HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: gzip, chunked\r\n",
     ],
 )
-def test_methods_fields_and_codings_that_cannot_go_through_are_refused_and_never_sent(raw):
-    """Given a CONNECT, a field that is no UTF-8 or a coding of the transfer other than chunks, the client gets 400, and no server sees
-    the request in another form."""
+def test_methods_headers_and_codings_that_cannot_be_forwarded_unchanged_are_rejected(raw):
+    """A CONNECT, a header that is not UTF-8, and a transfer coding other than chunked get 400 and reach no server."""
 
     async def story(path, peer):
         body = b"0\r\n\r\n" if b"chunked" in raw else b""
@@ -82,8 +87,8 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "PURGE"])
-def test_methods_and_bodies_with_a_length_pass(method):
-    """Given any method, with and without a body, the server sees that method and that body, and the client that answer."""
+def test_methods_and_bodies_with_a_length_are_forwarded(method):
+    """Any method, with and without a body, reaches the server unchanged, and its client gets the server's response."""
 
     async def story(path, peer):
         sent = bytes(range(256)) * 40
@@ -96,9 +101,10 @@
     assert bodies == [b"", bytes(range(256)) * 40] and lines == [f"{method} /once/x HTTP/1.1"] * 2
 
 
-def test_bodies_in_chunks_and_long_ones_pass_whole():
-    """Given a body in chunks of many sizes, one that says it is compressed and one of four million bytes, the server gets just these,
-    and its long answer comes back."""
+def test_chunked_compressed_and_long_bodies_are_forwarded_complete():
+    """A body in chunks of many sizes, a compressed one and one of four million bytes reach the server unchanged, and so
+    does a long response reach the client.
+    """
 
     async def echo(server, request, reader, writer):
         writer.write(sealed(request, request.body))
@@ -125,8 +131,9 @@
     play(story, echo)
 
 
-def test_header_pairs_that_repeat_pass_both_ways():
-    """Given pairs that repeat, and bytes beyond ASCII, on either way, all arrive in their order; those of one connection do not."""
+def test_repeated_header_fields_are_forwarded_both_ways():
+    """Repeated header fields and non-ASCII values arrive in order in both directions; hop-by-hop headers are removed.
+    """
 
     async def answer(server, request, reader, writer):
         writer.write(
@@ -162,8 +169,8 @@
     play(story, answer)
 
 
-def test_a_packed_body_of_an_error_passes_byte_for_byte():
-    """Given a 404 whose body its server packed, the client gets these very bytes under the encoding that names them."""
+def test_compressed_error_body_is_forwarded_byte_for_byte():
+    """The client gets the compressed body of a 404 unchanged, with its Content-Encoding."""
     packed = gzip.compress(b"no such record " * 50)
 
     async def answer(server, request, reader, writer):
@@ -177,8 +184,8 @@
     assert (status, body, is_whole) == (404, packed, True) and dict(headers)[b"Content-Encoding"] == b"gzip"
 
 
-def test_many_requests_pass_on_one_connection():
-    """Given a client that keeps its connection, each of its requests gets its own answer, in turn."""
+def test_many_requests_are_answered_in_turn_on_one_connection():
+    """Each request of a client that keeps its connection gets its own response, in order."""
 
     async def echo(server, request, reader, writer):
         writer.write(sealed(request, request.id.encode()))
@@ -199,8 +206,10 @@
     play(story, echo)
 
 
-def test_events_pass_as_they_come():
-    """Given a stream whose server waits for the client to have read each event, all pass, then the end; the answer is whole."""
+def test_server_sent_events_are_forwarded_as_they_arrive():
+    """The server sends each event only after the client has read the previous one, so buffering would block the stream;
+    all events arrive, and the response is complete.
+    """
     read = asyncio.Event()
 
     async def stream(server, request, reader, writer):
@@ -225,9 +234,10 @@
     assert (status, body, is_whole) == (200, b"".join(map(event, range(1, 6))), True)
 
 
-def test_a_change_of_the_configuration_costs_no_request():
-    """Given a request, a stream and an idle kept connection, a change that moves, adds and drops routes ends none of them: what is in hand
-    is finished as it began, and the kept connection is served by the new routes."""
+def test_configuration_change_interrupts_no_request():
+    """A change that moves, adds and removes routes ends no request, stream or idle connection: requests in progress
+    complete under the old routes, and the kept connection is served by the new ones.
+    """
     begun, go_on = asyncio.Event(), asyncio.Event()
 
     async def slow(server, request, reader, writer):
@@ -268,7 +278,7 @@
     )
 
 
-# what servers do wrong ----------------------------------------------------------------------
+# faulty servers ----------------------------------------------------------------------
 
 
 async def _short_length(server, request, reader, writer):
@@ -384,9 +394,10 @@
 
 @pytest.mark.parametrize("method", ["GET", "POST", "PUT"])
 @pytest.mark.parametrize("wrong", WRONG)
-def test_an_answer_that_is_not_whole_is_none_and_what_may_not_run_twice_is_sent_once(wrong, method):
-    """Given an answer that is cut, torn, garbage or of unknown end, the client gets a whole answer that says that this node failed and
-    promises nothing; the server has seen the request once, whatever its method, and it was sent once."""
+def test_incomplete_response_gives_502_and_a_non_repeatable_request_is_sent_once(wrong, method):
+    """If the server's response is truncated, malformed or of unknown length, the client gets a complete 502 that does
+    not claim that the request has not run. The server sees the request once, whatever its method.
+    """
 
     async def story(path, peer):
         return await path.ask(method=method), len(peer.requests), path.forwards
@@ -395,9 +406,10 @@
     assert status == 502 and is_whole and b"half" not in body and (arrivals, forwards) == (1, 1)
 
 
-def test_a_success_that_says_it_was_not_run_is_no_promise():
-    """Given a sealed success that bears the mark of what did not run, it contradicts itself: nothing is sent again, and the client is never
-    told that it has not run."""
+def test_not_run_mark_on_a_success_is_ignored():
+    """A sealed success marked as not run contradicts itself: the request is not resent, and its client is never told
+    that it has not run.
+    """
 
     async def marked(server, request, reader, writer):
         writer.write(sealed(request, b"done", b"X-Not-Run: 1\r\n"))
@@ -410,9 +422,10 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST", "DELETE"])
-def test_nothing_is_sent_again_that_the_machine_did_not_send(method):
-    """Given servers that close each connection on a request, also a kept one, a repeatable request arrives as often as the machine
-    sent it, no more, and each resend after the first cost credit."""
+def test_only_the_state_machine_resends_requests(method):
+    """If servers close each connection on a request, a repeatable request arrives only as often as the state machine
+    sent it, and each retry costs retry budget.
+    """
 
     async def story(path, *peers):
         status = (await path.ask("/plain/x", method=method))[0]
@@ -424,8 +437,8 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "torn event", "length"])
-def test_a_stream_that_is_cut_never_looks_whole(how):
-    """Given a stream that may not be resumed and breaks after two events, the client has these and no closing chunk."""
+def test_interrupted_stream_never_looks_complete(how):
+    """A non-resumable stream that breaks after two events reaches the client without the final chunk."""
 
     async def cut(server, request, reader, writer):
         if how == "length":
@@ -449,8 +462,8 @@
     )
 
 
-def test_a_resumed_stream_is_one_answer():
-    """Given a resumable stream that two servers break in turn, the client has all events once in one whole answer."""
+def test_resumed_stream_is_one_complete_response():
+    """If two servers in turn break a resumable stream, the client gets each event once in one complete response."""
 
     async def part(server, request, reader, writer):
         first = int((request.get("Last-Event-Id") or ["0"])[0]) + 1
@@ -472,8 +485,9 @@
     assert [name.lower() for name, _ in headers].count(b"x-server-seal") == 1
 
 
-def test_a_port_where_nobody_listens_was_never_sent_to():
-    """Given one server whose port is dead, what may not run twice is answered by the other and was sent there alone."""
+def test_refused_connection_is_retried_on_another_server():
+    """If the port of one server is closed, non-repeatable requests are answered by the other and were sent only there.
+    """
 
     async def story(path, gone, peer):
         gone.listener.close()
@@ -484,11 +498,11 @@
     assert play(story, well, well) == ([200] * 6, 6, 0)
 
 
-# what clients do ------------------------------------------------------------------------------
+# faulty and slow clients ------------------------------------------------------------------------------
 
 
-def test_a_client_that_hangs_up_takes_its_request_along():
-    """Given a client that goes away while its server works, the connection to the server is closed."""
+def test_client_disconnect_closes_the_server_connection():
+    """When a client disconnects while its server works, the connection to the server is closed."""
     closed = asyncio.Event()
 
     async def slow(server, request, reader, writer):
@@ -525,9 +539,10 @@
         (b"POST /once/x HTTP/1.1\r\nHost: a.example\r\nContent-Length: 99000000\r\n\r\n", (413,)),
     ],
 )
-def test_what_is_no_proper_request_gets_an_error_and_reaches_nobody(raw, statuses):
-    """Given heads that are torn, ambiguous, too long or announce too much, the client gets a 4xx or a closed connection, no server
-    sees anything of it, and other clients are served meanwhile."""
+def test_malformed_request_is_rejected_and_not_forwarded(raw, statuses):
+    """A truncated, ambiguous or too long head, or a too large announced body, gets a 4xx or a closed connection and
+    reaches no server; other clients are served meanwhile.
+    """
 
     async def story(path, peer):
         bad = asyncio.get_running_loop().create_task(path.raw(raw))
@@ -538,8 +553,8 @@
     assert status in statuses and served == ["q5"]
 
 
-def test_a_body_in_chunks_that_never_ends_is_cut_off():
-    """Given a body in chunks beyond the bound, its client gets 413 or loses its connection, and no server sees it."""
+def test_endless_chunked_body_is_rejected():
+    """A chunked body above the limit gets 413 or a closed connection, and no server sees it."""
 
     async def story(path, peer):
         reader, writer = await path.connect()
@@ -558,8 +573,10 @@
     assert play(story, well) == ["q5"]
 
 
-def test_heads_that_come_slowly_hold_up_nobody():
-    """Given clients that stop in the middle of a head or of a body, others are served, and a slow one is too once it goes on."""
+def test_slow_clients_do_not_block_others():
+    """Clients that stall within a head or a body do not block others, and a stalled request is served once it
+    continues.
+    """
 
     async def story(path, peer):
         reader, writer = await path.connect()
@@ -578,9 +595,10 @@
     assert play(story, well) == (b"abcd", 12)
 
 
-def test_heads_as_long_as_clients_may_send_pass():
-    """Given a head of 16,000 bytes, most of it in one field, and one with a long path, both reach the server whole; so does an
-    answer with such a field reach the client."""
+def test_large_heads_within_the_limits_are_forwarded():
+    """A head with a field of 15,000 bytes and one with a long path reach the server complete; a response with a field
+    of 12,000 bytes reaches the client.
+    """
 
     async def answer(server, request, reader, writer):
         writer.write(sealed(request, b"x", b"X-Long: " + b"z" * 12000 + b"\r\n"))
@@ -596,8 +614,9 @@
     assert first.get("X-Long") == ["y" * 15000] and len(second.line) > 15000
 
 
-def test_a_client_that_does_not_read_is_let_go():
-    """Given a client that reads nothing of an endless stream, its connection is dropped and its server's too; others go on."""
+def test_client_that_does_not_read_is_disconnected():
+    """If a client does not read an endless stream, its connection and that of its server are closed; others are served.
+    """
 
     async def flood(server, request, reader, writer):
         if request.line.startswith("POST /once/"):
