--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -98,8 +98,7 @@
 
 
 def test_cores_start_from_stored_folders():
-    """Three cores on the stored folders keep their identity and answer with the stored state, ledger rows and results.
-    """
+    """Three cores on the stored folders keep their identity and answer with the stored state, ledger rows and results."""
     deployment = _running_fleet(1)
     for node in CORES:
         stored, core = EXPECTED[node], deployment.boxes[node].machine
--- a/tests/membership/test_failure_detection.py
+++ b/tests/membership/test_failure_detection.py
@@ -26,7 +26,7 @@
 
 def _run(nodes, start, end, unreachable=()):
     """Runs the nodes from `start` to `end`; returns (node, effect) for each effect that is not a message."""
-    now, told = start, []
+    now, emitted = start, []
     while now < end:
         now += TICK
         pending = [
@@ -38,11 +38,11 @@
         while pending:
             name, effect = pending.pop(0)
             if not isinstance(effect, SendDatagram):
-                told.append((name, effect))
+                emitted.append((name, effect))
             elif effect.address in nodes and effect.address not in unreachable:
                 received = MessageReceived(name, name, effect.message)
                 pending += [(effect.address, answer) for answer in nodes[effect.address].take(received, now)]
-    return told
+    return emitted
 
 
 def test_unreachable_member_is_suspected_then_removed_and_rejoins_with_higher_incarnation():
@@ -52,10 +52,10 @@
     nodes = _three_nodes()
     _run(nodes, timedelta(0), SECOND * 3)
     assert set(nodes["b"].members) == {"a", "c"}
-    told = _run(nodes, SECOND * 3, SECOND * 9, unreachable=("c",))
+    emitted = _run(nodes, SECOND * 3, SECOND * 9, unreachable=("c",))
     statuses = [
         effect.update.status
-        for name, effect in told
+        for name, effect in emitted
         if name == "a" and isinstance(effect, MemberChanged) and effect.update.node == "c"
     ]
     assert statuses == [MemberStatus.SUSPECT, MemberStatus.GONE]
--- a/tests/membership/test_member_updates.py
+++ b/tests/membership/test_member_updates.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "is_taken"),
+    ("changes", "is_applied"),
     [
         ({}, False),
         ({"incarnation": 1, "status": MemberStatus.GONE}, False),
@@ -37,11 +37,11 @@
         ({"incarnation": 3}, True),
     ],
 )
-def test_update_overrides_by_incarnation_then_by_status(changes, is_taken):
+def test_update_overrides_by_incarnation_then_by_status(changes, is_applied):
     """An update of a known member applies if its incarnation is higher, or equal with a status of higher precedence."""
     membership, update = _membership(), OTHER._replace(**changes)
     _apply(membership, OTHER)
-    assert _apply(membership, update) == ([MemberChanged(update)] if is_taken else [])
+    assert _apply(membership, update) == ([MemberChanged(update)] if is_applied else [])
 
 
 @pytest.mark.parametrize("status", [MemberStatus.GONE, MemberStatus.LEFT])
--- a/tests/membership/test_view_comparison.py
+++ b/tests/membership/test_view_comparison.py
@@ -36,14 +36,14 @@
     return membership
 
 
-def hear(membership, sender, message, now=START):
+def receive(membership, sender, message, now=START):
     return membership.take(MessageReceived(sender, f"{sender}:1", message), now)
 
 
 def answer(membership, asker, digest=None):
     """Returns the message with which a node answers the join of `asker`, or None."""
     join = Join((asker.local_member.to_update(),), asker._digest() if digest is None else digest)
-    effects = hear(membership, asker.local_member.node, join)
+    effects = receive(membership, asker.local_member.node, join)
     return next((each.message for each in effects if isinstance(each, SendDatagram)), None)
 
 
@@ -68,14 +68,13 @@
 
 
 def test_answer_to_a_join_lists_only_the_bucket_that_differs():
-    """When the sender of a join lacks one of 200 members, the answer lists that member and only members of its bucket.
-    """
+    """When the sender of a join lacks one of 200 members, the answer lists that member and only members of its bucket."""
     others = [update(f"n{number}") for number in range(MEMBERS)]
     one, other = node("a", update("b"), *others[1:]), node("b", update("a"), *others)
-    told = answer(other, one)
-    assert isinstance(told, ViewDifference) and others[0] in told.updates
-    assert {bucket_of(each.node) for each in told.updates} == {bucket_of("n0")}
-    assert len(told.updates) < MEMBERS / 10
+    reported = answer(other, one)
+    assert isinstance(reported, ViewDifference) and others[0] in reported.updates
+    assert {bucket_of(each.node) for each in reported.updates} == {bucket_of("n0")}
+    assert len(reported.updates) < MEMBERS / 10
 
 
 @pytest.mark.parametrize(
@@ -117,17 +116,17 @@
     """
     one, other = node("a", update("b", MemberStatus.GONE)), node("b", update("a", MemberStatus.GONE))
     for asker, asked in ((one, other), (other, one)):
-        effects = hear(asker, asked.local_member.node, answer(asked, asker))
+        effects = receive(asker, asked.local_member.node, answer(asked, asker))
         assert any(isinstance(each, IncarnationRaised) for each in effects)
-    hear(one, "b", answer(other, one))
+    receive(one, "b", answer(other, one))
     assert one.members["b"].status == MemberStatus.ALIVE
 
 
 def test_join_without_digest_is_answered_with_a_member_list():
     """A node of an earlier version sends no digest and reads only the complete member list."""
     one, other = node("a", update("b")), node("b", update("a"), update("c"))
-    told = answer(other, one, digest=b"")
-    assert isinstance(told, MemberList) and {each.node for each in told.updates} == {"a", "b", "c"}
+    reported = answer(other, one, digest=b"")
+    assert isinstance(reported, MemberList) and {each.node for each in reported.updates} == {"a", "b", "c"}
     raw = Codec("kosice", "a", "a:1", 1).pack(Join((update("a"),)))
     assert read_frame("kosice", raw).message == Join((update("a"),), b"")
 
@@ -141,10 +140,10 @@
 def test_leaving_node_gets_no_answer():
     """A join message that announces a departure gets no answer, also when it is repeated with a higher incarnation."""
     other = node("b", update("a"), *(update(f"n{number}") for number in range(MEMBERS)))
-    assert hear(other, "a", Join((update("a", MemberStatus.LEFT, incarnation=2),))) != []
+    assert receive(other, "a", Join((update("a", MemberStatus.LEFT, incarnation=2),))) != []
     sends = [
         each
-        for each in hear(other, "a", Join((update("a", MemberStatus.LEFT, incarnation=3),)))
+        for each in receive(other, "a", Join((update("a", MemberStatus.LEFT, incarnation=3),)))
         if isinstance(each, SendDatagram)
     ]
     assert sends == [] and other.members["a"].status == MemberStatus.LEFT
@@ -171,38 +170,38 @@
 def test_new_members_from_a_list_are_not_gossiped_but_changes_are():
     """A node that learns of new members and of one change from a view difference gossips only the change."""
     one = node("a", update("b"), update("c"))
-    hear(one, "b", ViewDifference((update("d"), update("e"), update("c", MemberStatus.GONE))))
+    receive(one, "b", ViewDifference((update("d"), update("e"), update("c", MemberStatus.GONE))))
     assert set(one.gossip._transmissions) == {"c"} and {"d", "e"} <= set(one.members)
 
 
 def test_refutation_of_a_list_entry_is_gossiped():
     """A node that learns from a view difference that it is listed as gone gossips its higher incarnation."""
     one = node("a", update("b"))
-    hear(one, "b", ViewDifference((update("a", MemberStatus.GONE),)))
+    receive(one, "b", ViewDifference((update("a", MemberStatus.GONE),)))
     assert [(each.node, each.incarnation, each.status) for each in one._updates()] == [("a", 2, MemberStatus.ALIVE)]
 
 
 def test_outdated_updates_do_not_count_as_transmissions():
     """Outdated updates that still call a removed member alive do not reduce how often its removal is sent."""
     one = node("a", *(update(f"n{number}") for number in range(30)))
-    hear(one, "n1", Ping(1, (update("n5", MemberStatus.GONE),), 0, 0))
+    receive(one, "n1", Ping(1, (update("n5", MemberStatus.GONE),), 0, 0))
     for _ in range(20):
-        hear(one, "n2", ViewDifference((update("n5"),)))
+        receive(one, "n2", ViewDifference((update("n5"),)))
     assert [(each.node, each.status) for each in one._updates()] == [("n5", MemberStatus.GONE)]
 
 
 def test_repeated_updates_count_as_transmissions():
     """Each time another node repeats an update, this node sends it one time less."""
-    silent, told = (node("a", *(update(f"n{number}") for number in range(30))) for _ in range(2))
-    for each in (silent, told):
-        hear(each, "n1", Ping(1, (update("n5", incarnation=2),), 0, 0))
+    unanswered, reported = (node("a", *(update(f"n{number}") for number in range(30))) for _ in range(2))
+    for each in (unanswered, reported):
+        receive(each, "n1", Ping(1, (update("n5", incarnation=2),), 0, 0))
     for _ in range(6):
-        hear(told, "n2", Ping(2, (update("n5", incarnation=2),), 0, 0))
+        receive(reported, "n2", Ping(2, (update("n5", incarnation=2),), 0, 0))
 
-    def tellings(membership):
+    def transmissions(membership):
         return sum(bool(membership._updates()) for _ in range(TRANSMISSION_FACTOR * 10))
 
-    assert tellings(silent) - tellings(told) >= 5
+    assert transmissions(unanswered) - transmissions(reported) >= 5
 
 
 # when joins are sent --------------------------------------------------------------------------------
@@ -210,9 +209,9 @@
 
 def test_starting_edge_asks_one_seed_at_a_time_until_it_knows_all():
     """A starting edge without answers asks one random seed at a time, and none once it knows all seeds."""
-    silent = [addresses for addresses in joins(node("a", seeds=SEEDS), 1.9) if addresses]
-    assert 4 <= len(silent) <= 9 and all(len(addresses) == 1 for addresses in silent)
-    assert {addresses[0] for addresses in silent} <= set(SEEDS) and len({tuple(each) for each in silent}) > 1
+    unanswered = [addresses for addresses in joins(node("a", seeds=SEEDS), 1.9) if addresses]
+    assert 4 <= len(unanswered) <= 9 and all(len(addresses) == 1 for addresses in unanswered)
+    assert {addresses[0] for addresses in unanswered} <= set(SEEDS) and len({tuple(each) for each in unanswered}) > 1
     known = node("a", *(update(seed.removesuffix(":1")) for seed in SEEDS), seeds=SEEDS)
     assert not [address for addresses in joins(known, 1.9)[1:] for address in addresses]
 
@@ -234,7 +233,7 @@
     them.
     """
     one = node("a", update("b"))
-    effects = [effect for number in range(20) for effect in hear(one, f"n{number}", Ping(number, (), 0, 0))]
+    effects = [effect for number in range(20) for effect in receive(one, f"n{number}", Ping(number, (), 0, 0))]
     assert sum(isinstance(each, SendDatagram) and isinstance(each.message, Join) for each in effects) == 1
 
 
--- a/tests/nodes/test_daemon.py
+++ b/tests/nodes/test_daemon.py
@@ -13,7 +13,7 @@
 from sumachook.runtime.clock import Clock
 from sumachook.transport.addresses import split_address
 from sumachook.transport.http_server import HttpServer
-from tests.transport.proxy_fixtures import BOUND, parted
+from tests.transport.proxy_fixtures import BOUND, parse_response
 
 LONG_ANSWER = b"x" * (24 << 20)  # more than the buffers of a connection take
 READS_AFTER = 1.2  # seconds from the decision to end, more than `LAST_MESSAGES` and what the server of requests waits
@@ -105,7 +105,7 @@
         loop.call_later(READS_AFTER, writer.transport.resume_reading)
         await process.task
         transport.abort()  # as the end of the process does
-        answer = parted(await reader.read())
+        answer = parse_response(await reader.read())
         writer.close()
         return answer
 
--- a/tests/nodes/test_edge_shutdown.py
+++ b/tests/nodes/test_edge_shutdown.py
@@ -22,7 +22,7 @@
 from sumachook.transport.node_transport import NodeTransport
 from tests.forwarding.forwarding_fixtures import FixedTrust, catalogue, route, server
 from tests.short_forms import event_of, tuple_of_effect
-from tests.transport.proxy_fixtures import BOUND, SOON, head, play, sealed, well
+from tests.transport.proxy_fixtures import BOUND, SOON, answer_ok, request_head, run_scenario, sealed_response
 
 SECOND, TICK = timedelta(seconds=1), timedelta(seconds=0.05)
 GRACE = 8.0
@@ -324,7 +324,7 @@
 
     def write(self, number):
         self.number = number
-        self.writer.write(head(number=number, more=b"Content-Length: 2\r\n") + b"{}")
+        self.writer.write(request_head(number=number, more=b"Content-Length: 2\r\n") + b"{}")
 
     async def answer(self):
         """(status, rest of the head) of what comes next; "unread" where the connection was closed with the request still unread in it,
@@ -374,7 +374,7 @@
         outcomes = [await each.answer() for each in clients]
         return outcomes, {request.id for request in peer.requests}
 
-    outcomes, arrived = play(story, well)
+    outcomes, arrived = run_scenario(story, answer_ok)
     for number, (status, top) in enumerate(outcomes):
         assert status in (200, 503, "unread"), (number, status)
         assert status not in (503, "unread") or f"q{100 + number}" not in arrived
@@ -394,7 +394,7 @@
             each.write(100 + number)
         return [await each.answer() for each in clients], len(peer.requests)
 
-    outcomes, arrivals = play(story, well)
+    outcomes, arrivals = run_scenario(story, answer_ok)
     assert {status for status, _ in outcomes} == {"unread"} and arrivals == 12
 
 
@@ -404,7 +404,7 @@
 
     async def story(path, peer):
         (client,) = await _kept(path, 1)
-        client.writer.write(head(number=7, more=b"Content-Length: 200000\r\n"))
+        client.writer.write(request_head(number=7, more=b"Content-Length: 200000\r\n"))
         for _ in range(2):  # it is read in the second, and handed on in those that follow
             await asyncio.sleep(0)
         _shut(path)
@@ -413,7 +413,7 @@
         client.writer.write(b"x" * 200000)
         return await client.answer(), len(peer.requests)
 
-    (status, top), arrivals = play(story, well)
+    (status, top), arrivals = run_scenario(story, answer_ok)
     assert status == 503 and b"connection: close" in top.lower() and arrivals == 1
 
 
@@ -425,7 +425,7 @@
     async def slow(server, request, reader, writer):
         if len(server.requests) > 2:
             await go.wait()
-        writer.write(sealed(request))
+        writer.write(sealed_response(request))
         return True
 
     async def story(path, peer):
@@ -443,4 +443,4 @@
         assert status == 200 and b"connection: close" in top.lower()
         assert await asyncio.wait_for(working.reader.read(), SOON) == b""
 
-    play(story, slow)
+    run_scenario(story, slow)
--- a/tests/nodes/test_operator_changes.py
+++ b/tests/nodes/test_operator_changes.py
@@ -523,7 +523,7 @@
     from sumachook.host.effects import Reply
     from sumachook.nodes.serve import MAX_OPERATOR_BODY_BYTES
     from sumachook.transport.http_server import HttpServer
-    from tests.transport.test_http_server import _raw
+    from tests.transport.test_http_server import _send_raw
 
     async def story():
         sizes = []
@@ -541,7 +541,7 @@
                 (b"Content-Length: %d" % size, b"x" * size),
                 (b"Transfer-Encoding: chunked", b"%x\r\n%s\r\n0\r\n\r\n" % (size, b"x" * size)),
             ):
-                answer = await _raw(
+                answer = await _send_raw(
                     http_server.address, b"POST / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n%s\r\n\r\n" % head + body
                 )
                 statuses.append(int(answer.split()[1]))
--- a/tests/transport/proxy_fixtures.py
+++ b/tests/transport/proxy_fixtures.py
@@ -32,8 +32,8 @@
 class Request:
     """One request as a server received it, byte for byte."""
 
-    def __init__(self, head, body):
-        self.line, *lines = head.decode("latin-1").split("\r\n")
+    def __init__(self, request_head, body):
+        self.line, *lines = request_head.decode("latin-1").split("\r\n")
         self.pairs, self.body = [tuple(line.split(": ", 1)) for line in lines if line], body
 
     @property
@@ -76,18 +76,18 @@
             writer.close()
 
     async def _read(self, reader):
-        head = (await reader.readuntil(b"\r\n\r\n"))[:-4]
-        length = re.search(rb"(?i)\r\ncontent-length: (\d+)", head)
-        if re.search(rb"(?i)\r\ntransfer-encoding: chunked", head):
+        request_head = (await reader.readuntil(b"\r\n\r\n"))[:-4]
+        length = re.search(rb"(?i)\r\ncontent-length: (\d+)", request_head)
+        if re.search(rb"(?i)\r\ntransfer-encoding: chunked", request_head):
             body = b""
             while size := int(await reader.readline(), 16):
                 body += (await reader.readexactly(size + 2))[:-2]
             await reader.readline()
-            return Request(head, body)
-        return Request(head, await reader.readexactly(int(length[1])) if length else b"")
+            return Request(request_head, body)
+        return Request(request_head, await reader.readexactly(int(length[1])) if length else b"")
 
 
-def sealed(request, body=b"done", more=b"", status=b"200 OK", length=None):
+def sealed_response(request, body=b"done", more=b"", status=b"200 OK", length=None):
     """Returns a sealed response to a request; `length` overrides the content length, also with a wrong one."""
     size = len(body) if length is None else length
     return b"HTTP/1.1 %s\r\nX-Request-Id: %s\r\nX-Server-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s" % (
@@ -115,12 +115,15 @@
     writer.transport.abort()
 
 
-class Path:
+class ProxyFixture:
     """A proxy server, a pipeline and a streaming client, connected as in a daemon, in front of raw servers."""
 
     def __init__(self, *servers, doc=None):
-        self.servers, self.doc, self.inbox, self.is_handing = servers, doc, [], False
-        self.front, self.streaming_client = ProxyServer(free_address(), self.hear), StreamingClient(self.hear)
+        self.servers, self.doc, self.inbox, self.is_handling = servers, doc, [], False
+        self.front, self.streaming_client = (
+            ProxyServer(free_address(), self.handle_event),
+            StreamingClient(self.handle_event),
+        )
         self.scene = self.begun_at = None
 
     async def __aenter__(self):
@@ -146,14 +149,14 @@
             each.listener.close()
 
     def _tick(self):
-        self.hear(Tick())
+        self.handle_event(Tick())
         self.tick = asyncio.get_running_loop().call_later(TICK, self._tick)
 
-    def hear(self, message):
+    def handle_event(self, message):
         self.inbox.append(message)
-        if self.is_handing:
+        if self.is_handling:
             return
-        self.is_handing = True
+        self.is_handling = True
         while self.inbox:
             kind, *rest = tuple_of_event(self.inbox.pop(0))
             self.scene.now = START + timedelta(seconds=asyncio.get_running_loop().time() - self.begun_at)
@@ -165,7 +168,7 @@
                         self.streaming_client.cancel(call_id)
                     case (Reply() | BeginResponse() | SendChunk() | EndResponse() | AbortResponse()) as answer:
                         self.front.answer(answer)
-        self.is_handing = False
+        self.is_handling = False
 
     @property
     def forwards(self):
@@ -185,10 +188,12 @@
     async def ask(self, path="/once/x", method="POST", body=b"", number=1, more=b""):
         """Sends one request on a new connection; returns (status, headers, body, whether the response is complete)."""
         length = b"Content-Length: %d\r\n" % len(body) if body or method in ("POST", "PUT") else b""
-        return parted(await self.raw(head(path, method, number, more + length + b"Connection: close\r\n") + body))
+        return parse_response(
+            await self.raw(request_head(path, method, number, more + length + b"Connection: close\r\n") + body)
+        )
 
 
-def head(path="/once/x", method="POST", number=1, more=b""):
+def request_head(path="/once/x", method="POST", number=1, more=b""):
     return b"%s %s HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: q%d\r\n%s\r\n" % (
         method.encode(),
         path.encode("latin-1"),
@@ -197,18 +202,18 @@
     )
 
 
-def parted(raw):
+def parse_response(raw):
     top, _, body = raw.partition(b"\r\n\r\n")
     line, *lines = top.split(b"\r\n")
     headers = [tuple(each.split(b": ", 1)) for each in lines]
     names = {name.lower(): value for name, value in headers}
     status = int(line.split(b" ")[1]) if line.startswith(b"HTTP/1.") else 0
     if names.get(b"transfer-encoding") == b"chunked":
-        return status, headers, *_joined(body)
+        return status, headers, *_decode_chunks(body)
     return status, headers, body, len(body) == int(names.get(b"content-length", b"-1"))
 
 
-def _joined(raw):
+def _decode_chunks(raw):
     """Decodes a chunked body; returns its data and whether the final chunk is there."""
     whole = b""
     while size := re.match(rb"([0-9a-f]+)\r\n", raw):
@@ -219,18 +224,18 @@
     return whole, False
 
 
-def play(story, *answers, doc=None):
-    """Runs `story(path, *servers)` with a server for each of `answers`, with a time limit."""
+def run_scenario(scenario, *answers, doc=None):
+    """Runs `scenario(proxy, *servers)` with a server for each of `answers`, with a time limit."""
 
     async def run():
         servers = [Server(answer) for answer in answers]
-        async with Path(*servers, doc=doc) as path:
-            return await story(path, *servers)
+        async with ProxyFixture(*servers, doc=doc) as proxy:
+            return await scenario(proxy, *servers)
 
     return asyncio.run(asyncio.wait_for(run(), BOUND))
 
 
-async def well(server, request, reader, writer):
-    raw = sealed(request)
+async def answer_ok(server, request, reader, writer):
+    raw = sealed_response(request)
     writer.write(raw[:-4] if request.line.startswith("HEAD ") else raw)
     return True
--- a/tests/transport/test_client_limits.py
+++ b/tests/transport/test_client_limits.py
@@ -17,14 +17,14 @@
 LIMITS = {"header_bytes": 2000, "body_bytes": 3000, "header_ms": 3000.0, "idle_ms": 15000.0}
 
 
-class Hall:
+class LimitedServer:
     """A proxy server with limits that answers each request at once; only the tests call its sweep."""
 
     def __init__(self, **limits):
-        self.messages, self.writers, self.front = [], [], ProxyServer(free_address(), self.hear)
+        self.messages, self.writers, self.front = [], [], ProxyServer(free_address(), self.handle_event)
         self.front.apply_limits(Limits(**LIMITS | limits))
 
-    def hear(self, message):
+    def handle_event(self, message):
         self.messages.append(message)
         if isinstance(message, ProxyRequestReceived):
             self.front.answer(Reply(message.call_id, 200, {}, b"ok"))
@@ -48,24 +48,24 @@
             await asyncio.sleep(0)
         writer.write(raw)
         self.writers.append(writer)  # an unreferenced writer is garbage collected, which closes its connection
-        await turns()
+        await loop_turns()
         return reader, writer
 
 
-async def turns():
+async def loop_turns():
     for _ in range(TURNS):
         await asyncio.sleep(0)
 
 
 async def has_ended(reader):
-    await turns()
+    await loop_turns()
     return reader.at_eof()
 
 
-def play(story, **limits):
+def run_scenario(scenario, **limits):
     async def run():
-        async with Hall(**limits) as hall:
-            return await story(hall)
+        async with LimitedServer(**limits) as fixture:
+            return await scenario(fixture)
 
     return asyncio.run(asyncio.wait_for(run(), BOUND))
 
@@ -74,8 +74,8 @@
     return b"POST /x HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n" % (headers, size) + b"x" * size
 
 
-async def ask(hall, raw):
-    reader, _ = await hall.connect(raw)
+async def ask(fixture, raw):
+    reader, _ = await fixture.connect(raw)
     return int((await reader.readline()).split()[1])
 
 
@@ -100,10 +100,10 @@
     content length or in chunks.
     """
 
-    async def story(hall):
-        return await ask(hall, raw), len(hall.messages)
+    async def scenario(fixture):
+        return await ask(fixture, raw), len(fixture.messages)
 
-    assert play(story) == (status, 1 if status == 200 else 0)
+    assert run_scenario(scenario) == (status, 1 if status == 200 else 0)
 
 
 def test_raised_limits_apply_at_once_to_open_connections():
@@ -111,14 +111,14 @@
     too.
     """
 
-    async def story(hall):
+    async def scenario(fixture):
         large = post(10 << 20, b"A: %s\r\n" % (b"a" * (512 << 10)))
-        first, (reader, writer) = await ask(hall, large), await hall.connect()
-        hall.front.apply_limits(Limits(header_bytes=1 << 20, body_bytes=16 << 20))
+        first, (reader, writer) = await ask(fixture, large), await fixture.connect()
+        fixture.front.apply_limits(Limits(header_bytes=1 << 20, body_bytes=16 << 20))
         writer.write(large)
         return first, int((await reader.readline()).split()[1])
 
-    assert play(story) == (431, 200)
+    assert run_scenario(scenario) == (431, 200)
 
 
 def test_incomplete_head_is_closed_after_the_header_timeout():
@@ -126,20 +126,20 @@
     not before.
     """
 
-    async def story(hall):
+    async def scenario(fixture):
         begun = b"GET /x HTTP/1.1\r\nHost"
-        reader, _ = await hall.connect(begun)
-        used, writer = await hall.connect(post(2))
+        reader, _ = await fixture.connect(begun)
+        used, writer = await fixture.connect(post(2))
         assert (await used.readuntil(b"ok")).startswith(b"HTTP/1.1 200")
-        await turns()
+        await loop_turns()
         writer.write(begun)
-        await turns()
-        hall.front._sweep(hall.now() + 2.9)
+        await loop_turns()
+        fixture.front._sweep(fixture.now() + 2.9)
         assert not await has_ended(reader) and not await has_ended(used)
-        hall.front._sweep(hall.now() + 3.1)
+        fixture.front._sweep(fixture.now() + 3.1)
         assert await has_ended(reader) and await has_ended(used)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_stalled_body_gets_408_after_the_idle_timeout():
@@ -147,18 +147,18 @@
     continues before the timeout is answered.
     """
 
-    async def story(hall):
-        reader, _ = await hall.connect(post(100)[:-50])
-        slow, writer = await hall.connect(post(100)[:-50])
+    async def scenario(fixture):
+        reader, _ = await fixture.connect(post(100)[:-50])
+        slow, writer = await fixture.connect(post(100)[:-50])
         writer.write(b"x" * 50)
         assert (await slow.readline()).split()[1] == b"200"
         assert (
             (await reader.readline()).split()[1] == b"408"
             and (await reader.read()).endswith(b"}")
-            and len(hall.messages) == 1
+            and len(fixture.messages) == 1
         )
 
-    play(story, idle_ms=100.0)
+    run_scenario(scenario, idle_ms=100.0)
 
 
 def test_idle_connections_keep_the_timeout_that_their_clients_know():
@@ -166,26 +166,26 @@
     grows, idle connections may stay longer. No other limit closes them sooner.
     """
 
-    async def story(hall):
-        start = hall.now()
-        old, _ = await hall.connect()
-        hall.front._sweep(start)
-        hall.front.apply_limits(Limits(**LIMITS | {"idle_ms": 5000.0}))
-        new, _ = await hall.connect()
-        hall.front._sweep(start + 1)
-        hall.front._sweep(start + 5.9)
+    async def scenario(fixture):
+        start = fixture.now()
+        old, _ = await fixture.connect()
+        fixture.front._sweep(start)
+        fixture.front.apply_limits(Limits(**LIMITS | {"idle_ms": 5000.0}))
+        new, _ = await fixture.connect()
+        fixture.front._sweep(start + 1)
+        fixture.front._sweep(start + 5.9)
         assert not await has_ended(new)
-        hall.front._sweep(start + 6.1)
+        fixture.front._sweep(start + 6.1)
         assert await has_ended(new) and not await has_ended(old)
-        hall.front._sweep(start + 14.9)
+        fixture.front._sweep(start + 14.9)
         assert not await has_ended(old)
-        hall.front.apply_limits(Limits(**LIMITS | {"idle_ms": 60000.0}))
-        hall.front._sweep(start + 59)
+        fixture.front.apply_limits(Limits(**LIMITS | {"idle_ms": 60000.0}))
+        fixture.front._sweep(start + 59)
         assert not await has_ended(old)
-        hall.front._sweep(start + 60.1)
+        fixture.front._sweep(start + 60.1)
         assert await has_ended(old)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_shorter_idle_timeout_does_not_apply_to_connections_already_idle():
@@ -193,24 +193,23 @@
     which is the one that its client knows.
     """
 
-    async def story(hall):
-        reader, _ = await hall.connect(post(2))
+    async def scenario(fixture):
+        reader, _ = await fixture.connect(post(2))
         assert (await reader.readuntil(b"ok")).startswith(b"HTTP/1.1 200")
-        await turns()
-        hall.front.apply_limits(Limits(**LIMITS | {"idle_ms": 2000.0}))
-        start = hall.now()
-        hall.front._sweep(start)
-        hall.front._sweep(start + 14.9)
+        await loop_turns()
+        fixture.front.apply_limits(Limits(**LIMITS | {"idle_ms": 2000.0}))
+        start = fixture.now()
+        fixture.front._sweep(start)
+        fixture.front._sweep(start + 14.9)
         assert not await has_ended(reader)
-        hall.front._sweep(start + 15.1)
+        fixture.front._sweep(start + 15.1)
         assert await has_ended(reader)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_aiohttp_keep_alive_timeout_is_disabled():
-    """The keep-alive timer of aiohttp must not close a used connection before a configured idle timeout that is longer.
-    """
+    """The keep-alive timer of aiohttp must not close a used connection before a configured idle timeout that is longer."""
     assert ProxyServer.OPTIONS["keepalive_timeout"] >= 1e6
 
 
@@ -234,12 +233,12 @@
         seeds=("127.0.0.1:3",),
         front="127.0.0.1:4",
     )
-    edge, now, told = Edge(settings, {}, 1, Clock(), Random(1)), Clock().mono(), []
+    edge, now, applied = Edge(settings, {}, 1, Clock(), Random(1)), Clock().mono(), []
     for number, doc in enumerate(
         (whole(1), whole(2), whole(3, limits={"idleMs": 9000}), whole(4, limits={"idleMs": 9000}), whole(5)), 1
     ):
         assert edge.state.apply(number, ("configure", "q", doc, {}, False, number - 1))[0] == "ok"
         now += timedelta(seconds=0.05)
         effects = edge.take(Tick(), now)
-        told += [effect.limits.idle_ms for effect in effects if isinstance(effect, ApplyClientLimits)]
-    assert told == [15000.0, 9000.0, 15000.0]
+        applied += [effect.limits.idle_ms for effect in effects if isinstance(effect, ApplyClientLimits)]
+    assert applied == [15000.0, 9000.0, 15000.0]
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -58,15 +58,15 @@
 
 
 def test_frames_arrive_by_tcp_and_udp_and_garbage_is_reported():
-    async def story():
-        heard, done = [], asyncio.Event()
+    async def scenario():
+        received_events, done = [], asyncio.Event()
 
-        def hear(message):
-            heard.append(message)
-            if len(heard) == 3:
+        def record(message):
+            received_events.append(message)
+            if len(received_events) == 3:
                 done.set()
 
-        port, other = NodeTransport(free_address(), "c", hear), NodeTransport(free_address(), "c", hear)
+        port, other = NodeTransport(free_address(), "c", record), NodeTransport(free_address(), "c", record)
         tasks = [asyncio.get_running_loop().create_task(each.run()) for each in (port, other)]
         await wait_until_serving(lambda: port.transport is not None and other.transport is not None, *tasks)
         raw = Codec("c", "n", other.address, 1).pack(Follow(7, 1))
@@ -77,10 +77,10 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        return heard
+        return received_events
 
-    heard = asyncio.run(story())
-    received = [event for event in heard if isinstance(event, MessageReceived)]
+    received_events = asyncio.run(scenario())
+    received = [event for event in received_events if isinstance(event, MessageReceived)]
     assert len(received) == 2 and {event.sender for event in received} == {"n"}
     assert received[0] == received[1] and received[0].message == Follow(7, 1)
-    assert heard.count(UnreadableMessageReceived()) == 1
+    assert received_events.count(UnreadableMessageReceived()) == 1
--- a/tests/transport/test_http_client.py
+++ b/tests/transport/test_http_client.py
@@ -18,10 +18,10 @@
 SOON = timedelta(seconds=2)
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 SILENT = b""  # a server that has not responded yet
-TAKEN = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
 
-class Peer:
+class RawServer:
     """A raw server that writes `answers` in turn, None to close the connection; records the connection of each request."""
 
     def __init__(self, *answers):
@@ -50,14 +50,14 @@
             writer.close()
 
 
-class Line:
+class RecordingClient:
     """An HTTP client that records the events of each call."""
 
     def __init__(self):
-        self.http_client, self.heard, self.done, self.task = HttpClient(self._hear), {}, {}, None
+        self.http_client, self.events, self.done, self.task = HttpClient(self._record), {}, {}, None
 
-    def _hear(self, event):
-        self.heard.setdefault(event.call_id, []).append(event)
+    def _record(self, event):
+        self.events.setdefault(event.call_id, []).append(event)
         if isinstance(event, ResponseReceived | CallFailed):
             self.done[event.call_id].set()
 
@@ -66,18 +66,18 @@
         self.done[call] = asyncio.Event()
         self.http_client.fetch(Fetch(call, method, f"http://{address}/x", {}, b"", connect, SOON, "whole"))
         await self.done[call].wait()
-        return self.heard[call][-1]
+        return self.events[call][-1]
 
 
-def play(story, *answers):
+def run_scenario(scenario, *answers):
     async def run():
-        line, peer = Line(), Peer(*answers)
+        client, peer = RecordingClient(), RawServer(*answers)
         await peer.start()
-        line.task = task = asyncio.get_running_loop().create_task(line.http_client.run())
-        while not line.http_client.is_open:
+        client.task = task = asyncio.get_running_loop().create_task(client.http_client.run())
+        while not client.http_client.is_open:
             await asyncio.sleep(0)
         try:
-            return await story(line, peer)
+            return await scenario(client, peer)
         finally:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
@@ -93,27 +93,26 @@
 def test_refused_connection_reports_that_nothing_was_sent():
     """A call to a closed port fails as refused and emits no `RequestSent`."""
 
-    async def story(line, peer):
+    async def scenario(client, peer):
         with socket.socket() as unheard:
             unheard.bind(("127.0.0.1", 0))
-            return await line.call(order(1), "127.0.0.1:%d" % unheard.getsockname()[1]), line.heard[order(1)]
+            return await client.call(order(1), "127.0.0.1:%d" % unheard.getsockname()[1]), client.events[order(1)]
 
-    last, heard = play(story)
+    last, events = run_scenario(scenario)
     assert last == CallFailed(order(1), CallFailure.REFUSED)
-    assert last.failure.was_before_first_byte and heard == [last]
+    assert last.failure.was_before_first_byte and events == [last]
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_connection_closed_after_sending_may_have_run_and_is_not_retried(method):
-    """If the server closes without a response, the call counts as possibly run, and aiohttp retries it for no method.
-    """
+    """If the server closes without a response, the call counts as possibly run, and aiohttp retries it for no method."""
 
-    async def story(line, peer):
-        return await line.call(order(1), peer.address, method), line.heard[order(1)], peer.requests
+    async def scenario(client, peer):
+        return await client.call(order(1), peer.address, method), client.events[order(1)], peer.requests
 
-    last, heard, requests = play(story, None, OK)
+    last, events, requests = run_scenario(scenario, None, OK)
     assert last == CallFailed(order(1), CallFailure.RESET) and not last.failure.was_before_first_byte
-    assert heard[0] == RequestSent(order(1), False) and len(requests) == 1
+    assert events[0] == RequestSent(order(1), False) and len(requests) == 1
 
 
 def test_failure_after_the_first_byte_is_not_reported_as_a_connect_failure():
@@ -134,13 +133,13 @@
 def test_orders_and_reports_never_share_a_connection():
     """Orders and reports to one server, whose responses carry no id, each reuse one connection of their own."""
 
-    async def story(line, peer):
+    async def scenario(client, peer):
         for number in range(6):
-            answer = await line.call(order(number), peer.address, "GET" if number % 2 else "POST")
+            answer = await client.call(order(number), peer.address, "GET" if number % 2 else "POST")
             assert isinstance(answer, ResponseReceived)
         return peer.requests
 
-    requests = play(story, *[TAKEN, OK] * 3)
+    requests = run_scenario(scenario, *[ACCEPTED, OK] * 3)
     assert (
         len({number for number, method in requests if method == "GET"})
         == 1
@@ -149,36 +148,36 @@
     assert len({number for number, _ in requests}) == 2
 
 
-@pytest.mark.parametrize("surplus", [TAKEN, TAKEN[:20], b"x"])
+@pytest.mark.parametrize("surplus", [ACCEPTED, ACCEPTED[:20], b"x"])
 def test_bytes_received_between_two_orders_are_not_read_as_the_second_response(surplus):
     """Bytes received on an idle connection close it, and the next order gets its own response on a new connection."""
 
-    async def story(line, peer):
-        first = await line.call(order(1), peer.address)
+    async def scenario(client, peer):
+        first = await client.call(order(1), peer.address)
         peer.writers[0].write(surplus)
         await peer.writers[0].drain()
         for _ in range(30):
             await asyncio.sleep(0)
-        return first.status, (await line.call(order(2), peer.address)).status, peer.connections
+        return first.status, (await client.call(order(2), peer.address)).status, peer.connections
 
-    assert play(story, TAKEN, OK) == (202, 200, 2)
+    assert run_scenario(scenario, ACCEPTED, OK) == (202, 200, 2)
 
 
 def test_cancelled_call_emits_no_events():
     """A call cancelled while its server works emits no further events, even if the response arrives."""
 
-    async def story(line, peer):
-        task = asyncio.get_running_loop().create_task(line.call(order(1), peer.address))
+    async def scenario(client, peer):
+        task = asyncio.get_running_loop().create_task(client.call(order(1), peer.address))
         while not peer.requests:
             await asyncio.sleep(0)
-        line.http_client.cancel(order(1))
+        client.http_client.cancel(order(1))
         peer.writers[0].write(OK)
         for _ in range(20):
             await asyncio.sleep(0)
         task.cancel()
-        return line.heard[order(1)], line.http_client.tasks, line.http_client.sent
+        return client.events[order(1)], client.http_client.tasks, client.http_client.sent
 
-    assert play(story, b"") == ([RequestSent(order(1), False)], {}, set())
+    assert run_scenario(scenario, b"") == ([RequestSent(order(1), False)], {}, set())
 
 
 @pytest.mark.parametrize("turns", range(1, 9))
@@ -187,28 +186,28 @@
     before. Otherwise a request reported as not run would have run.
     """
 
-    async def story(line, peer):
-        task = asyncio.get_running_loop().create_task(line.call(order(1), peer.address))
+    async def scenario(client, peer):
+        task = asyncio.get_running_loop().create_task(client.call(order(1), peer.address))
         for _ in range(turns):
             await asyncio.sleep(0)
-        was_told = order(1) in line.heard
-        line.http_client.cancel(order(1))
+        was_reported = order(1) in client.events
+        client.http_client.cancel(order(1))
         for _ in range(40):
             await asyncio.sleep(0)
         task.cancel()
-        return was_told, len(peer.requests), order(1) in line.heard
+        return was_reported, len(peer.requests), order(1) in client.events
 
-    was_told, arrivals, is_told = play(story, OK)
-    assert (was_told or arrivals == 0) and is_told == was_told
+    was_reported, arrivals, is_reported = run_scenario(scenario, OK)
+    assert (was_reported or arrivals == 0) and is_reported == was_reported
 
 
 # timed-out calls ---------------------------------------------------------------
 
-GIVEN_UP_AFTER = timedelta(seconds=0.2)
-GIVEN_UP, CLOSED = "reset", "closed"
+ORDER_TIMEOUT = timedelta(seconds=0.2)
+RESET, CLOSED = "reset", "closed"
 
 
-async def _end_of_a_request_without_an_answer(tid):
+async def _end_of_a_request_without_an_answer(call_id):
     """Returns how the server sees the connection of a request end when the request times out without a response."""
     ends, told = asyncio.Queue(), asyncio.Queue()
 
@@ -218,7 +217,7 @@
                 pass
             ends.put_nowait(CLOSED)
         except ConnectionResetError:
-            ends.put_nowait(GIVEN_UP)
+            ends.put_nowait(RESET)
         finally:
             writer.close()
 
@@ -227,10 +226,12 @@
     http_client = HttpClient(told.put_nowait)
     running = asyncio.ensure_future(http_client.run())
     await asyncio.sleep(0)
-    http_client.fetch(Fetch(tid, "POST", f"http://{address}/order", {}, b"{}", GIVEN_UP_AFTER, GIVEN_UP_AFTER, "whole"))
+    http_client.fetch(
+        Fetch(call_id, "POST", f"http://{address}/order", {}, b"{}", ORDER_TIMEOUT, ORDER_TIMEOUT, "whole")
+    )
     while isinstance(event := await asyncio.wait_for(told.get(), BOUND), RequestSent):
         pass
-    assert event == CallFailed(tid, CallFailure.TIMEOUT)
+    assert event == CallFailed(call_id, CallFailure.TIMEOUT)
     end = await asyncio.wait_for(ends.get(), BOUND)
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
@@ -238,12 +239,12 @@
     return end
 
 
-@pytest.mark.parametrize("tid, end", [(("provision", 7, 1), GIVEN_UP), (("lookup", 1), CLOSED)])
-def test_timed_out_order_resets_its_connection(tid, end):
+@pytest.mark.parametrize("call_id, end", [(("provision", 7, 1), RESET), (("lookup", 1), CLOSED)])
+def test_timed_out_order_resets_its_connection(call_id, end):
     """The connection of a timed-out order is reset, so that bytes delayed by a partition are not delivered when it
     heals. The connection of a lookup is closed normally.
     """
-    assert asyncio.run(_end_of_a_request_without_an_answer(tid)) == end
+    assert asyncio.run(_end_of_a_request_without_an_answer(call_id)) == end
 
 
 def test_unexpected_exception_is_reported_as_call_failure():
@@ -251,15 +252,15 @@
     otherwise the caller would wait until its own timeout.
     """
 
-    async def story(line, peer):
-        line.done[order(1)] = asyncio.Event()
+    async def scenario(client, peer):
+        client.done[order(1)] = asyncio.Event()
         headers = {"X-Count": 7}
-        line.http_client.fetch(Fetch(order(1), "POST", f"http://{peer.address}/x", headers, b"", SOON, SOON, "whole"))
+        client.http_client.fetch(Fetch(order(1), "POST", f"http://{peer.address}/x", headers, b"", SOON, SOON, "whole"))
         async with asyncio.timeout(SOON.total_seconds()):
-            await line.done[order(1)].wait()
-        return line.heard[order(1)][-1]
+            await client.done[order(1)].wait()
+        return client.events[order(1)][-1]
 
-    assert isinstance(play(story), CallFailed)
+    assert isinstance(run_scenario(scenario), CallFailed)
 
 
 def test_running_calls_are_reported_as_failed_when_the_client_stops():
@@ -267,21 +268,21 @@
     cancelled one emits nothing more.
     """
 
-    async def story(line, peer):
+    async def scenario(client, peer):
         for number in (1, 2):
-            line.done[order(number)] = asyncio.Event()
-            line.http_client.fetch(
+            client.done[order(number)] = asyncio.Event()
+            client.http_client.fetch(
                 Fetch(order(number), "POST", f"http://{peer.address}/x", {}, b"", SOON, SOON, "whole")
             )
         while len(peer.requests) < 2:
             await asyncio.sleep(0)
-        line.http_client.cancel(order(2))
-        line.task.cancel()
-        await asyncio.gather(line.task, return_exceptions=True)
+        client.http_client.cancel(order(2))
+        client.task.cancel()
+        await asyncio.gather(client.task, return_exceptions=True)
         for _ in range(20):
             await asyncio.sleep(0)
-        return line.heard[order(1)][-1], line.heard[order(2)]
+        return client.events[order(1)][-1], client.events[order(2)]
 
-    told, called_off = play(story, SILENT, SILENT)
+    told, called_off = run_scenario(scenario, SILENT, SILENT)
     assert told == CallFailed(order(1), CallFailure.RESET)
     assert called_off == [RequestSent(order(2), False)]
--- a/tests/transport/test_kept_connections.py
+++ b/tests/transport/test_kept_connections.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.transport.proxy_fixtures import head, play, reset, sealed
+from tests.transport.proxy_fixtures import request_head, reset, run_scenario, sealed_response
 
 
 def test_request_survives_a_kept_connection_closed_by_the_server():
@@ -19,25 +19,25 @@
     async def once_each(server, request, reader, writer):
         if server.connections == 1 and len(server.requests) == 2:
             return False
-        writer.write(sealed(request, request.id.encode()))
+        writer.write(sealed_response(request, request.id.encode()))
         return True
 
-    async def story(path, peer):
-        answers = [(await path.ask("/plain/x", number=number))[2] for number in (1, 2, 3)]
+    async def scenario(proxy, peer):
+        answers = [(await proxy.ask("/plain/x", number=number))[2] for number in (1, 2, 3)]
         before, made = peer.connections, []
         for number, rested in enumerate((0.0, 0.0, 0.5, 1.05, 0.0, 1.2), 4):
-            rest(path, rested)
-            assert (await path.ask("/once/x", number=number))[2] == b"q%d" % number
+            simulate_idle_time(proxy, rested)
+            assert (await proxy.ask("/once/x", number=number))[2] == b"q%d" % number
             made.append(peer.connections - before)
-        return answers, len(peer.requests), path.forwards, made
+        return answers, len(peer.requests), proxy.forwards, made
 
-    answers, arrivals, forwards, made = play(story, once_each)
+    answers, arrivals, forwards, made = run_scenario(scenario, once_each)
     assert answers == [b"q1", b"q2", b"q3"] and arrivals == forwards and made == [0, 0, 1, 2, 2, 3]
 
 
-def rest(path, seconds):
+def simulate_idle_time(proxy, seconds):
     """Makes all kept connections appear idle for the given additional seconds."""
-    for kept in path.streaming_client.connector._conns.values():
+    for kept in proxy.streaming_client.connector._conns.values():
         resting = [(protocol, released_at - seconds) for protocol, released_at in kept]
         kept.clear()
         kept.extend(resting)
@@ -52,19 +52,19 @@
         if writer in server.rested:
             reset(writer)
             return False
-        writer.write(sealed(request, request.id.encode()))
+        writer.write(sealed_response(request, request.id.encode()))
         server.rested.add(writer)
         return True
 
-    async def story(path, peer):
+    async def scenario(proxy, peer):
         peer.rested = set()
         answers = []
         for number, rested in enumerate((0.3, 0.9, 1.1, 1.5, 3.0, 5.0), 1):
-            answers.append((await path.ask("/once/x", number=number))[0])
-            rest(path, rested)
-        return answers, path.forwards
+            answers.append((await proxy.ask("/once/x", number=number))[0])
+            simulate_idle_time(proxy, rested)
+        return answers, proxy.forwards
 
-    assert play(story, forgetful) == ([200] * 6, 6)
+    assert run_scenario(scenario, forgetful) == ([200] * 6, 6)
 
 
 def test_non_repeatable_request_reset_on_a_kept_connection_is_not_resent():
@@ -76,15 +76,15 @@
         if len(server.requests) == 2:
             reset(writer)
             return False
-        writer.write(sealed(request, request.id.encode()))
+        writer.write(sealed_response(request, request.id.encode()))
         return True
 
-    async def story(path, peer):
-        first = await path.ask("/once/x", number=1)
-        second = await path.ask("/once/x", number=2)
+    async def scenario(proxy, peer):
+        first = await proxy.ask("/once/x", number=1)
+        second = await proxy.ask("/once/x", number=2)
         return first[0], second[0], [request.id for request in peer.requests], peer.connections
 
-    assert play(story, cut) == (200, 502, ["q1", "q2"], 1)
+    assert run_scenario(scenario, cut) == (200, 502, ["q1", "q2"], 1)
 
 
 def test_keep_alive_timeout_of_the_server_and_connection_limit_are_respected():
@@ -98,20 +98,20 @@
             everybody.set()
         if len(server.requests) > 2:
             await everybody.wait()
-        writer.write(sealed(request, request.id.encode(), more=b"Keep-Alive: timeout=5\r\n"))
+        writer.write(sealed_response(request, request.id.encode(), more=b"Keep-Alive: timeout=5\r\n"))
         return True
 
-    async def story(path, peer):
-        await path.ask("/plain/x", number=1)
-        rest(path, 4.5)
-        await path.ask("/plain/x", number=2)
+    async def scenario(proxy, peer):
+        await proxy.ask("/plain/x", number=1)
+        simulate_idle_time(proxy, 4.5)
+        await proxy.ask("/plain/x", number=2)
         before = peer.connections
-        await asyncio.gather(*(path.ask("/plain/x", number=number) for number in range(3, 9)))
-        connector = path.streaming_client.connector
+        await asyncio.gather(*(proxy.ask("/plain/x", number=number) for number in range(3, 9)))
+        connector = proxy.streaming_client.connector
         (resting,) = connector._conns.values()
         return before, len(resting), connector.describe()
 
-    before, resting, counts = play(story, kept)
+    before, resting, counts = run_scenario(scenario, kept)
     assert (before, resting) == (2, 4) and counts["reused"] == 1
     assert counts["rested longer than the server allows"] == 1 and counts["no more may be kept"] == 2
 
@@ -134,24 +134,24 @@
 
     async def chatty(server, request, reader, writer):
         if len(server.requests) > 1:
-            writer.write(sealed(request, request.id.encode()))
+            writer.write(sealed_response(request, request.id.encode()))
             return True
-        writer.write(sealed(request, request.id.encode()) + (surplus if is_at_once else b""))
+        writer.write(sealed_response(request, request.id.encode()) + (surplus if is_at_once else b""))
         if not is_at_once:
             await done.wait()
             writer.write(surplus)
             await writer.drain()
         return True
 
-    async def story(path, peer):
-        answers = [await path.ask("/plain/x", number=1)]
+    async def scenario(proxy, peer):
+        answers = [await proxy.ask("/plain/x", number=1)]
         done.set()
         for _ in range(20):  # the surplus bytes arrive while the connection is idle
             await asyncio.sleep(0)
-        answers += [await path.ask("/plain/x", number=number) for number in (2, 3)]
-        return answers, len(peer.requests), path.forwards
+        answers += [await proxy.ask("/plain/x", number=number) for number in (2, 3)]
+        return answers, len(peer.requests), proxy.forwards
 
-    answers, arrivals, forwards = play(story, chatty)
+    answers, arrivals, forwards = run_scenario(scenario, chatty)
     assert [(status, body) for status, _, body, _ in answers] == [
         (200, b"q1"),
         (200, b"q2"),
@@ -170,14 +170,14 @@
         if len(server.requests) == 2:
             writer.write(b"HTTP/1.1 %s\r\nX-Server-Seal: s\r\nX-Not-Run: 1\r\nContent-Length: 5\r\n\r\nolder" % status)
             return False
-        writer.write(sealed(request, request.id.encode()))
+        writer.write(sealed_response(request, request.id.encode()))
         return True
 
-    async def story(path, peer):
-        answers = [await path.ask("/plain/x", number=number) for number in (1, 2)]
-        return answers, [record["tries"] for record in path.scene.records(True)]
+    async def scenario(proxy, peer):
+        answers = [await proxy.ask("/plain/x", number=number) for number in (1, 2)]
+        return answers, [record["tries"] for record in proxy.scene.records(True)]
 
-    answers, tries = play(story, mixed)
+    answers, tries = run_scenario(scenario, mixed)
     assert [(status, body) for status, _, body, _ in answers] == [(200, b"q1"), (200, b"q2")]
     assert [[fault for _, fault, _ in each] for each in tries] == [[""], ["reset", ""]]
 
@@ -193,20 +193,20 @@
             both.set()
         await reader.read()
 
-    async def story(path, peer):
-        clients, before = [await path.connect() for _ in range(2)], set()
+    async def scenario(proxy, peer):
+        clients, before = [await proxy.connect() for _ in range(2)], set()
         for number, (name, (_, writer)) in enumerate(zip(("once", "plain"), clients)):
-            writer.write(head(f"/{name}/x", number=number, more=b"Content-Length: 0\r\n"))
+            writer.write(request_head(f"/{name}/x", number=number, more=b"Content-Length: 0\r\n"))
             while len(peer.requests) <= number:
                 await asyncio.sleep(0)
-            (connection,) = path.streaming_client.connector._acquired - before
+            (connection,) = proxy.streaming_client.connector._acquired - before
             before.add(connection)
             bounds[name] = connection.transport.get_extra_info("socket").getsockopt(
                 socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT
             )
         await both.wait()
 
-    play(story, silent)
+    run_scenario(scenario, silent)
     assert bounds["once"] == 0 < bounds["plain"]
 
 
@@ -215,15 +215,15 @@
 
     async def mixed(server, request, reader, writer):
         if len(server.requests) == 2:
-            writer.write(sealed(server.requests[0], b"older"))
+            writer.write(sealed_response(server.requests[0], b"older"))
             return False
-        writer.write(sealed(request, request.id.encode()))
+        writer.write(sealed_response(request, request.id.encode()))
         return True
 
-    async def story(path, peer):
-        return [await path.ask("/plain/x", number=number) for number in (1, 2)], len(peer.requests), path.forwards
+    async def scenario(proxy, peer):
+        return [await proxy.ask("/plain/x", number=number) for number in (1, 2)], len(peer.requests), proxy.forwards
 
-    answers, arrivals, forwards = play(story, mixed)
+    answers, arrivals, forwards = run_scenario(scenario, mixed)
     assert [(status, body) for status, _, body, _ in answers] == [
         (200, b"q1"),
         (200, b"q2"),
--- a/tests/transport/test_proxy_sockets.py
+++ b/tests/transport/test_proxy_sockets.py
@@ -13,14 +13,14 @@
 from tests.transport.proxy_fixtures import (
     EVENTS,
     SOON,
+    answer_ok,
     chunk,
     chunked,
-    head,
-    parted,
-    play,
+    parse_response,
+    request_head,
     reset,
-    sealed,
-    well,
+    run_scenario,
+    sealed_response,
 )
 
 # forwarding of valid requests and responses ---------------------------------------------------------------------
@@ -47,11 +47,11 @@
     them.
     """
 
-    async def story(path, peer):
-        assert (await path.ask(target))[0] == 200
+    async def scenario(proxy, peer):
+        assert (await proxy.ask(target))[0] == 200
         return peer.requests
 
-    (request,) = play(story, well)
+    (request,) = run_scenario(scenario, answer_ok)
     assert request.line == f"POST {target} HTTP/1.1"
 
 
@@ -61,11 +61,11 @@
     form.
     """
 
-    async def story(path, peer):
-        status = (await path.ask(target))[0]
+    async def scenario(proxy, peer):
+        status = (await proxy.ask(target))[0]
         return status, [request.line for request in peer.requests]
 
-    assert play(story, well) in ((200, [f"POST {target} HTTP/1.1"]), (400, []))
+    assert run_scenario(scenario, answer_ok) in ((200, [f"POST {target} HTTP/1.1"]), (400, []))
 
 
 @pytest.mark.parametrize(
@@ -79,25 +79,27 @@
 def test_methods_headers_and_codings_that_cannot_be_forwarded_unchanged_are_rejected(raw):
     """A CONNECT, a header that is not UTF-8, and a transfer coding other than chunked get 400 and reach no server."""
 
-    async def story(path, peer):
+    async def scenario(proxy, peer):
         body = b"0\r\n\r\n" if b"chunked" in raw else b""
-        return parted(await path.raw(raw + b"X-Request-Id: q1\r\nConnection: close\r\n\r\n" + body))[0], peer.requests
+        return parse_response(await proxy.raw(raw + b"X-Request-Id: q1\r\nConnection: close\r\n\r\n" + body))[
+            0
+        ], peer.requests
 
-    assert play(story, well) == (400, [])
+    assert run_scenario(scenario, answer_ok) == (400, [])
 
 
 @pytest.mark.parametrize("method", ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "PURGE"])
 def test_methods_and_bodies_with_a_length_are_forwarded(method):
     """Any method, with and without a body, reaches the server unchanged, and its client gets the server's response."""
 
-    async def story(path, peer):
+    async def scenario(proxy, peer):
         sent = bytes(range(256)) * 40
         for number, body in enumerate((b"", sent)):
-            status, _, answer, _ = await path.ask(method=method, body=body, number=number)
+            status, _, answer, _ = await proxy.ask(method=method, body=body, number=number)
             assert status == 200 and answer == (b"" if method == "HEAD" else b"done")
         return [request.body for request in peer.requests], [request.line for request in peer.requests]
 
-    bodies, lines = play(story, well)
+    bodies, lines = run_scenario(scenario, answer_ok)
     assert bodies == [b"", bytes(range(256)) * 40] and lines == [f"{method} /once/x HTTP/1.1"] * 2
 
 
@@ -107,37 +109,36 @@
     """
 
     async def echo(server, request, reader, writer):
-        writer.write(sealed(request, request.body))
+        writer.write(sealed_response(request, request.body))
         return True
 
-    async def story(path, peer):
+    async def scenario(proxy, peer):
         parts = [b"a", b"\r\n0\r\n\r\n", b"\x00" * 5000, b"end"]
         raw = (
-            head(more=b"Transfer-Encoding: chunked\r\nConnection: close\r\n")
+            request_head(more=b"Transfer-Encoding: chunked\r\nConnection: close\r\n")
             + b"".join(map(chunk, parts))
             + b"0\r\n\r\n"
         )
-        assert parted(await path.raw(raw))[2] == b"".join(parts) == peer.requests[0].body
+        assert parse_response(await proxy.raw(raw))[2] == b"".join(parts) == peer.requests[0].body
         packed = gzip.compress(b"word " * 100)
         assert (
-            (await path.ask(body=packed, more=b"Content-Encoding: gzip\r\n", number=3))[2]
+            (await proxy.ask(body=packed, more=b"Content-Encoding: gzip\r\n", number=3))[2]
             == packed
             == peer.requests[1].body
         )
         long = bytes(range(256)) * 16384
-        status, _, answer, is_whole = await path.ask(body=long, number=2)
+        status, _, answer, is_whole = await proxy.ask(body=long, number=2)
         assert (status, answer == long, is_whole) == (200, True, True) and peer.requests[2].body == long
 
-    play(story, echo)
+    run_scenario(scenario, echo)
 
 
 def test_repeated_header_fields_are_forwarded_both_ways():
-    """Repeated header fields and non-ASCII values arrive in order in both directions; hop-by-hop headers are removed.
-    """
+    """Repeated header fields and non-ASCII values arrive in order in both directions; hop-by-hop headers are removed."""
 
     async def answer(server, request, reader, writer):
         writer.write(
-            sealed(
+            sealed_response(
                 request,
                 b"x",
                 b"Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nX-Word: caf\xc3\xa9\r\nX-Gone: 1\r\nConnection: X-Gone\r\n",
@@ -145,10 +146,10 @@
         )
         return True
 
-    async def story(path, peer):
+    async def scenario(proxy, peer):
         more = b"X-A: 1\r\nX-A: 2\r\nAccept-Encoding: br\r\nX-Hop: 1\r\nContent-Type: a/b\r\n"
-        status, headers, _, _ = parted(
-            await path.raw(head(more=more + b"Connection: close, X-Hop\r\nContent-Length: 0\r\n"))
+        status, headers, _, _ = parse_response(
+            await proxy.raw(request_head(more=more + b"Connection: close, X-Hop\r\nContent-Length: 0\r\n"))
         )
         assert [value for name, value in headers if name.lower() == b"set-cookie"] == [b"a=1", b"b=2"]
         assert (
@@ -166,7 +167,7 @@
         )
         assert request.get("User-Agent") == [] and request.get("Accept") == []
 
-    play(story, answer)
+    run_scenario(scenario, answer)
 
 
 def test_compressed_error_body_is_forwarded_byte_for_byte():
@@ -174,13 +175,13 @@
     packed = gzip.compress(b"no such record " * 50)
 
     async def answer(server, request, reader, writer):
-        writer.write(sealed(request, packed, b"Content-Encoding: gzip\r\n", b"404 Not Found"))
+        writer.write(sealed_response(request, packed, b"Content-Encoding: gzip\r\n", b"404 Not Found"))
         return True
 
-    async def story(path, peer):
-        return await path.ask()
+    async def scenario(proxy, peer):
+        return await proxy.ask()
 
-    status, headers, body, is_whole = play(story, answer)
+    status, headers, body, is_whole = run_scenario(scenario, answer)
     assert (status, body, is_whole) == (404, packed, True) and dict(headers)[b"Content-Encoding"] == b"gzip"
 
 
@@ -188,22 +189,23 @@
     """Each request of a client that keeps its connection gets its own response, in order."""
 
     async def echo(server, request, reader, writer):
-        writer.write(sealed(request, request.id.encode()))
+        writer.write(sealed_response(request, request.id.encode()))
         return True
 
-    async def story(path, peer):
-        reader, writer = await path.connect()
+    async def scenario(proxy, peer):
+        reader, writer = await proxy.connect()
         for number in range(40):
             writer.write(
-                head("/plain/x" if number % 2 else "/once/x", number=number, more=b"Content-Length: 2\r\n") + b"{}"
+                request_head("/plain/x" if number % 2 else "/once/x", number=number, more=b"Content-Length: 2\r\n")
+                + b"{}"
             )
             top = await reader.readuntil(b"\r\n\r\n")
             assert top.startswith(b"HTTP/1.1 200 ")
             assert await reader.readexactly(int(re.search(rb"(?i)content-length: (\d+)", top)[1])) == b"q%d" % number
         writer.close()
-        assert peer.connections < 40 == path.forwards
+        assert peer.connections < 40 == proxy.forwards
 
-    play(story, echo)
+    run_scenario(scenario, echo)
 
 
 def test_server_sent_events_are_forwarded_as_they_arrive():
@@ -220,17 +222,17 @@
             read.clear()
         writer.write(b"0\r\n\r\n")
 
-    async def story(path, peer):
-        reader, writer = await path.connect()
-        writer.write(head("/loose/x", more=b"Content-Length: 0\r\nConnection: close\r\n"))
+    async def scenario(proxy, peer):
+        reader, writer = await proxy.connect()
+        writer.write(request_head("/loose/x", more=b"Content-Length: 0\r\nConnection: close\r\n"))
         got = b""
         for number in range(1, 6):
             got += await reader.readuntil(event(number))
             read.set()
         got += await reader.read()
-        return parted(got)
+        return parse_response(got)
 
-    status, _, body, is_whole = play(story, stream)
+    status, _, body, is_whole = run_scenario(scenario, stream)
     assert (status, body, is_whole) == (200, b"".join(map(event, range(1, 6))), True)
 
 
@@ -250,28 +252,28 @@
         if request.line.startswith("POST /loose/"):
             writer.write(chunk(event(2)) + b"0\r\n\r\n")
         else:
-            writer.write(sealed(request))
+            writer.write(sealed_response(request))
         return True
 
-    async def story(path, peer):
-        reader, writer = await path.connect()
-        writer.write(head("/plain/x", "GET", 7))
+    async def scenario(proxy, peer):
+        reader, writer = await proxy.connect()
+        writer.write(request_head("/plain/x", "GET", 7))
         assert (await reader.readuntil(b"done")).startswith(b"HTTP/1.1 200 ")
         asked = [
-            asyncio.get_running_loop().create_task(path.ask(target, number=number))
+            asyncio.get_running_loop().create_task(proxy.ask(target, number=number))
             for number, target in enumerate(("/once/x", "/loose/x"))
         ]
         await begun.wait()
-        path.scene.configure(catalogue(2, [route("new", "once", timeout_ms=1500)]))
-        path.hear(Tick())
+        proxy.scene.configure(catalogue(2, [route("new", "once", timeout_ms=1500)]))
+        proxy.handle_event(Tick())
         go_on.set()
         answers = [await each for each in asked]
-        writer.write(head("/new/x", "GET", 8))
+        writer.write(request_head("/new/x", "GET", 8))
         assert (await reader.readuntil(b"done")).startswith(b"HTTP/1.1 200 ")
         writer.close()
         return answers
 
-    (whole, stream) = play(story, slow)
+    (whole, stream) = run_scenario(scenario, slow)
     assert (whole[0], whole[2:]) == (200, (b"done", True)) and (stream[0], stream[2:]) == (
         200,
         (event(1) + event(2), True),
@@ -282,7 +284,7 @@
 
 
 async def _short_length(server, request, reader, writer):
-    writer.write(sealed(request, b"half", length=9))
+    writer.write(sealed_response(request, b"half", length=9))
 
 
 async def _short_chunks(server, request, reader, writer):
@@ -298,7 +300,7 @@
 
 
 async def _half_head(server, request, reader, writer):
-    writer.write(sealed(request)[:30])
+    writer.write(sealed_response(request)[:30])
 
 
 async def _nothing(server, request, reader, writer):
@@ -306,7 +308,7 @@
 
 
 async def _reset_in_body(server, request, reader, writer):
-    writer.write(sealed(request, b"half", length=9))
+    writer.write(sealed_response(request, b"half", length=9))
     await writer.drain()
     reset(writer)
 
@@ -332,7 +334,7 @@
 
 
 async def _two_lengths(server, request, reader, writer):
-    writer.write(sealed(request, b"half", b"Content-Length: 9\r\n"))
+    writer.write(sealed_response(request, b"half", b"Content-Length: 9\r\n"))
 
 
 async def _no_seal(server, request, reader, writer):
@@ -346,19 +348,19 @@
 
 
 async def _no_id(server, request, reader, writer):
-    writer.write(sealed(request, b"half").replace(b"X-Request-Id: q1\r\n", b""))
+    writer.write(sealed_response(request, b"half").replace(b"X-Request-Id: q1\r\n", b""))
 
 
 async def _switching(server, request, reader, writer):
-    writer.write(sealed(request, b"", b"Upgrade: any\r\nConnection: Upgrade\r\n", b"101 Switching"))
+    writer.write(sealed_response(request, b"", b"Upgrade: any\r\nConnection: Upgrade\r\n", b"101 Switching"))
 
 
 async def _control_in_head(server, request, reader, writer):
-    writer.write(sealed(request, b"half", b"X-A: a\x01b\r\n"))
+    writer.write(sealed_response(request, b"half", b"X-A: a\x01b\r\n"))
 
 
 async def _seal_is_no_text(server, request, reader, writer):
-    writer.write(sealed(request, b"half").replace(b"Seal: s", b"Seal: s\x96s"))
+    writer.write(sealed_response(request, b"half").replace(b"Seal: s", b"Seal: s\x96s"))
 
 
 async def _stream_of_no_known_end(server, request, reader, writer):
@@ -399,10 +401,10 @@
     not claim that the request has not run. The server sees the request once, whatever its method.
     """
 
-    async def story(path, peer):
-        return await path.ask(method=method), len(peer.requests), path.forwards
+    async def scenario(proxy, peer):
+        return await proxy.ask(method=method), len(peer.requests), proxy.forwards
 
-    (status, _, body, is_whole), arrivals, forwards = play(story, wrong)
+    (status, _, body, is_whole), arrivals, forwards = run_scenario(scenario, wrong)
     assert status == 502 and is_whole and b"half" not in body and (arrivals, forwards) == (1, 1)
 
 
@@ -412,12 +414,12 @@
     """
 
     async def marked(server, request, reader, writer):
-        writer.write(sealed(request, b"done", b"X-Not-Run: 1\r\n"))
+        writer.write(sealed_response(request, b"done", b"X-Not-Run: 1\r\n"))
 
-    async def story(path, peer):
-        return await path.ask(), len(peer.requests)
+    async def scenario(proxy, peer):
+        return await proxy.ask(), len(peer.requests)
 
-    (status, _, body, is_whole), arrivals = play(story, marked)
+    (status, _, body, is_whole), arrivals = run_scenario(scenario, marked)
     assert (status, body, is_whole, arrivals) == (200, b"done", True, 1)
 
 
@@ -427,11 +429,11 @@
     sent it, and each retry costs retry budget.
     """
 
-    async def story(path, *peers):
-        status = (await path.ask("/plain/x", method=method))[0]
-        return status, sum(len(peer.requests) for peer in peers), path.forwards, path.scene.credit()
+    async def scenario(proxy, *peers):
+        status = (await proxy.ask("/plain/x", method=method))[0]
+        return status, sum(len(peer.requests) for peer in peers), proxy.forwards, proxy.scene.credit()
 
-    status, arrivals, forwards, balance = play(story, _nothing, _nothing)
+    status, arrivals, forwards, balance = run_scenario(scenario, _nothing, _nothing)
     assert status == 502 and arrivals == forwards > 1
     assert balance <= 4.0 + 0.2 - (arrivals - 1) + 1e-9
 
@@ -443,7 +445,7 @@
     async def cut(server, request, reader, writer):
         if how == "length":
             raw = event(1) + event(2)
-            return writer.write(sealed(request, raw, EVENTS, length=len(raw) + 9))
+            return writer.write(sealed_response(request, raw, EVENTS, length=len(raw) + 9))
         writer.write(chunked(request, EVENTS) + chunk(event(1)) + chunk(event(2)))
         if how == "torn event":
             writer.write(chunk(event(3)[:-1]) + b"0\r\n\r\n")
@@ -452,10 +454,10 @@
             await asyncio.sleep(0)
             reset(writer)
 
-    async def story(path, peer):
-        return await path.ask("/loose/x"), len(peer.requests)
+    async def scenario(proxy, peer):
+        return await proxy.ask("/loose/x"), len(peer.requests)
 
-    (status, _, body, is_whole), arrivals = play(story, cut)
+    (status, _, body, is_whole), arrivals = run_scenario(scenario, cut)
     assert not is_whole and arrivals == 1
     assert (status, body) == (200, event(1) + event(2)) or (
         how == "reset" and (status, body) in ((200, event(1)), (200, b""))
@@ -477,25 +479,24 @@
 
     doc = catalogue(routes=[route("chat", "stream", resumable=True, tries=3)])
 
-    async def story(path, *peers):
-        return await path.ask("/chat/x"), sum(len(peer.requests) for peer in peers), path.forwards
+    async def scenario(proxy, *peers):
+        return await proxy.ask("/chat/x"), sum(len(peer.requests) for peer in peers), proxy.forwards
 
-    (status, headers, body, is_whole), arrivals, forwards = play(story, part, part, doc=doc)
+    (status, headers, body, is_whole), arrivals, forwards = run_scenario(scenario, part, part, doc=doc)
     assert (status, body, is_whole) == (200, b"".join(map(event, range(1, 6))), True) and arrivals == forwards == 3
     assert [name.lower() for name, _ in headers].count(b"x-server-seal") == 1
 
 
 def test_refused_connection_is_retried_on_another_server():
-    """If the port of one server is closed, non-repeatable requests are answered by the other and were sent only there.
-    """
+    """If the port of one server is closed, non-repeatable requests are answered by the other and were sent only there."""
 
-    async def story(path, gone, peer):
+    async def scenario(proxy, gone, peer):
         gone.listener.close()
         await gone.listener.wait_closed()
-        answers = [await path.ask(number=number) for number in range(6)]
+        answers = [await proxy.ask(number=number) for number in range(6)]
         return [status for status, *_ in answers], len(peer.requests), len(gone.requests)
 
-    assert play(story, well, well) == ([200] * 6, 6, 0)
+    assert run_scenario(scenario, answer_ok, answer_ok) == ([200] * 6, 6, 0)
 
 
 # faulty and slow clients ------------------------------------------------------------------------------
@@ -509,16 +510,16 @@
         assert await reader.read() == b""
         closed.set()
 
-    async def story(path, peer):
-        _, writer = await path.connect()
-        writer.write(head(more=b"Content-Length: 0\r\n"))
+    async def scenario(proxy, peer):
+        _, writer = await proxy.connect()
+        writer.write(request_head(more=b"Content-Length: 0\r\n"))
         while not peer.requests:
             await asyncio.sleep(0)
         writer.close()
         await asyncio.wait_for(closed.wait(), SOON)
-        assert path.scene.settled()
+        assert proxy.scene.settled()
 
-    play(story, slow)
+    run_scenario(scenario, slow)
 
 
 @pytest.mark.parametrize(
@@ -544,21 +545,21 @@
     reaches no server; other clients are served meanwhile.
     """
 
-    async def story(path, peer):
-        bad = asyncio.get_running_loop().create_task(path.raw(raw))
-        assert (await path.ask(number=5))[0] == 200
-        return parted(await bad)[0], [request.id for request in peer.requests]
+    async def scenario(proxy, peer):
+        bad = asyncio.get_running_loop().create_task(proxy.raw(raw))
+        assert (await proxy.ask(number=5))[0] == 200
+        return parse_response(await bad)[0], [request.id for request in peer.requests]
 
-    status, served = play(story, well)
+    status, served = run_scenario(scenario, answer_ok)
     assert status in statuses and served == ["q5"]
 
 
 def test_endless_chunked_body_is_rejected():
     """A chunked body above the limit gets 413 or a closed connection, and no server sees it."""
 
-    async def story(path, peer):
-        reader, writer = await path.connect()
-        writer.write(head(more=b"Transfer-Encoding: chunked\r\n"))
+    async def scenario(proxy, peer):
+        reader, writer = await proxy.connect()
+        writer.write(request_head(more=b"Transfer-Encoding: chunked\r\n"))
         try:
             for _ in range(160):
                 writer.write(chunk(b"x" * 65536))
@@ -567,10 +568,10 @@
         except OSError:
             answer = b""
         assert answer == b"" or answer.startswith(b"HTTP/1.1 413 ")
-        assert (await path.ask(number=5))[0] == 200
+        assert (await proxy.ask(number=5))[0] == 200
         return [request.id for request in peer.requests]
 
-    assert play(story, well) == ["q5"]
+    assert run_scenario(scenario, answer_ok) == ["q5"]
 
 
 def test_slow_clients_do_not_block_others():
@@ -578,21 +579,23 @@
     continues.
     """
 
-    async def story(path, peer):
-        reader, writer = await path.connect()
-        writer.write(head(number=1, more=b"Content-Length: 4\r\n")[:40])
-        others = [await path.connect() for _ in range(20)]
+    async def scenario(proxy, peer):
+        reader, writer = await proxy.connect()
+        writer.write(request_head(number=1, more=b"Content-Length: 4\r\n")[:40])
+        others = [await proxy.connect() for _ in range(20)]
         for number, (_, other) in enumerate(others):
-            other.write(head(number=50 + number, more=b"Content-Length: 4\r\n") + b"ab" if number % 2 else b"POS")
+            other.write(
+                request_head(number=50 + number, more=b"Content-Length: 4\r\n") + b"ab" if number % 2 else b"POS"
+            )
         for number in range(10, 20):
-            assert (await path.ask(number=number))[0] == 200
-        writer.write(head(number=1, more=b"Content-Length: 4\r\n")[40:] + b"ab")
-        assert (await path.ask(number=20))[0] == 200
+            assert (await proxy.ask(number=number))[0] == 200
+        writer.write(request_head(number=1, more=b"Content-Length: 4\r\n")[40:] + b"ab")
+        assert (await proxy.ask(number=20))[0] == 200
         writer.write(b"cd")
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         return peer.requests[-1].body, len(peer.requests)
 
-    assert play(story, well) == (b"abcd", 12)
+    assert run_scenario(scenario, answer_ok) == (b"abcd", 12)
 
 
 def test_large_heads_within_the_limits_are_forwarded():
@@ -601,26 +604,25 @@
     """
 
     async def answer(server, request, reader, writer):
-        writer.write(sealed(request, b"x", b"X-Long: " + b"z" * 12000 + b"\r\n"))
+        writer.write(sealed_response(request, b"x", b"X-Long: " + b"z" * 12000 + b"\r\n"))
         return True
 
-    async def story(path, peer):
-        status, headers, _, _ = await path.ask(more=b"X-Long: " + b"y" * 15000 + b"\r\n")
+    async def scenario(proxy, peer):
+        status, headers, _, _ = await proxy.ask(more=b"X-Long: " + b"y" * 15000 + b"\r\n")
         assert status == 200 and dict(headers)[b"X-Long"] == b"z" * 12000
-        assert (await path.ask("/once/" + "p" * 15000))[0] == 200
+        assert (await proxy.ask("/once/" + "p" * 15000))[0] == 200
         return peer.requests
 
-    first, second = play(story, answer)
+    first, second = run_scenario(scenario, answer)
     assert first.get("X-Long") == ["y" * 15000] and len(second.line) > 15000
 
 
 def test_client_that_does_not_read_is_disconnected():
-    """If a client does not read an endless stream, its connection and that of its server are closed; others are served.
-    """
+    """If a client does not read an endless stream, its connection and that of its server are closed; others are served."""
 
     async def flood(server, request, reader, writer):
         if request.line.startswith("POST /once/"):
-            writer.write(sealed(request))
+            writer.write(sealed_response(request))
             return True
         writer.write(chunked(request, EVENTS))
         number = 0
@@ -629,15 +631,15 @@
             writer.write(chunk(event(number, 20000)))
             await writer.drain()
 
-    async def story(path, peer):
-        _, writer = await path.connect()
+    async def scenario(proxy, peer):
+        _, writer = await proxy.connect()
         writer.transport.pause_reading()
-        writer.write(head("/loose/x", more=b"Content-Length: 0\r\n"))
+        writer.write(request_head("/loose/x", more=b"Content-Length: 0\r\n"))
         async with asyncio.timeout(SOON):
-            while not path.scene.records(True):
+            while not proxy.scene.records(True):
                 await asyncio.sleep(0)
-        (record,) = path.scene.records(True)
+        (record,) = proxy.scene.records(True)
         assert record["class"] == "hung-up"
-        assert (await path.ask(number=5))[0] == 200 and path.scene.settled()
+        assert (await proxy.ask(number=5))[0] == 200 and proxy.scene.settled()
 
-    play(story, flood)
+    run_scenario(scenario, flood)
