--- a/sumachook/transport/codec.py
+++ b/sumachook/transport/codec.py
@@ -35,7 +35,7 @@
             setattr(self, field, value)
 
     struct_class: Any = type(name, (TBase,), {"__slots__": names, "__init__": set_fields, "thrift_spec": spec})
-    struct_class.type_arguments = [struct_class, spec]  # in the form that Thrift's C module expects
+    struct_class.type_arguments = [struct_class, spec]  # the type arguments in the form that Thrift's C module expects
     return struct_class
 
 
--- a/sumachook/transport/http_server.py
+++ b/sumachook/transport/http_server.py
@@ -112,7 +112,7 @@
             await server.shutdown(SHUTDOWN_TIMEOUT.total_seconds())
 
     async def sweep(self) -> None:
-        """Closes timed-out connections until cancelled; as a separate task, its failure closes no connection."""
+        """Closes timed-out connections until cancelled; runs as its own task, whose failure closes no connection."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL.total_seconds())
             self._sweep(asyncio.get_running_loop().time())
--- a/sumachook/transport/node_transport.py
+++ b/sumachook/transport/node_transport.py
@@ -1,4 +1,4 @@
-"""Sockets between nodes: UDP datagrams for membership, and TCP connections with length-prefixed frames for the rest."""
+"""Sockets between nodes: UDP datagrams for membership, length-prefixed frames over TCP for all other messages."""
 
 import asyncio
 from collections import deque
--- a/sumachook/transport/streaming_client.py
+++ b/sumachook/transport/streaming_client.py
@@ -41,7 +41,7 @@
 
 
 def _has_delimited_body(answer: aiohttp.ClientResponse) -> bool:
-    """Whether a complete body can be told from a truncated one: not if only the close of the connection ends it."""
+    """Whether the response states where its body ends; a body ended only by the connection's close may be truncated."""
     if answer.method == "HEAD" or answer.status in STATUSES_WITHOUT_BODY:
         return True
     codings = [coding.lower() for coding in answer.headers.getall("Transfer-Encoding", ())]
--- a/tests/membership/test_view_comparison.py
+++ b/tests/membership/test_view_comparison.py
@@ -191,7 +191,7 @@
 
 
 def test_repeated_updates_count_as_transmissions():
-    """Each time another node repeats an update, this node sends it one time less."""
+    """Each copy of an update received from another node reduces by one how often this node sends it."""
     unanswered, reported = (node("a", *(update(f"n{number}") for number in range(30))) for _ in range(2))
     for each in (unanswered, reported):
         receive(each, "n1", Ping(1, (update("n5", incarnation=2),), 0, 0))
