--- a/sumachook/nodes/edge.py
+++ b/sumachook/nodes/edge.py
@@ -29,10 +29,10 @@
 from sumachook.nodes.state_file import FILE, StateFile
 from sumachook.nodes.tick_intervals import IDLE_TICK, IN_HAND_TICK, TICK
 from sumachook.nodes.usage_report import UsageReport
-from sumachook.placement.places import Places
+from sumachook.placement.places import PlacementView
 from sumachook.quotas.rate_limiter import RateLimiter
 from sumachook.requests.events import DrainStarted
-from sumachook.retry_budget.budget import RetryBudget, share_of_savings
+from sumachook.retry_budget.budget import RetryBudget, share_of_slack
 from sumachook.runtime.clock import NodeClock
 from sumachook.runtime.cluster_clock import ClusterClock
 
@@ -102,7 +102,7 @@
         self.retry_budget = RetryBudget(settings.resend_ratio)
         self.ledger_writer = LedgerWriter(settings.data is not None, records.get("spool", ()), now)
         self.rate_limiter = RateLimiter(self.state, restart_epoch, now)
-        self.places = Places()
+        self.places = PlacementView()
         self._create_pipelines(random, request_port)
         self.usage_report = UsageReport(now)
         self.shutdown = EdgeShutdown(timedelta(seconds=settings.grace), now)
@@ -235,4 +235,4 @@
         After `PEER_MEMORY` the edges on the side of the cores divide the slack without this one, if it is on the other.
         """
         is_isolated = now - self.ticks.connected_at > PEER_MEMORY
-        return 0.0 if is_isolated else share_of_savings(slack, rank, edge_count)
+        return 0.0 if is_isolated else share_of_slack(slack, rank, edge_count)
--- a/sumachook/placement/placer.py
+++ b/sumachook/placement/placer.py
@@ -1,4 +1,4 @@
-"""The placer: brings model servers nearer to the plan, while this core holds the placement lease."""
+"""The placer: plans replicas and orders loads on model servers while this core holds the placement lease."""
 
 from datetime import timedelta
 from typing import Any, NamedTuple
@@ -19,13 +19,13 @@
 from sumachook.placement.plan import Pair, plan_pairs
 from sumachook.requests.model_server_api import ModelServerApi
 
-POLL_TIMEOUT = timedelta(seconds=1.5)  # beyond the next poll: a slow answer still counts
-DEMAND_HALF_LIFE = timedelta(seconds=60)  # a plan should not follow every burst
-FORGOTTEN_DEMAND = 0.05  # decayed counts below this are dropped
+POLL_TIMEOUT = timedelta(seconds=1.5)  # longer than the poll interval: a slow response still counts
+DEMAND_HALF_LIFE = timedelta(seconds=60)  # long enough that the plan does not follow short bursts
+MIN_DEMAND = 0.05  # decayed counts below this are dropped
 MODELS = "models"
 ADAPTERS = "adapters"
 ORDER = "order"
-WARM = "warm"  # the status of what has been ready for a short time only
+WARM = "warm"  # status of a model or adapter that became ready less than `WARM_UP_TIME` ago
 COMPONENT = "placement"
 
 Items = dict[str, str]  # {model or adapter: status} of one server
@@ -33,32 +33,32 @@
 
 
 class SentOrder(NamedTuple):
-    """An order whose result no read has shown yet, and how many reads there were."""
+    """An order whose effect no poll has shown yet, and the number of polls since it was sent."""
 
     verb: str
     reads: int
 
 
 class UnconfirmedLoad(NamedTuple):
-    """A load that may have begun though its call failed: its gigabytes stay taken from the store's budget."""
+    """A load that may have begun although its call failed: its size stays counted against the store's burst."""
 
     gigabytes: float
     failed_at: timedelta
 
 
 class Backoff(NamedTuple):
-    """An order that was refused is not sent again before `until`; `pause` doubles each time."""
+    """Delays the retry of a refused order to `until`; `pause` doubles with each refusal."""
 
     until: timedelta
     pause: timedelta
 
 
 class Placer:
-    """Reads what model servers hold, proposes the plan and what is held, and orders loads within the store's budget.
+    """Polls the model servers, proposes their contents and the plan, and orders loads within the store's budget.
 
     Parameters
     ----------
-    state : the ordered control state
+    state : the replicated control state
     now : the time on this core's monotonic clock
     """
 
@@ -89,13 +89,13 @@
     )
 
     POLL_INTERVAL = timedelta(seconds=0.8)
-    PLAN_INTERVAL = timedelta(seconds=4)  # also without a change, so that the plan follows demand
-    WARM_FOR = timedelta(seconds=6)  # edges send little to what has been ready for a shorter time
-    RESEND_INTERVAL = timedelta(seconds=1)  # of a proposal that may have been lost
-    UNCONFIRMED_FOR = timedelta(seconds=30)  # no load takes longer
-    MAX_READS = 5  # after which an order that no read shows counts as lost
+    PLAN_INTERVAL = timedelta(seconds=4)  # replans at this interval even without changes, to follow demand
+    WARM_UP_TIME = timedelta(seconds=6)  # edges limit requests to items that became ready more recently than this
+    RESEND_INTERVAL = timedelta(seconds=1)  # resends proposals, which may be lost; base of the orders' backoff
+    UNCONFIRMED_TIMEOUT = timedelta(seconds=30)  # no load takes longer, so it has ended by then
+    MAX_READS = 5  # polls without the effect of an order, after which it counts as lost
     MAX_BACKOFF = timedelta(seconds=60)
-    UNREACHABLE_AFTER = 3  # failed reads in a row
+    UNREACHABLE_AFTER = 3  # consecutive failed polls until a server counts as unreachable
 
     def __init__(self, state: Any, now: timedelta):
         self.state = state
@@ -106,15 +106,15 @@
         self.demand_at = now
         self.needs_plan = True
         self.state_changes: Subject[Any] = Subject()
-        outlines = self.state_changes.pipe(ops.map(_outline))
-        outlines.pipe(ops.distinct_until_changed()).subscribe(self._request_plan)
+        plan_inputs = self.state_changes.pipe(ops.map(_plan_inputs))
+        plan_inputs.pipe(ops.distinct_until_changed()).subscribe(self._request_plan)
         self._start_lease(now)
 
     def _request_plan(self, _: Any) -> None:
         self.needs_plan = True
 
     def _start_lease(self, now: timedelta) -> None:
-        """A new holder knows nothing until it has read it from the servers; the store's budget begins empty."""
+        """Resets what is known of the servers until they are polled, and starts with an empty budget for the store."""
         self.actual: dict[str, Items] = {}
         self.models: dict[str, Items] = {}
         self.failures: dict[str, int] = {}
@@ -132,7 +132,7 @@
         self.refused: dict[ItemAtServer, Backoff] = {}
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Handle one event."""
+        """Handles a tick, a state change, a demand report, or the result of a call."""
         match event:
             case LeaseTick(fence=fence):
                 return self._handle_tick(fence, now)
@@ -155,10 +155,10 @@
         if now - self.demand_at <= timedelta(seconds=1):
             return
         factor = 0.5 ** ((now - self.demand_at) / DEMAND_HALF_LIFE)
-        self.demand = {name: count * factor for name, count in self.demand.items() if count * factor > FORGOTTEN_DEMAND}
+        self.demand = {name: count * factor for name, count in self.demand.items() if count * factor > MIN_DEMAND}
         self.demand_at = now
 
-    # ticks ---------------------------------------------------------------------------
+    # ticks and the store's budget ----------------------------------------------------
 
     def _handle_tick(self, fence: int, now: timedelta) -> list[Effect]:
         if fence != self.fence:
@@ -172,15 +172,15 @@
         if now >= self.next_poll_at:
             self.next_poll_at = now + self.POLL_INTERVAL
             effects += self._poll()
-        return effects + self._propose_held(now) + self._propose_pairs(now) + self._send_orders(now)
+        return effects + self._propose_loaded_models(now) + self._propose_pairs(now) + self._send_orders(now)
 
     def _fill_budget(self, now: timedelta) -> None:
-        """Gigabytes that may be loaded from the store now; loads that may have begun stay taken from its burst."""
+        """Refills the budget of gigabytes to load from the store; loads that may be running reduce the burst."""
         store = self.state.catalogue.store
         self.unconfirmed = {
             name: load
             for name, load in self.unconfirmed.items()
-            if now - load.failed_at < self.UNCONFIRMED_FOR and name in self.state.servers
+            if now - load.failed_at < self.UNCONFIRMED_TIMEOUT and name in self.state.servers
         }
         taken = sum(self.unanswered.values()) + sum(load.gigabytes for load in self.unconfirmed.values())
         earned = store.pace * (now - self.budget_at).total_seconds()
@@ -190,7 +190,7 @@
     def _servers(self) -> dict[str, dict[str, Any]]:
         return {name: server for name, server in self.state.servers.items() if server["kind"] == "model"}
 
-    # reads ---------------------------------------------------------------------------
+    # polling of the servers ----------------------------------------------------------
 
     def _poll(self) -> list[Effect]:
         return [self._read(MODELS, name, server, self.port.MODELS) for name, server in self._servers().items()]
@@ -217,7 +217,7 @@
         if call_id.server in self.unreachable:
             self.unreachable.discard(call_id.server)
             self.needs_plan = True
-        self._learn_items(call_id.server, {**self.models.get(call_id.server, {}), **items}, now)
+        self._record_items(call_id.server, {**self.models.get(call_id.server, {}), **items}, now)
         return []
 
     def _read_items(self, kind: str, event: ResponseReceived | CallFailed) -> Items | None:
@@ -234,12 +234,12 @@
         self.unreachable.add(name)
         self.actual.pop(name, None)
         self.needs_plan = True
-        return [Log("warning", COMPONENT, "A server is dark.", {"server": name})]
+        return [Log("warning", COMPONENT, "Model server is unreachable.", {"server": name})]
 
-    def _learn_items(self, name: str, items: Items, now: timedelta) -> None:
-        """Take over what a server says; an order is forgotten once it shows, or after some reads without it.
+    def _record_items(self, name: str, items: Items, now: timedelta) -> None:
+        """Records a server's contents, and drops orders whose effect they show or that `MAX_READS` polls did not show.
 
-        Reads are counted, not seconds: a server that froze has not had the time to show anything.
+        Polls are counted rather than seconds, because a frozen server has had no time to carry out anything.
         """
         before = self.actual.get(name)
         self.actual[name] = items
@@ -247,8 +247,8 @@
         for (server, item), sent in list(self.in_flight.items()):
             if server != name:
                 continue
-            is_shown = (sent.verb == LOAD) == (item in items)
-            if is_shown or sent.reads >= self.MAX_READS:
+            has_taken_effect = (sent.verb == LOAD) == (item in items)
+            if has_taken_effect or sent.reads >= self.MAX_READS:
                 del self.in_flight[(server, item)]
             else:
                 self.in_flight[(server, item)] = SentOrder(sent.verb, sent.reads + 1)
@@ -256,10 +256,10 @@
             if status == READY and before is not None and before.get(item) != READY:
                 self.ready_since[(name, item)] = now
 
-    # proposals -----------------------------------------------------------------------
+    # proposals to the control state --------------------------------------------------
 
-    def _propose_held(self, now: timedelta) -> list[Effect]:
-        """Have it ordered what each server holds, where that has changed."""
+    def _propose_loaded_models(self, now: timedelta) -> list[Effect]:
+        """Proposes the contents of servers that differ from the control state."""
         if now - self.held_proposed_at < self.RESEND_INTERVAL / 4:
             return []
         changed: dict[str, Items | None] = {}
@@ -270,7 +270,7 @@
                 items = {item: self._status_of(name, item, status, now) for item, status in self.actual[name].items()}
             else:
                 continue
-            if items != self.state.held.get(name):
+            if items != self.state.model_statuses.get(name):
                 changed[name] = items
         if not changed or now - self.held_proposed_at < self.RESEND_INTERVAL / 2:
             return []
@@ -278,11 +278,11 @@
         return [ProposeChange(UpdateLoadedModels(self.fence, changed))]
 
     def _status_of(self, name: str, item: str, status: str, now: timedelta) -> str:
-        ready_since = self.ready_since.get((name, item), -self.WARM_FOR)
-        return WARM if status == READY and now - ready_since < self.WARM_FOR else status
+        ready_since = self.ready_since.get((name, item), -self.WARM_UP_TIME)
+        return WARM if status == READY and now - ready_since < self.WARM_UP_TIME else status
 
     def _propose_pairs(self, now: timedelta) -> list[Effect]:
-        """Have the plan ordered, where it has changed; there is none before all servers were read."""
+        """Proposes a changed plan; does not plan before every server was polled or found unreachable."""
         is_due = now >= self.next_plan_at or (
             self.needs_plan and now >= self.pairs_proposed_at + self.RESEND_INTERVAL / 2
         )
@@ -305,10 +305,10 @@
             state.catalogue, state.servers, state.evacuated, self.unreachable, self.demand, state.pairs, self.actual
         )
 
-    # orders --------------------------------------------------------------------------
+    # orders to the servers -----------------------------------------------------------
 
     def _send_orders(self, now: timedelta) -> list[Effect]:
-        """Order what is due: one unanswered order a server."""
+        """Sends the planned orders, with at most one unanswered order per server."""
         servers = {name: server for name, server in self._servers().items() if self._may_order(name, server)}
         if not servers or not self.state.pairs:
             return []
@@ -320,7 +320,7 @@
             actual={name: self.actual[name] for name in servers},
             in_flight={key: sent.verb for key, sent in self.in_flight.items()},
             budget=self.budget,
-            not_now={key for key, backoff in self.refused.items() if now < backoff.until},
+            backing_off={key for key, backoff in self.refused.items() if now < backoff.until},
         )
         self.budget -= planned.gigabytes
         effects: list[Effect] = []
@@ -332,7 +332,7 @@
         return effects
 
     def _may_order(self, name: str, server: dict[str, Any]) -> bool:
-        """Only servers that were read, stay, are in an open zone and owe no answer."""
+        """Returns whether a server was polled, is not leaving, is in an open zone, and has no unanswered order."""
         return (
             name in self.actual
             and name not in self.unanswered
@@ -350,7 +350,7 @@
         details = {"server": order.server, "verb": order.verb, "item": order.item, "fence": self.fence}
         return [
             _fetch(call_id, server, call, ORDER_TIMEOUT),
-            Log("info", COMPONENT, "Order goes out.", details),
+            Log("info", COMPONENT, "Sending an order to a model server.", details),
         ]
 
     def _handle_order_answer(
@@ -371,7 +371,7 @@
         self.refused[(name, item)] = Backoff(now + pause, pause)
         reason = event.status if isinstance(event, ResponseReceived) else CallFailure(event.failure).value
         details = {"server": name, "verb": call_id.verb, "item": item, "answer": str([reason])}
-        return [Log("warning", COMPONENT, "An order was not taken.", details)]
+        return [Log("warning", COMPONENT, "Order was not accepted.", details)]
 
 
 def _fetch(call_id: PollId | OrderId, server: dict[str, Any], call: Any, timeout: timedelta) -> Fetch:
@@ -379,7 +379,7 @@
     return Fetch(call_id, method, f"http://{server['address']}{path}", headers, body, timeout, timeout, "whole")
 
 
-def _outline(state: Any) -> tuple[Any, ...]:
-    """What a plan depends on of the ordered state."""
+def _plan_inputs(state: Any) -> tuple[Any, ...]:
+    """Returns the parts of the control state that a plan depends on, to detect changes."""
     servers = sorted((name, item["area"], item["leaving"], item["memory"]) for name, item in state.servers.items())
     return state.generation, state.evacuated, tuple(servers)
--- a/sumachook/placement/provisioner.py
+++ b/sumachook/placement/provisioner.py
@@ -1,4 +1,4 @@
-"""The provisioner: keeps the models that edges ask for loaded, while this core holds the placement lease."""
+"""The provisioner: loads the models that edges request, while this core holds the placement lease."""
 
 from datetime import timedelta
 from typing import Any
@@ -25,21 +25,21 @@
 from sumachook.placement.server_calls import CallKind, ServerCalls
 from sumachook.placement.server_registry import ServerRegistry
 
-UNLIMITED_LOADS_PER_S = 1000.0  # where the configuration states no rate for the store of weights
+UNLIMITED_LOADS_PER_S = 1000.0  # used if the configuration sets no rate limit for the weight store
 
 
 class Provisioner:
-    """The placement lease and its ticks; what is decided under a lease is in the parts that are made anew with it.
+    """Runs placement on demand under the placement lease; its components are created anew for each lease.
 
-    Demand and placement requests are kept without the lease as well, so that a new holder knows what is asked for.
+    Every core records demand and placement requests, also without the lease, so that a new holder has them at once.
 
     Parameters
     ----------
-    state : the ordered control state, of which it reads catalogue, servers and evacuated zones
-    port : the format of the engine servers
-    node : the name of this core, which orders bear
+    state : the replicated control state, of which the catalogue, servers and evacuated zones are read
+    port : builds and parses the calls to engine servers
+    node : the name of this core, sent as the holder in orders
     now : the time on this core's monotonic clock
-    incarnation : the run of this core's process, which placement updates bear
+    incarnation : the run of this core's process, sent in placement updates
     """
 
     __slots__ = (
@@ -77,7 +77,7 @@
         self._start_lease(0, now, last_call=0)
 
     def _start_lease(self, fence: int, now: timedelta, last_call: int) -> None:
-        """A new holder knows nothing: each server reports before its first order, and the store's tokens are spent."""
+        """Resets the state of the lease: servers must report before their first order, the token bucket is empty."""
         self.fence = fence
         self.started_at = now
         self.registry = ServerRegistry()
@@ -95,14 +95,14 @@
             self._update_registry(now)
 
     def take(self, event: Event, now: timedelta) -> list[Effect]:
-        """Handle one event; while the lease is held, also do whatever is due."""
+        """Handles an event; while this core holds the lease, also sends the calls, orders and updates that are due."""
         effects = self._handle(event, now)
         if not self._holds_lease(now) or (isinstance(event, MessageReceived) and not self.has_new_request):
             return effects
         self.has_new_request = False
-        effects += self._act(now)
+        effects += self._do_due_work(now)
         effects += self.publisher.publish(self.registry.servers, now)
-        return effects + self._wake(now)
+        return effects + self._schedule_wake_up(now)
 
     def _holds_lease(self, now: timedelta) -> bool:
         return bool(self.fence) and not self.executor.is_superseded and now - self.last_tick <= LEASE.lease
@@ -128,7 +128,7 @@
         if now - self.last_expiry_at >= LEASE.expiry_interval:
             self.last_expiry_at = now
             self.demand.expire(now)
-            self.requests.pending(now)  # forgets what waits no more
+            self.requests.pending(now)  # drops expired placement requests
         if not fence:
             return []
         if self.publisher.is_open:
@@ -138,23 +138,23 @@
         return []
 
     def _knows_servers(self) -> bool:
-        """Whether all servers that can be used have reported."""
+        """Returns whether all open servers have reported."""
         servers = self.registry.servers.values()
         return bool(servers) and all(server.is_known or not server.is_open for server in servers)
 
     def _handle_message(self, sender: str, address: str, message: Any, now: timedelta) -> list[Effect]:
         match message:
-            case PlacementRequest(requests=requests):  # one that is repeated waits for the next tick
+            case PlacementRequest(requests=requests):  # a repeated request is handled at the next tick
                 self.has_new_request = self.requests.record(sender, requests, now)
             case ModelUsage(usage=usage):
                 self.demand.record(sender, usage, now)
-                self._note_used(usage)
+                self._mark_used(usage)
             case PlacementSnapshotRequest(number=number) if self.fence:
                 return self.publisher.answer(address, number < 0, self.registry.servers)
         return []
 
-    def _note_used(self, usage: UsageByService) -> None:
-        """What was loaded for somebody has been used: from now on it may be unloaded again."""
+    def _mark_used(self, usage: UsageByService) -> None:
+        """Clears `unused_since` of used models and adapters, which lifts their protection against eviction."""
         for service, names in usage.items():
             used = {name for name, (begun, running, *_) in names.items() if begun or running}
             used |= {model_of(name) for name in used}
@@ -177,20 +177,20 @@
     def _update_registry(self, now: timedelta) -> None:
         self.publisher.mark_changed(*self.registry.update(self.state, now))
 
-    # what is due ---------------------------------------------------------------------
+    # due calls and loads -------------------------------------------------------------
 
-    def _act(self, now: timedelta) -> list[Effect]:
-        """Calls that are due, then what requests wait for, then further replicas."""
+    def _do_due_work(self, now: timedelta) -> list[Effect]:
+        """Sends due calls, then loads for waiting requests, then loads of additional replicas."""
         self.executor.store.fill(self.registry.loads_per_s or UNLIMITED_LOADS_PER_S, now)
-        effects = self.executor.call_due(now)
+        effects = self.executor.send_due_calls(now)
         effects += self.request_scheduler.serve(now)
         if now >= self.next_replication_at:
             self.next_replication_at = now + LEASE.replication_interval
             effects += self.replica_scheduler.adjust(self.requests.pending(now), now)
         return effects
 
-    def _wake(self, now: timedelta) -> list[Effect]:
-        """Ask for a wake-up where a call is due before the next tick."""
+    def _schedule_wake_up(self, now: timedelta) -> list[Effect]:
+        """Schedules a wake-up if a call is due before the next tick."""
         soonest = self.executor.next_call_at()
         if soonest is None or soonest >= self.last_tick + LEASE.tick_interval or now < self.wake_at <= soonest:
             return []
