--- a/sumachook/transport/codec.py
+++ b/sumachook/transport/codec.py
@@ -1,4 +1,4 @@
-"""Messages between nodes to bounded thrift frames and back."""
+"""Encoding of messages between nodes as Thrift frames of bounded size, and decoding."""
 
 import zlib
 from collections.abc import Sequence
@@ -17,36 +17,36 @@
 from sumachook.transport.node_message import NodeMessage, kind_of, type_of
 
 MAX_FRAME_BYTES = 4 << 20
-# One protocol for all frames: thrift's C module needs it for the bounds alone, and makes no other use of it.
+# One protocol object serves all frames: Thrift's C module reads only the length limits from it.
 _PROTOCOL = TBinaryProtocolAccelerated(TMemoryBuffer(), fallback=True)
-COMPRESSED, PLAIN, MIN_COMPRESSED_BYTES, MIN_CACHED_BYTES = b"z", b"p", 600, 8000
+COMPRESSED_MARKER, PLAIN_MARKER, MIN_COMPRESSED_BYTES, MIN_CACHED_BYTES = b"z", b"p", 600, 8000
 CONTAINERS = (list, dict)
-MAX_QUOTED = 40  # characters of a sender's own words in an error
+MAX_QUOTED_CHARS = 40  # characters of a received value that an error message quotes
 
 
-def _struct(name: str, fields: Sequence[tuple[str, int, Any]]) -> Any:
-    """A TBase class made from its fields; the spec replaces generated code."""
+def _thrift_struct(name: str, fields: Sequence[tuple[str, int, Any]]) -> Any:
+    """Creates a TBase class from (name, type, type argument) rows; its `thrift_spec` replaces generated code."""
     names = tuple(field[0] for field in fields)
-    spec = (None, *((place, kind, field, extra, None) for place, (field, kind, extra) in enumerate(fields, 1)))
+    spec = (None, *((field_id, kind, field, extra, None) for field_id, (field, kind, extra) in enumerate(fields, 1)))
 
-    def start(self: Any, *values: Any) -> None:
-        """Sets the given fields; a struct that is about to be read has none."""
+    def set_fields(self: Any, *values: Any) -> None:
+        """Sets the given fields; a struct that is created for decoding gets none."""
         for field, value in zip(names, values, strict=False):
             setattr(self, field, value)
 
-    made: Any = type(name, (TBase,), {"__slots__": names, "__init__": start, "thrift_spec": spec})
-    made.type_arguments = [made, spec]  # as thrift's C module takes them
-    return made
+    struct_class: Any = type(name, (TBase,), {"__slots__": names, "__init__": set_fields, "thrift_spec": spec})
+    struct_class.type_arguments = [struct_class, spec]  # the type arguments in the form that Thrift's C module expects
+    return struct_class
 
 
-MemberStruct = _struct(
+MemberStruct = _thrift_struct(
     "MemberStruct",
     [
         (field, *((TType.I64, None) if field in ("incarnation", "restart_epoch") else (TType.STRING, "UTF8")))
         for field in MemberUpdate._fields
     ],
 )
-_KINDS = {
+_THRIFT_TYPES = {
     "s": (TType.STRING, "UTF8"),
     "i": (TType.I64, None),
     "f": (TType.DOUBLE, None),
@@ -59,10 +59,10 @@
     "o": (TType.STRING, "BINARY"),
 }
 BODIES = {
-    kind: _struct("Body_" + kind, [(field, *_KINDS[letter]) for field, letter in fields])
+    kind: _thrift_struct("Body_" + kind, [(field, *_THRIFT_TYPES[letter]) for field, letter in fields])
     for kind, fields in FIELDS.items()
 }
-Frame = _struct(
+Frame = _thrift_struct(
     "Parcel",
     [
         ("cluster", TType.STRING, "UTF8"),
@@ -76,7 +76,7 @@
 
 
 def as_tuples(value: Any) -> Any:
-    """JSON lists as tuples, all the way down; objects are filled in place, so `value` is to be the caller's own.
+    """Converts JSON lists to tuples recursively. Objects are changed in place, so the caller must own `value`.
 
     >>> as_tuples([1, {"a": [2], "b": "c"}])
     (1, {'a': (2,), 'b': 'c'})
@@ -92,57 +92,57 @@
 
 
 def pack_entry(change: Any) -> bytes:
-    """A change of the ordered state as it stands in the log: JSON."""
+    """Encodes a change of the control state as a log entry, in JSON."""
     return msgspec.json.encode(change)
 
 
 def read_entry(entry: bytes) -> Any:
-    """The change that a log entry holds, with tuples for arrays."""
+    """Decodes the change in a log entry; JSON arrays become tuples."""
     return as_tuples(msgspec.json.decode(entry))
 
 
 @lru_cache(maxsize=16)
 def _compressed_entry(entry: bytes) -> bytes:
-    """A long entry goes to many nodes; it is compressed once."""
+    """Compresses a long entry; the result is cached because the entry is sent to many nodes."""
     return _compressed(entry)
 
 
 def _compressed(raw: bytes) -> bytes:
-    """Long documents go compressed; no JSON begins with the mark.
+    """Compresses long JSON documents behind a marker byte that no JSON text starts with.
 
     >>> raw = msgspec.json.encode(["word"] * 500)
     >>> len(_compressed(raw)) < 100, _decompressed(_compressed(raw)) == raw, _compressed(b"[1]")
     (True, True, b'[1]')
     """
-    return COMPRESSED + zlib.compress(raw, 3) if len(raw) >= MIN_COMPRESSED_BYTES else raw
+    return COMPRESSED_MARKER + zlib.compress(raw, 3) if len(raw) >= MIN_COMPRESSED_BYTES else raw
 
 
 def _decompressed(raw: bytes) -> bytes:
-    if not raw.startswith(COMPRESSED):
+    if not raw.startswith(COMPRESSED_MARKER):
         return raw
     decompressor = zlib.decompressobj()
-    data = decompressor.decompress(raw[len(COMPRESSED) :], MAX_FRAME_BYTES)
+    data = decompressor.decompress(raw[len(COMPRESSED_MARKER) :], MAX_FRAME_BYTES)
     if decompressor.unconsumed_tail:
-        raise ValueError("longer than allowed")
+        raise ValueError("decompressed field exceeds MAX_FRAME_BYTES")
     return data
 
 
 def _with_marker(raw: bytes) -> bytes:
-    """Bytes of any kind, which may begin with the mark themselves: a plain value gets a mark of its own.
+    """Compresses long binary values. Since they may start with its marker byte, plain ones get another marker.
 
     >>> [_without_marker(_with_marker(raw)) == raw for raw in (b"", b"z", b"z" * 5000)]
     [True, True, True]
     >>> len(_with_marker(b"z" * 5000)) < 100
     True
     """
-    return _compressed(raw) if len(raw) >= MIN_COMPRESSED_BYTES else PLAIN + raw
+    return _compressed(raw) if len(raw) >= MIN_COMPRESSED_BYTES else PLAIN_MARKER + raw
 
 
 def _without_marker(raw: bytes) -> bytes:
-    if raw.startswith(PLAIN):
-        return raw[len(PLAIN) :]
-    if not raw.startswith(COMPRESSED):
-        raise ValueError("neither plain nor squeezed")
+    if raw.startswith(PLAIN_MARKER):
+        return raw[len(PLAIN_MARKER) :]
+    if not raw.startswith(COMPRESSED_MARKER):
+        raise ValueError("binary field has no marker byte")
     return _decompressed(raw)
 
 
@@ -164,7 +164,7 @@
     if letter == "o":
         return value or b""
     if value is None:
-        raise ValueError("a field is missing")
+        raise ValueError("required field is missing")
     if letter == "d":
         return read_entry(_decompressed(value))
     if letter == "m":
@@ -189,7 +189,7 @@
     )
 
 
-def _bytes_of(struct: Any) -> bytes:
+def _encode_struct(struct: Any) -> bytes:
     if _PROTOCOL._fast_encode is not None:
         return bytes(_PROTOCOL._fast_encode(struct, struct.type_arguments))
     buffer = TMemoryBuffer()
@@ -197,8 +197,8 @@
     return bytes(buffer.getvalue())
 
 
-def _fill(struct: Any, raw: bytes) -> Any:
-    """Reads the fields of a struct; no text and no list in it may claim to be longer than all that there is."""
+def _decode_into(struct: Any, raw: bytes) -> Any:
+    """Decodes a struct in place; no string or list in it may declare a length beyond that of the input."""
     if _PROTOCOL._fast_decode is None:
         struct.read(TBinaryProtocolAccelerated(TMemoryBuffer(raw), len(raw), len(raw), fallback=True))
         return struct
@@ -209,7 +209,7 @@
 
 
 class Codec:
-    """Packs one message of a node; the reading side is `read_frame`.
+    """Encodes the messages of one sending node; `read_frame` decodes them.
 
     >>> codec = Codec("kosice", "core-1", "127.0.0.1:7001", 3)
     >>> from sumachook.membership.messages import Ping
@@ -227,7 +227,7 @@
         self.cluster, self.sender, self.address, self.incarnation = cluster, sender, address, incarnation
 
     def pack(self, message: NodeMessage | tuple[Any, ...]) -> bytes:
-        """The bytes of one message."""
+        """Encodes one message, which may also be a tuple of its kind and field values, as a frame."""
         if isinstance(message, NodeMessage):
             kind, values = kind_of(message), message.values()
         else:
@@ -235,11 +235,13 @@
         body = BODIES[kind](
             *(_to_field(letter, value) for (_, letter), value in zip(FIELDS[kind], values, strict=True))
         )
-        return _bytes_of(Frame(self.cluster, self.sender, self.address, self.incarnation, kind, _bytes_of(body)))
+        return _encode_struct(
+            Frame(self.cluster, self.sender, self.address, self.incarnation, kind, _encode_struct(body))
+        )
 
 
 class ReceivedFrame(NamedTuple):
-    """A message with the node that sent it: its name, the address at which it is answered, and its incarnation."""
+    """A decoded message with its sender's name, the address for answers, and the sender's incarnation."""
 
     sender: str
     address: str
@@ -248,24 +250,24 @@
 
 
 def read_frame(cluster: str, raw: bytes) -> ReceivedFrame:
-    """The message that the bytes hold; raises `UnreadableFrameError` where they hold none of this cluster."""
+    """Decodes a frame; raises `UnreadableFrameError` if it is malformed or belongs to another cluster."""
     if len(raw) > MAX_FRAME_BYTES:
         raise UnreadableFrameError(FrameProblem.TOO_LONG, f"{len(raw)} bytes")
     try:
         return _read_frame(cluster, raw)
     except UnreadableFrameError:
         raise
-    except Exception as error:  # thrift raises whatever its C reader meets
+    except Exception as error:  # Thrift's C decoder raises exceptions of many types
         raise UnreadableFrameError(FrameProblem.MALFORMED, type(error).__name__) from error
 
 
 def _read_frame(cluster: str, raw: bytes) -> ReceivedFrame:
-    frame = _fill(Frame(), raw)
+    frame = _decode_into(Frame(), raw)
     if frame.cluster != cluster:
-        raise UnreadableFrameError(FrameProblem.OTHER_CLUSTER, str(frame.cluster)[:MAX_QUOTED])
+        raise UnreadableFrameError(FrameProblem.OTHER_CLUSTER, str(frame.cluster)[:MAX_QUOTED_CHARS])
     if frame.kind not in BODIES:
-        raise UnreadableFrameError(FrameProblem.UNKNOWN_KIND, str(frame.kind)[:MAX_QUOTED])
-    body = _fill(BODIES[frame.kind](), frame.body)
+        raise UnreadableFrameError(FrameProblem.UNKNOWN_KIND, str(frame.kind)[:MAX_QUOTED_CHARS])
+    body = _decode_into(BODIES[frame.kind](), frame.body)
     values = [_from_field(letter, getattr(body, field, None)) for field, letter in FIELDS[frame.kind]]
     message_type = type_of(frame.kind)
     message = (frame.kind, *values) if message_type is None else message_type.from_values(values)
--- a/tests/nodes/test_daemon.py
+++ b/tests/nodes/test_daemon.py
@@ -13,7 +13,7 @@
 from sumachook.runtime.clock import Clock
 from sumachook.transport.addresses import split_address
 from sumachook.transport.http_server import HttpServer
-from tests.transport.proxy_fixtures import BOUND, parted
+from tests.transport.proxy_fixtures import BOUND, parse_response
 
 LONG_ANSWER = b"x" * (24 << 20)  # more than the buffers of a connection can store
 READ_DELAY_S = 1.2  # seconds after the decision to exit; longer than `FINAL_SEND_DELAY` and the proxy server's own wait
@@ -105,7 +105,7 @@
         loop.call_later(READ_DELAY_S, writer.transport.resume_reading)
         await process.task
         transport.abort()  # as the exit of the process does
-        answer = parted(await reader.read())
+        answer = parse_response(await reader.read())
         writer.close()
         return answer
 
--- a/tests/nodes/test_edge_shutdown.py
+++ b/tests/nodes/test_edge_shutdown.py
@@ -18,11 +18,11 @@
 from sumachook.nodes.edge_shutdown import FINAL_ANSWERS_BEFORE_END, MAX_OPEN_FRACTION, MIN_OPEN_TIME, QUIET_TIME
 from sumachook.runtime.clock import Clock
 from sumachook.transport.addresses import split_address
-from sumachook.transport.http_server import TURNS_LEFT_UNREAD
+from sumachook.transport.http_server import LOOP_TURNS_BEFORE_CLOSE
 from sumachook.transport.node_transport import NodeTransport
 from tests.forwarding.forwarding_fixtures import FixedTrust, catalogue, route, server
 from tests.short_forms import event_of, tuple_of_effect
-from tests.transport.proxy_fixtures import BOUND, SOON, head, play, sealed, well
+from tests.transport.proxy_fixtures import BOUND, SOON, answer_ok, request_head, run_scenario, sealed_response
 
 SECOND, TICK = timedelta(seconds=1), timedelta(seconds=0.05)
 GRACE = 8.0
@@ -331,7 +331,7 @@
 
     def write(self, number):
         self.number = number
-        self.writer.write(head(number=number, more=b"Content-Length: 2\r\n") + b"{}")
+        self.writer.write(request_head(number=number, more=b"Content-Length: 2\r\n") + b"{}")
 
     async def answer(self):
         """Returns (status, response head) of the next response. The status is "unread" if the connection was reset with the request
@@ -381,14 +381,14 @@
         outcomes = [await each.answer() for each in clients]
         return outcomes, {request.id for request in peer.requests}
 
-    outcomes, arrived = play(scenario, well)
+    outcomes, arrived = run_scenario(scenario, answer_ok)
     for number, (status, top) in enumerate(outcomes):
         assert status in (200, 503, "unread"), (number, status)
         assert status not in (503, "unread") or f"q{100 + number}" not in arrived
         assert status not in (200, 503) or b"connection: close" in top.lower()
 
 
-@pytest.mark.parametrize("turns", range(TURNS_LEFT_UNREAD))
+@pytest.mark.parametrize("turns", range(LOOP_TURNS_BEFORE_CLOSE))
 def test_request_just_after_the_close_is_left_unread(turns):
     """Requests on idle connections that arrive in the loop iterations between the close of the proxy server and that of
     the connections are not read."""
@@ -402,7 +402,7 @@
             each.write(100 + number)
         return [await each.answer() for each in clients], len(peer.requests)
 
-    outcomes, arrivals = play(scenario, well)
+    outcomes, arrivals = run_scenario(scenario, answer_ok)
     assert {status for status, _ in outcomes} == {"unread"} and arrivals == 12
 
 
@@ -412,7 +412,7 @@
 
     async def scenario(path, peer):
         (client,) = await _kept(path, 1)
-        client.writer.write(head(number=7, more=b"Content-Length: 200000\r\n"))
+        client.writer.write(request_head(number=7, more=b"Content-Length: 200000\r\n"))
         for _ in range(2):  # the head is read in the second iteration and processed in the following ones
             await asyncio.sleep(0)
         _close_proxy_server(path)
@@ -421,7 +421,7 @@
         client.writer.write(b"x" * 200000)
         return await client.answer(), len(peer.requests)
 
-    (status, top), arrivals = play(scenario, well)
+    (status, top), arrivals = run_scenario(scenario, answer_ok)
     assert status == 503 and b"connection: close" in top.lower() and arrivals == 1
 
 
@@ -433,7 +433,7 @@
     async def slow(server, request, reader, writer):
         if len(server.requests) > 2:
             await go.wait()
-        writer.write(sealed(request))
+        writer.write(sealed_response(request))
         return True
 
     async def scenario(path, peer):
@@ -451,4 +451,4 @@
         assert status == 200 and b"connection: close" in top.lower()
         assert await asyncio.wait_for(working.reader.read(), SOON) == b""
 
-    play(scenario, slow)
+    run_scenario(scenario, slow)
--- a/tests/transport/proxy_fixtures.py
+++ b/tests/transport/proxy_fixtures.py
@@ -1,4 +1,4 @@
-"""Raw clients, raw servers and the way between them over real sockets: a proxy server, the pipeline and a streaming client."""
+"""Raw clients and raw servers with a proxy server, the pipeline and a streaming client between them, over real sockets."""
 
 import asyncio
 import re
@@ -23,17 +23,17 @@
 from tests.forwarding.forwarding_fixtures import START, Scene, server
 from tests.short_forms import effect_of, tuple_of_event
 
-BOUND = 8.0  # seconds for one story, far more than it takes
-SOON = 2.5  # seconds, well under the time of a route
+BOUND = 8.0  # time limit of a scenario in seconds, far more than it needs
+SOON = 2.5  # seconds, well under the timeout of a route
 TICK = 0.02
 EVENTS = b"Content-Type: text/event-stream\r\n"
 
 
 class Request:
-    """One request as a server saw it, byte for byte."""
+    """One request as a server received it, byte for byte."""
 
-    def __init__(self, head, body):
-        self.line, *lines = head.decode("latin-1").split("\r\n")
+    def __init__(self, request_head, body):
+        self.line, *lines = request_head.decode("latin-1").split("\r\n")
         self.pairs, self.body = [tuple(line.split(": ", 1)) for line in lines if line], body
 
     @property
@@ -45,7 +45,7 @@
 
 
 class Server:
-    """A raw server: `answer(server, request, reader, writer)` writes what it likes; True keeps the connection for another."""
+    """A raw server that calls `answer(server, request, reader, writer)` for each request; True keeps the connection open."""
 
     def __init__(self, answer):
         self.answer, self.requests, self.connections, self.tasks, self.address, self.listener = (
@@ -76,19 +76,19 @@
             writer.close()
 
     async def _read(self, reader):
-        head = (await reader.readuntil(b"\r\n\r\n"))[:-4]
-        length = re.search(rb"(?i)\r\ncontent-length: (\d+)", head)
-        if re.search(rb"(?i)\r\ntransfer-encoding: chunked", head):
+        request_head = (await reader.readuntil(b"\r\n\r\n"))[:-4]
+        length = re.search(rb"(?i)\r\ncontent-length: (\d+)", request_head)
+        if re.search(rb"(?i)\r\ntransfer-encoding: chunked", request_head):
             body = b""
             while size := int(await reader.readline(), 16):
                 body += (await reader.readexactly(size + 2))[:-2]
             await reader.readline()
-            return Request(head, body)
-        return Request(head, await reader.readexactly(int(length[1])) if length else b"")
+            return Request(request_head, body)
+        return Request(request_head, await reader.readexactly(int(length[1])) if length else b"")
 
 
-def sealed(request, body=b"done", more=b"", status=b"200 OK", length=None):
-    """A whole answer of a server; `length` may lie."""
+def sealed_response(request, body=b"done", more=b"", status=b"200 OK", length=None):
+    """Returns a sealed response to a request; `length` overrides the content length, also with a wrong one."""
     size = len(body) if length is None else length
     return b"HTTP/1.1 %s\r\nX-Request-Id: %s\r\nX-Server-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
@@ -115,12 +115,15 @@
     writer.transport.abort()
 
 
-class Path:
-    """A front, a Transit and a forwarder as a daemon hosts them, before one raw server or several."""
+class ProxyFixture:
+    """A proxy server, a pipeline and a streaming client, connected as in a daemon, in front of raw servers."""
 
     def __init__(self, *servers, doc=None):
-        self.servers, self.doc, self.inbox, self.is_handing = servers, doc, [], False
-        self.front, self.streaming_client = ProxyServer(free_address(), self.hear), StreamingClient(self.hear)
+        self.servers, self.doc, self.inbox, self.is_handling = servers, doc, [], False
+        self.front, self.streaming_client = (
+            ProxyServer(free_address(), self.handle_event),
+            StreamingClient(self.handle_event),
+        )
         self.scene = self.begun_at = None
 
     async def __aenter__(self):
@@ -146,14 +149,14 @@
             each.listener.close()
 
     def _tick(self):
-        self.hear(Tick())
+        self.handle_event(Tick())
         self.tick = asyncio.get_running_loop().call_later(TICK, self._tick)
 
-    def hear(self, message):
+    def handle_event(self, message):
         self.inbox.append(message)
-        if self.is_handing:
+        if self.is_handling:
             return
-        self.is_handing = True
+        self.is_handling = True
         while self.inbox:
             kind, *rest = tuple_of_event(self.inbox.pop(0))
             self.scene.now = START + timedelta(seconds=asyncio.get_running_loop().time() - self.begun_at)
@@ -165,7 +168,7 @@
                         self.streaming_client.cancel(call_id)
                     case (Reply() | BeginResponse() | SendChunk() | EndResponse() | AbortResponse()) as answer:
                         self.front.answer(answer)
-        self.is_handing = False
+        self.is_handling = False
 
     @property
     def forwards(self):
@@ -175,7 +178,7 @@
         return await asyncio.open_connection(*split_address(self.front.address), limit=1 << 25)
 
     async def raw(self, raw):
-        """All that comes back on a connection of its own, until it is closed."""
+        """Sends raw bytes on a new connection; returns all bytes received until the server closes it."""
         reader, writer = await self.connect()
         writer.write(raw)
         answer = await reader.read()
@@ -183,12 +186,14 @@
         return answer
 
     async def ask(self, path="/once/x", method="POST", body=b"", number=1, more=b""):
-        """(status, headers, body, whether it is whole) of one request."""
+        """Sends one request on a new connection; returns (status, headers, body, whether the response is complete)."""
         length = b"Content-Length: %d\r\n" % len(body) if body or method in ("POST", "PUT") else b""
-        return parted(await self.raw(head(path, method, number, more + length + b"Connection: close\r\n") + body))
+        return parse_response(
+            await self.raw(request_head(path, method, number, more + length + b"Connection: close\r\n") + body)
+        )
 
 
-def head(path="/once/x", method="POST", number=1, more=b""):
+def request_head(path="/once/x", method="POST", number=1, more=b""):
     return b"%s %s HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: q%d\r\n%s\r\n" % (
         method.encode(),
         path.encode("latin-1"),
@@ -197,19 +202,19 @@
     )
 
 
-def parted(raw):
+def parse_response(raw):
     top, _, body = raw.partition(b"\r\n\r\n")
     line, *lines = top.split(b"\r\n")
     headers = [tuple(each.split(b": ", 1)) for each in lines]
     names = {name.lower(): value for name, value in headers}
     status = int(line.split(b" ")[1]) if line.startswith(b"HTTP/1.") else 0
     if names.get(b"transfer-encoding") == b"chunked":
-        return status, headers, *_joined(body)
+        return status, headers, *_decode_chunks(body)
     return status, headers, body, len(body) == int(names.get(b"content-length", b"-1"))
 
 
-def _joined(raw):
-    """(what the chunks hold, whether the closing one is there)."""
+def _decode_chunks(raw):
+    """Decodes a chunked body; returns its data and whether the final chunk is there."""
     whole = b""
     while size := re.match(rb"([0-9a-f]+)\r\n", raw):
         begin, length = size.end(), int(size[1], 16)
@@ -219,18 +224,18 @@
     return whole, False
 
 
-def play(story, *answers, doc=None):
-    """Runs `story(path, *servers)` before servers that answer so, bounded in time."""
+def run_scenario(scenario, *answers, doc=None):
+    """Runs `scenario(proxy, *servers)` with a server for each of `answers`, with a time limit."""
 
     async def run():
         servers = [Server(answer) for answer in answers]
-        async with Path(*servers, doc=doc) as path:
-            return await story(path, *servers)
+        async with ProxyFixture(*servers, doc=doc) as proxy:
+            return await scenario(proxy, *servers)
 
     return asyncio.run(asyncio.wait_for(run(), BOUND))
 
 
-async def well(server, request, reader, writer):
-    raw = sealed(request)
+async def answer_ok(server, request, reader, writer):
+    raw = sealed_response(request)
     writer.write(raw[:-4] if request.line.startswith("HEAD ") else raw)
     return True
--- a/tests/transport/test_client_limits.py
+++ b/tests/transport/test_client_limits.py
@@ -1,4 +1,6 @@
-"""The configuration's limits of clients at an edge's front: sizes, times, and changes while connections rest (docs/design/forwarding.md)."""
+"""Configured client limits of an edge's proxy server: sizes, timeouts, and changes of them while connections are idle
+(docs/design/forwarding.md).
+"""
 
 import asyncio
 
@@ -15,14 +17,14 @@
 LIMITS = {"header_bytes": 2000, "body_bytes": 3000, "header_ms": 3000.0, "idle_ms": 15000.0}
 
 
-class Hall:
-    """A front with limits, whose machine answers each request at once; its sweep is called by the stories alone."""
+class LimitedServer:
+    """A proxy server with limits that answers each request at once; only the tests call its sweep."""
 
     def __init__(self, **limits):
-        self.messages, self.writers, self.front = [], [], ProxyServer(free_address(), self.hear)
+        self.messages, self.writers, self.front = [], [], ProxyServer(free_address(), self.handle_event)
         self.front.apply_limits(Limits(**LIMITS | limits))
 
-    def hear(self, message):
+    def handle_event(self, message):
         self.messages.append(message)
         if isinstance(message, ProxyRequestReceived):
             self.front.answer(Reply(message.call_id, 200, {}, b"ok"))
@@ -45,25 +47,25 @@
         while len(self.front.server.connections) == before:
             await asyncio.sleep(0)
         writer.write(raw)
-        self.writers.append(writer)  # a writer that nobody holds is closed
-        await turns()
+        self.writers.append(writer)  # an unreferenced writer is garbage collected, which closes its connection
+        await loop_turns()
         return reader, writer
 
 
-async def turns():
+async def loop_turns():
     for _ in range(TURNS):
         await asyncio.sleep(0)
 
 
 async def has_ended(reader):
-    await turns()
+    await loop_turns()
     return reader.at_eof()
 
 
-def play(story, **limits):
+def run_scenario(scenario, **limits):
     async def run():
-        async with Hall(**limits) as hall:
-            return await story(hall)
+        async with LimitedServer(**limits) as fixture:
+            return await scenario(fixture)
 
     return asyncio.run(asyncio.wait_for(run(), BOUND))
 
@@ -72,8 +74,8 @@
     return b"POST /x HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n" % (headers, size) + b"x" * size
 
 
-async def ask(hall, raw):
-    reader, _ = await hall.connect(raw)
+async def ask(fixture, raw):
+    reader, _ = await fixture.connect(raw)
     return int((await reader.readline()).split()[1])
 
 
@@ -93,118 +95,128 @@
         ),
     ],
 )
-def test_what_is_larger_than_the_limits_is_refused_and_reaches_no_machine(raw, status):
-    """Given heads and bodies up to the limits and beyond, in one field and in many, with a length and in chunks, the former pass and
-    the latter are refused."""
+def test_requests_larger_than_the_limits_are_rejected_without_an_event(raw, status):
+    """Heads and bodies up to the limits are accepted and larger ones rejected, with one header field or many, with a
+    content length or in chunks.
+    """
 
-    async def story(hall):
-        return await ask(hall, raw), len(hall.messages)
+    async def scenario(fixture):
+        return await ask(fixture, raw), len(fixture.messages)
 
-    assert play(story) == (status, 1 if status == 200 else 0)
+    assert run_scenario(scenario) == (status, 1 if status == 200 else 0)
 
 
-def test_larger_limits_let_more_through_at_once():
-    """Given limits that grow, a head of half a megabyte and a body of ten pass from then on, over a connection made before too."""
+def test_raised_limits_apply_at_once_to_open_connections():
+    """After the limits are raised, a head of half a megabyte and a body of 10 MiB are accepted on an open connection
+    too.
+    """
 
-    async def story(hall):
+    async def scenario(fixture):
         large = post(10 << 20, b"A: %s\r\n" % (b"a" * (512 << 10)))
-        first, (reader, writer) = await ask(hall, large), await hall.connect()
-        hall.front.apply_limits(Limits(header_bytes=1 << 20, body_bytes=16 << 20))
+        first, (reader, writer) = await ask(fixture, large), await fixture.connect()
+        fixture.front.apply_limits(Limits(header_bytes=1 << 20, body_bytes=16 << 20))
         writer.write(large)
         return first, int((await reader.readline()).split()[1])
 
-    assert play(story) == (431, 200)
+    assert run_scenario(scenario) == (431, 200)
 
 
-def test_a_head_that_does_not_come_whole_is_given_the_header_time():
-    """Given half a head, first on a new connection, then after a request, it is closed once the header time is over and not before."""
+def test_incomplete_head_is_closed_after_the_header_timeout():
+    """An incomplete head, on a new connection or after a request, closes the connection after the header timeout and
+    not before.
+    """
 
-    async def story(hall):
+    async def scenario(fixture):
         begun = b"GET /x HTTP/1.1\r\nHost"
-        reader, _ = await hall.connect(begun)
-        used, writer = await hall.connect(post(2))
+        reader, _ = await fixture.connect(begun)
+        used, writer = await fixture.connect(post(2))
         assert (await used.readuntil(b"ok")).startswith(b"HTTP/1.1 200")
-        await turns()
+        await loop_turns()
         writer.write(begun)
-        await turns()
-        hall.front._sweep(hall.now() + 2.9)
+        await loop_turns()
+        fixture.front._sweep(fixture.now() + 2.9)
         assert not await has_ended(reader) and not await has_ended(used)
-        hall.front._sweep(hall.now() + 3.1)
+        fixture.front._sweep(fixture.now() + 3.1)
         assert await has_ended(reader) and await has_ended(used)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_half_a_body_that_never_comes_is_swept():
-    """Given bodies of which half comes, one of which goes on shortly after, and one of which does not: the former is answered, the
-    latter told so after the idle time, its connection closed, and its request reaches no machine."""
+def test_stalled_body_gets_408_after_the_idle_timeout():
+    """A body that stalls gets 408 after the idle timeout, its connection is closed and it emits no event; a body that
+    continues before the timeout is answered.
+    """
 
-    async def story(hall):
-        reader, _ = await hall.connect(post(100)[:-50])
-        slow, writer = await hall.connect(post(100)[:-50])
+    async def scenario(fixture):
+        reader, _ = await fixture.connect(post(100)[:-50])
+        slow, writer = await fixture.connect(post(100)[:-50])
         writer.write(b"x" * 50)
         assert (await slow.readline()).split()[1] == b"200"
         assert (
             (await reader.readline()).split()[1] == b"408"
             and (await reader.read()).endswith(b"}")
-            and len(hall.messages) == 1
+            and len(fixture.messages) == 1
         )
 
-    play(story, idle_ms=100.0)
+    run_scenario(scenario, idle_ms=100.0)
 
 
-def test_connections_rest_by_the_limit_that_their_clients_know():
-    """Given connections that rest, when the limit shrinks they keep theirs, and what rests from then on has the new one; when it grows
-    they may rest longer; and no other bound ends them sooner."""
+def test_idle_connections_keep_the_timeout_that_their_clients_know():
+    """When the idle timeout shrinks, connections already idle keep theirs and later ones get the new one; when it
+    grows, idle connections may stay longer. No other limit closes them sooner.
+    """
 
-    async def story(hall):
-        start = hall.now()
-        old, _ = await hall.connect()
-        hall.front._sweep(start)
-        hall.front.apply_limits(Limits(**LIMITS | {"idle_ms": 5000.0}))
-        new, _ = await hall.connect()
-        hall.front._sweep(start + 1)
-        hall.front._sweep(start + 5.9)
+    async def scenario(fixture):
+        start = fixture.now()
+        old, _ = await fixture.connect()
+        fixture.front._sweep(start)
+        fixture.front.apply_limits(Limits(**LIMITS | {"idle_ms": 5000.0}))
+        new, _ = await fixture.connect()
+        fixture.front._sweep(start + 1)
+        fixture.front._sweep(start + 5.9)
         assert not await has_ended(new)
-        hall.front._sweep(start + 6.1)
+        fixture.front._sweep(start + 6.1)
         assert await has_ended(new) and not await has_ended(old)
-        hall.front._sweep(start + 14.9)
+        fixture.front._sweep(start + 14.9)
         assert not await has_ended(old)
-        hall.front.apply_limits(Limits(**LIMITS | {"idle_ms": 60000.0}))
-        hall.front._sweep(start + 59)
+        fixture.front.apply_limits(Limits(**LIMITS | {"idle_ms": 60000.0}))
+        fixture.front._sweep(start + 59)
         assert not await has_ended(old)
-        hall.front._sweep(start + 60.1)
+        fixture.front._sweep(start + 60.1)
         assert await has_ended(old)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_shorter_limit_holds_for_no_connection_that_began_to_rest_before_it():
-    """Given a connection on which a request was answered, and a shorter limit right after, before any sweep has seen it rest, it may
-    rest for as long as its client knows."""
+def test_shorter_idle_timeout_does_not_apply_to_connections_already_idle():
+    """A connection that became idle before the timeout was shortened, but was not swept yet, keeps the longer timeout,
+    which is the one that its client knows.
+    """
 
-    async def story(hall):
-        reader, _ = await hall.connect(post(2))
+    async def scenario(fixture):
+        reader, _ = await fixture.connect(post(2))
         assert (await reader.readuntil(b"ok")).startswith(b"HTTP/1.1 200")
-        await turns()
-        hall.front.apply_limits(Limits(**LIMITS | {"idle_ms": 2000.0}))
-        start = hall.now()
-        hall.front._sweep(start)
-        hall.front._sweep(start + 14.9)
+        await loop_turns()
+        fixture.front.apply_limits(Limits(**LIMITS | {"idle_ms": 2000.0}))
+        start = fixture.now()
+        fixture.front._sweep(start)
+        fixture.front._sweep(start + 14.9)
         assert not await has_ended(reader)
-        hall.front._sweep(start + 15.1)
+        fixture.front._sweep(start + 15.1)
         assert await has_ended(reader)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_the_parser_closes_no_resting_connection_by_a_time_of_its_own():
-    """Given an idle limit longer than any default, no timer of the library ends a connection that was used."""
+def test_aiohttp_keep_alive_timeout_is_disabled():
+    """The keep-alive timer of aiohttp must not close a used connection before a configured idle timeout that is longer."""
     assert ProxyServer.OPTIONS["keepalive_timeout"] >= 1e6
 
 
-def test_an_edge_tells_its_front_the_limits_when_they_change():
-    """Given configurations, the edge hands its front the limits of each that changes them, and no others."""
+def test_edge_applies_client_limits_only_when_they_change():
+    """An edge passes the client limits of a configuration to its proxy server only if they differ from the previous
+    ones.
+    """
     from datetime import timedelta
     from random import Random
 
@@ -221,12 +233,12 @@
         seeds=("127.0.0.1:3",),
         front="127.0.0.1:4",
     )
-    edge, now, told = Edge(settings, {}, 1, Clock(), Random(1)), Clock().mono(), []
+    edge, now, applied = Edge(settings, {}, 1, Clock(), Random(1)), Clock().mono(), []
     for number, doc in enumerate(
         (whole(1), whole(2), whole(3, limits={"idleMs": 9000}), whole(4, limits={"idleMs": 9000}), whole(5)), 1
     ):
         assert edge.state.apply(number, ("configure", "q", doc, {}, False, number - 1))[0] == "ok"
         now += timedelta(seconds=0.05)
         effects = edge.take(Tick(), now)
-        told += [effect.limits.idle_ms for effect in effects if isinstance(effect, ApplyClientLimits)]
-    assert told == [15000.0, 9000.0, 15000.0]
+        applied += [effect.limits.idle_ms for effect in effects if isinstance(effect, ApplyClientLimits)]
+    assert applied == [15000.0, 9000.0, 15000.0]
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -1,4 +1,4 @@
-"""Parcels between nodes: what the codec reads, and that both kinds of socket bring them (docs/design/transport.md)."""
+"""Frames between nodes: encoding, rejection of invalid ones, and transfer by TCP and UDP (docs/design/transport.md)."""
 
 import asyncio
 
@@ -13,9 +13,10 @@
 from sumachook.transport.node_transport import NodeTransport
 
 
-def test_every_kind_survives_the_wire(monkeypatch):
-    """Given values of every letter, each kind is read as it was packed; what the types of messages make of values is
-    tested with the fixtures of all kinds (tests/compatibility/test_wire_bytes.py)."""
+def test_every_message_kind_round_trips(monkeypatch):
+    """Each message kind decodes to the values that were encoded, for every type letter. The conversion to message types
+    is tested with the fixtures of all kinds (tests/compatibility/test_wire_bytes.py).
+    """
     monkeypatch.setattr("sumachook.transport.codec.type_of", lambda kind: None)
     samples = {
         "s": "x",
@@ -30,7 +31,7 @@
         "m": (("n1", "127.0.0.1:1", "edge", "hall", 2, "alive", "127.0.0.1:2", 9),),
     }
     records, acks = (({"k": (2,)}, ("a",)), ({"k": 3}, ())), (("r1", "ok", {"state": "open"}),)
-    documents = {  # of kinds that are typed down to their documents
+    documents = {  # of kinds whose documents have a fixed structure
         **dict.fromkeys(("open", "close", "hand"), records),
         **dict.fromkeys(("opened", "closed", "handed"), acks),
         "carry": (({"k": (2,)}, True),),
@@ -45,7 +46,7 @@
         assert read_frame("c", codec.pack(message))[3] == message
 
 
-def test_garbage_is_a_fault_at_every_cut():
+def test_truncated_and_oversized_frames_are_rejected():
     raw = Codec("c", "n", "127.0.0.1:1", 1).pack(("heartbeat", (1, "a"), 7, 4, 4, True, ("a", "b"), 3))
     for length in range(len(raw)):
         with pytest.raises(UnreadableFrameError) as caught:
@@ -56,16 +57,16 @@
     assert caught.value.problem is FrameProblem.TOO_LONG
 
 
-def test_parcels_arrive_and_garbage_is_counted():
-    async def story():
-        heard, done = [], asyncio.Event()
+def test_frames_arrive_by_tcp_and_udp_and_garbage_is_reported():
+    async def scenario():
+        received_events, done = [], asyncio.Event()
 
-        def hear(message):
-            heard.append(message)
-            if len(heard) == 3:
+        def record(message):
+            received_events.append(message)
+            if len(received_events) == 3:
                 done.set()
 
-        port, other = NodeTransport(free_address(), "c", hear), NodeTransport(free_address(), "c", hear)
+        port, other = NodeTransport(free_address(), "c", record), NodeTransport(free_address(), "c", record)
         tasks = [asyncio.get_running_loop().create_task(each.run()) for each in (port, other)]
         await wait_until_serving(lambda: port.transport is not None and other.transport is not None, *tasks)
         raw = Codec("c", "n", other.address, 1).pack(Follow(7, 1))
@@ -76,10 +77,10 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        return heard
+        return received_events
 
-    heard = asyncio.run(story())
-    received = [event for event in heard if isinstance(event, MessageReceived)]
+    received_events = asyncio.run(scenario())
+    received = [event for event in received_events if isinstance(event, MessageReceived)]
     assert len(received) == 2 and {event.sender for event in received} == {"n"}
     assert received[0] == received[1] and received[0].message == Follow(7, 1)
-    assert heard.count(UnreadableMessageReceived()) == 1
+    assert received_events.count(UnreadableMessageReceived()) == 1
--- a/tests/transport/test_http_client.py
+++ b/tests/transport/test_http_client.py
@@ -1,4 +1,6 @@
-"""The fetcher over real sockets: what its failures promise, and that no answer is read as another call's (docs/design/transport.md, docs/design/failures.md)."""
+"""HTTP client over real sockets: what its failures guarantee, and that no response is taken for that of another call
+(docs/design/transport.md, docs/design/failures.md).
+"""
 
 import asyncio
 import socket
@@ -12,15 +14,15 @@
 from sumachook.host.events import CallFailed, RequestSent, ResponseReceived
 from sumachook.transport.http_client import HttpClient
 
-BOUND = 8.0  # seconds for one story
+BOUND = 8.0  # time limit of a scenario in seconds
 SOON = timedelta(seconds=2)
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-SILENT = b""  # a server that is at work
-TAKEN = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+SILENT = b""  # a server that has not responded yet
+ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
 
-class Peer:
-    """A raw server: `answers` are written in turn, None closes the connection; it keeps which connection each request came on."""
+class RawServer:
+    """A raw server that writes `answers` in turn, None to close the connection; records the connection of each request."""
 
     def __init__(self, *answers):
         self.answers, self.requests, self.connections, self.writers = list(answers), [], 0, []
@@ -48,34 +50,34 @@
             writer.close()
 
 
-class Line:
-    """A fetcher, and what it tells of each call."""
+class RecordingClient:
+    """An HTTP client that records the events of each call."""
 
     def __init__(self):
-        self.http_client, self.heard, self.done, self.task = HttpClient(self._hear), {}, {}, None
+        self.http_client, self.events, self.done, self.task = HttpClient(self._record), {}, {}, None
 
-    def _hear(self, event):
-        self.heard.setdefault(event.call_id, []).append(event)
+    def _record(self, event):
+        self.events.setdefault(event.call_id, []).append(event)
         if isinstance(event, ResponseReceived | CallFailed):
             self.done[event.call_id].set()
 
     async def call(self, call, address, method="POST", connect=SOON):
-        """The last that is told of a call."""
+        """Runs a call; returns its last event."""
         self.done[call] = asyncio.Event()
         self.http_client.fetch(Fetch(call, method, f"http://{address}/x", {}, b"", connect, SOON, "whole"))
         await self.done[call].wait()
-        return self.heard[call][-1]
+        return self.events[call][-1]
 
 
-def play(story, *answers):
+def run_scenario(scenario, *answers):
     async def run():
-        line, peer = Line(), Peer(*answers)
+        client, peer = RecordingClient(), RawServer(*answers)
         await peer.start()
-        line.task = task = asyncio.get_running_loop().create_task(line.http_client.run())
-        while not line.http_client.is_open:
+        client.task = task = asyncio.get_running_loop().create_task(client.http_client.run())
+        while not client.http_client.is_open:
             await asyncio.sleep(0)
         try:
-            return await story(line, peer)
+            return await scenario(client, peer)
         finally:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
@@ -88,33 +90,33 @@
     return ("provision", 1, number)
 
 
-def test_a_connection_that_is_refused_promises_that_nothing_was_sent():
-    """Given a port where nobody listens, the call fails before its first byte and was never told as sent."""
+def test_refused_connection_reports_that_nothing_was_sent():
+    """A call to a closed port fails as refused and emits no `RequestSent`."""
 
-    async def story(line, peer):
+    async def scenario(client, peer):
         with socket.socket() as unheard:
             unheard.bind(("127.0.0.1", 0))
-            return await line.call(order(1), "127.0.0.1:%d" % unheard.getsockname()[1]), line.heard[order(1)]
+            return await client.call(order(1), "127.0.0.1:%d" % unheard.getsockname()[1]), client.events[order(1)]
 
-    last, heard = play(story)
+    last, events = run_scenario(scenario)
     assert last == CallFailed(order(1), CallFailure.REFUSED)
-    assert last.failure.was_before_first_byte and heard == [last]
+    assert last.failure.was_before_first_byte and events == [last]
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_a_connection_that_is_closed_after_the_send_promises_nothing_and_nothing_is_sent_again(method):
-    """Given a server that closes without an answer, the call may have run, and the library sends it no second time, whatever its method."""
+def test_connection_closed_after_sending_may_have_run_and_is_not_retried(method):
+    """If the server closes without a response, the call counts as possibly run, and aiohttp retries it for no method."""
 
-    async def story(line, peer):
-        return await line.call(order(1), peer.address, method), line.heard[order(1)], peer.requests
+    async def scenario(client, peer):
+        return await client.call(order(1), peer.address, method), client.events[order(1)], peer.requests
 
-    last, heard, requests = play(story, None, OK)
+    last, events, requests = run_scenario(scenario, None, OK)
     assert last == CallFailed(order(1), CallFailure.RESET) and not last.failure.was_before_first_byte
-    assert heard[0] == RequestSent(order(1), False) and len(requests) == 1
+    assert events[0] == RequestSent(order(1), False) and len(requests) == 1
 
 
-def test_a_failure_after_the_first_byte_never_passes_for_one_before_it():
-    """Given errors that a library raises while it connects, they count as such only for a call of which no byte went out."""
+def test_failure_after_the_first_byte_is_not_reported_as_a_connect_failure():
+    """Connection errors of aiohttp count as such only for a call that has sent no byte."""
     key = aiohttp.client_reqrep.ConnectionKey("h", 1, False, None, None, None, None)
     errors = {
         aiohttp.ConnectionTimeoutError(): CallFailure.CONNECT_TIMEOUT,
@@ -123,21 +125,21 @@
     http_client = HttpClient(lambda message: None)
     for error, failure in errors.items():
         http_client.sent.clear()
-        assert http_client._failure(order(1), error) is failure
+        assert http_client._classify_failure(order(1), error) is failure
         http_client.sent.add(order(1))
-        assert not http_client._failure(order(1), error).was_before_first_byte
+        assert not http_client._classify_failure(order(1), error).was_before_first_byte
 
 
-def test_orders_and_reports_never_share_a_connection_and_each_keep_their_own():
-    """Given orders and reports to one server in turn, whose answers bear no id, each kind has one connection of its own."""
+def test_orders_and_reports_never_share_a_connection():
+    """Orders and reports to one server, whose responses carry no id, each reuse one connection of their own."""
 
-    async def story(line, peer):
+    async def scenario(client, peer):
         for number in range(6):
-            answer = await line.call(order(number), peer.address, "GET" if number % 2 else "POST")
+            answer = await client.call(order(number), peer.address, "GET" if number % 2 else "POST")
             assert isinstance(answer, ResponseReceived)
         return peer.requests
 
-    requests = play(story, *[TAKEN, OK] * 3)
+    requests = run_scenario(scenario, *[ACCEPTED, OK] * 3)
     assert (
         len({number for number, method in requests if method == "GET"})
         == 1
@@ -146,66 +148,67 @@
     assert len({number for number, _ in requests}) == 2
 
 
-@pytest.mark.parametrize("surplus", [TAKEN, TAKEN[:20], b"x"])
-def test_bytes_that_come_between_two_orders_are_never_read_as_the_answer_to_the_second(surplus):
-    """Given a server that sends more while nothing is asked, its connection is given up, and the next order has its own answer on a new one."""
+@pytest.mark.parametrize("surplus", [ACCEPTED, ACCEPTED[:20], b"x"])
+def test_bytes_received_between_two_orders_are_not_read_as_the_second_response(surplus):
+    """Bytes received on an idle connection close it, and the next order gets its own response on a new connection."""
 
-    async def story(line, peer):
-        first = await line.call(order(1), peer.address)
+    async def scenario(client, peer):
+        first = await client.call(order(1), peer.address)
         peer.writers[0].write(surplus)
         await peer.writers[0].drain()
         for _ in range(30):
             await asyncio.sleep(0)
-        return first.status, (await line.call(order(2), peer.address)).status, peer.connections
+        return first.status, (await client.call(order(2), peer.address)).status, peer.connections
 
-    assert play(story, TAKEN, OK) == (202, 200, 2)
+    assert run_scenario(scenario, ACCEPTED, OK) == (202, 200, 2)
 
 
-def test_nothing_is_told_of_a_call_that_was_called_off():
-    """Given a call that is called off while its server works, nothing more is heard of it."""
+def test_cancelled_call_emits_no_events():
+    """A call cancelled while its server works emits no further events, even if the response arrives."""
 
-    async def story(line, peer):
-        task = asyncio.get_running_loop().create_task(line.call(order(1), peer.address))
+    async def scenario(client, peer):
+        task = asyncio.get_running_loop().create_task(client.call(order(1), peer.address))
         while not peer.requests:
             await asyncio.sleep(0)
-        line.http_client.cancel(order(1))
+        client.http_client.cancel(order(1))
         peer.writers[0].write(OK)
         for _ in range(20):
             await asyncio.sleep(0)
         task.cancel()
-        return line.heard[order(1)], line.http_client.tasks, line.http_client.sent
+        return client.events[order(1)], client.http_client.tasks, client.http_client.sent
 
-    assert play(story, b"") == ([RequestSent(order(1), False)], {}, set())
+    assert run_scenario(scenario, b"") == ([RequestSent(order(1), False)], {}, set())
 
 
 @pytest.mark.parametrize("turns", range(1, 9))
-def test_a_call_that_is_called_off_before_it_was_told_as_sent_never_arrives(turns):
-    """Given a call that is called off some turns of the loop after it began, about when its connection stands, it arrives only if it was told
-    as sent before: who was told "not run" is told the truth."""
+def test_call_cancelled_before_request_sent_never_reaches_the_server(turns):
+    """A call cancelled at any loop iteration around the connect reaches the server only if `RequestSent` was emitted
+    before. Otherwise a request reported as not run would have run.
+    """
 
-    async def story(line, peer):
-        task = asyncio.get_running_loop().create_task(line.call(order(1), peer.address))
+    async def scenario(client, peer):
+        task = asyncio.get_running_loop().create_task(client.call(order(1), peer.address))
         for _ in range(turns):
             await asyncio.sleep(0)
-        was_told = order(1) in line.heard
-        line.http_client.cancel(order(1))
+        was_reported = order(1) in client.events
+        client.http_client.cancel(order(1))
         for _ in range(40):
             await asyncio.sleep(0)
         task.cancel()
-        return was_told, len(peer.requests), order(1) in line.heard
+        return was_reported, len(peer.requests), order(1) in client.events
 
-    was_told, arrivals, is_told = play(story, OK)
-    assert (was_told or arrivals == 0) and is_told == was_told
+    was_reported, arrivals, is_reported = run_scenario(scenario, OK)
+    assert (was_reported or arrivals == 0) and is_reported == was_reported
 
 
-# connections that are given up ---------------------------------------------------------------
+# timed-out calls ---------------------------------------------------------------
 
-GIVEN_UP_AFTER = timedelta(seconds=0.2)
-GIVEN_UP, CLOSED = "reset", "closed"
+ORDER_TIMEOUT = timedelta(seconds=0.2)
+RESET, CLOSED = "reset", "closed"
 
 
-async def _end_of_a_request_without_an_answer(tid):
-    """How the connection of a request ends, as its server sees it, when the request is given up; the server answers nothing."""
+async def _end_of_a_request_without_an_answer(call_id):
+    """Returns how the server sees the connection of a request end when the request times out without a response."""
     ends, told = asyncio.Queue(), asyncio.Queue()
 
     async def serve(reader, writer):
@@ -214,7 +217,7 @@
                 pass
             ends.put_nowait(CLOSED)
         except ConnectionResetError:
-            ends.put_nowait(GIVEN_UP)
+            ends.put_nowait(RESET)
         finally:
             writer.close()
 
@@ -223,10 +226,12 @@
     http_client = HttpClient(told.put_nowait)
     running = asyncio.ensure_future(http_client.run())
     await asyncio.sleep(0)
-    http_client.fetch(Fetch(tid, "POST", f"http://{address}/order", {}, b"{}", GIVEN_UP_AFTER, GIVEN_UP_AFTER, "whole"))
+    http_client.fetch(
+        Fetch(call_id, "POST", f"http://{address}/order", {}, b"{}", ORDER_TIMEOUT, ORDER_TIMEOUT, "whole")
+    )
     while isinstance(event := await asyncio.wait_for(told.get(), BOUND), RequestSent):
         pass
-    assert event == CallFailed(tid, CallFailure.TIMEOUT)
+    assert event == CallFailed(call_id, CallFailure.TIMEOUT)
     end = await asyncio.wait_for(ends.get(), BOUND)
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
@@ -234,47 +239,50 @@
     return end
 
 
-@pytest.mark.parametrize("tid, end", [(("provision", 7, 1), GIVEN_UP), (("lookup", 1), CLOSED)])
-def test_an_order_that_is_given_up_resets_its_connection_so_that_no_cut_delivers_it_later(tid, end):
-    """Given a server that is silent, an order's connection is reset at its timeout: what a cut still holds of it is lost with it.
-    A lookup's is closed."""
-    assert asyncio.run(_end_of_a_request_without_an_answer(tid)) == end
+@pytest.mark.parametrize("call_id, end", [(("provision", 7, 1), RESET), (("lookup", 1), CLOSED)])
+def test_timed_out_order_resets_its_connection(call_id, end):
+    """The connection of a timed-out order is reset, so that bytes delayed by a partition are not delivered when it
+    heals. The connection of a lookup is closed normally.
+    """
+    assert asyncio.run(_end_of_a_request_without_an_answer(call_id)) == end
 
 
-def test_a_call_that_fails_in_a_way_that_nobody_foresaw_is_told_like_any_other():
-    """Given a header that the library cannot write, and an error that is none of the network's, the call's failure is told: what waits
-    for it would otherwise wait for its whole time."""
+def test_unexpected_exception_is_reported_as_call_failure():
+    """An exception that is no network error, here a header that aiohttp cannot write, is reported as a failed call;
+    otherwise the caller would wait until its own timeout.
+    """
 
-    async def story(line, peer):
-        line.done[order(1)] = asyncio.Event()
+    async def scenario(client, peer):
+        client.done[order(1)] = asyncio.Event()
         headers = {"X-Count": 7}
-        line.http_client.fetch(Fetch(order(1), "POST", f"http://{peer.address}/x", headers, b"", SOON, SOON, "whole"))
+        client.http_client.fetch(Fetch(order(1), "POST", f"http://{peer.address}/x", headers, b"", SOON, SOON, "whole"))
         async with asyncio.timeout(SOON.total_seconds()):
-            await line.done[order(1)].wait()
-        return line.heard[order(1)][-1]
+            await client.done[order(1)].wait()
+        return client.events[order(1)][-1]
 
-    assert isinstance(play(story), CallFailed)
+    assert isinstance(run_scenario(scenario), CallFailed)
 
 
-def test_calls_under_way_when_their_client_is_stopped_are_told():
-    """Given a call whose server is at work when the client's task ends, as when it is started again, its failure is told, and that it
-    may have run; one that was called off tells nothing more."""
+def test_running_calls_are_reported_as_failed_when_the_client_stops():
+    """When the client's task ends, as on a restart of it, a running call is reported as failed and possibly run; a
+    cancelled one emits nothing more.
+    """
 
-    async def story(line, peer):
+    async def scenario(client, peer):
         for number in (1, 2):
-            line.done[order(number)] = asyncio.Event()
-            line.http_client.fetch(
+            client.done[order(number)] = asyncio.Event()
+            client.http_client.fetch(
                 Fetch(order(number), "POST", f"http://{peer.address}/x", {}, b"", SOON, SOON, "whole")
             )
         while len(peer.requests) < 2:
             await asyncio.sleep(0)
-        line.http_client.cancel(order(2))
-        line.task.cancel()
-        await asyncio.gather(line.task, return_exceptions=True)
+        client.http_client.cancel(order(2))
+        client.task.cancel()
+        await asyncio.gather(client.task, return_exceptions=True)
         for _ in range(20):
             await asyncio.sleep(0)
-        return line.heard[order(1)][-1], line.heard[order(2)]
+        return client.events[order(1)][-1], client.events[order(2)]
 
-    told, called_off = play(story, SILENT, SILENT)
+    told, called_off = run_scenario(scenario, SILENT, SILENT)
     assert told == CallFailed(order(1), CallFailure.RESET)
     assert called_off == [RequestSent(order(2), False)]
