--- a/sumachook/simulation/__init__.py
+++ b/sumachook/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what is outside, and the in-memory fleet."""
+"""Simulated clients, servers and platform of the tests, and the in-memory fleet that runs them in virtual time."""
--- a/sumachook/simulation/callers.py
+++ b/sumachook/simulation/callers.py
@@ -1,4 +1,4 @@
-"""A stand-in for the callers of a city."""
+"""Simulated clients that send a deployment's traffic and record every request and its outcome."""
 
 from datetime import timedelta
 from random import Random
@@ -26,7 +26,7 @@
 
 
 class Call:
-    """One request as its caller saw it."""
+    """One request with its outcome as the client saw it."""
 
     __slots__ = (
         "number",
@@ -99,12 +99,13 @@
 
 
 class Callers:
-    """Takes (message, now); makes traffic by the city's rates and keeps each call (docs/design/simulation.md).
+    """State machine that sends requests at the deployment's traffic rates and keeps each call.
 
-    A caller holds one address in each area. Whose connection is refused, or who is told that the node is leaving,
-    evacuated or not ready, asks an edge of an area not asked yet, at once; nothing else is asked again. A group may
-    have shares of prompts that are `keyed`, and of those that are sent `again` under the same key at another edge, as
-    after a double click.
+    A client has one edge address in each zone. If its connection is refused, or the node answers that it is draining,
+    evacuated or not ready, the client sends the request at once to an edge of a zone not tried yet; it retries in no
+    other case. In a traffic group, `keyed` is the share of prompts with an idempotency key, and `again` the share of
+    those that are sent a second time under the same key to another edge, as after a double click
+    (docs/design/simulation.md).
     """
 
     __slots__ = (
@@ -139,7 +140,7 @@
         zones: dict[str, str] | None = None,
     ) -> None:
         self.name = name
-        self.zones = {edge: (zones or {}).get(edge, edge) for edge in edges}  # areas unknown: each edge is its own
+        self.zones = {edge: (zones or {}).get(edge, edge) for edge in edges}  # without zones, each edge is its own zone
         self.edges, self.groups, self.random = dict(edges), traffic, random
         self.callers = {caller["name"]: caller for caller in catalogue["callers"]}
         self.calls, self.open, self.is_on, self.pace, self.start_at, self.stop_after = (
@@ -155,7 +156,7 @@
         }
 
     def take(self, event: Event, now: timedelta) -> list[Any]:
-        """The effects of one event."""
+        """Handles an event and returns the resulting effects; the clients exit on a stop request."""
         if isinstance(event, Tick):
             return self._tick(now)
         if isinstance(event, CallEvent):
@@ -199,7 +200,10 @@
         moves: int = 0,
         tried: tuple[str, ...] = (),
     ) -> list[Any]:
-        """One request of a group; gives the effect that sends it."""
+        """Records a new call of the traffic group and returns the effect that sends its request.
+
+        Without `edge` or `model` a random one is chosen.
+        """
         caller = self.callers[group["caller"]]
         edge = edge or self.random.choice(sorted(self.edges))
         is_lookup = group["kind"] == "lookup"
@@ -244,7 +248,7 @@
         return [Fetch(("call", number), method, url, headers, body, CONNECT, limit, mode)]
 
     def _model(self, group: dict[str, Any]) -> Any:
-        """A few names are asked for much, each of the others now and then: as 1, 1/2, 1/3 and so on."""
+        """Chooses a model of the group at random, weighted 1, 1/2, 1/3 and so on in their order (Zipf)."""
         names = group["models"]
         return self.random.choices(names, [1 / place for place in range(1, len(names) + 1)])[0]
 
@@ -265,7 +269,7 @@
                 return self._end(call, OK if call.is_done else CUT, now)
             case CallFailed(_, failure):
                 return self._handle_failure(call, failure, now)
-        raise TypeError(f"callers take no such event: {event!r}")
+        raise TypeError(f"callers cannot handle the event {event!r}")
 
     def _handle_failure(self, call: Any, failure: str, now: timedelta) -> list[Any]:
         call.fault_class = call.fault_class or failure
@@ -315,7 +319,7 @@
         return []
 
     def _move(self, call: Any, now: timedelta) -> list[Any]:
-        """An edge of an area not asked yet, for a call that surely was not begun."""
+        """Resends a request that was certainly not run to an edge in a zone not tried yet, at most twice."""
         others = [edge for edge in sorted(self.edges) if self.zones[edge] not in call.tried]
         if call.moves >= 2 or not others:
             return []
--- a/sumachook/simulation/deployment.py
+++ b/sumachook/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""A city's example files, and its whole fleet in memory."""
+"""Reads the files of an example deployment and runs its whole fleet in memory."""
 
 import json
 from collections.abc import Callable
@@ -19,11 +19,14 @@
 from sumachook.simulation.probe import Probe
 from sumachook.simulation.records import RecordsServer
 
-SETTINGS_FIELDS = {"door": "http_address", "area": "zone"}  # attributes of NodeSettings by their keys in the document
+SETTINGS_FIELDS = {"door": "http_address", "area": "zone"}  # document key -> attribute of NodeSettings
 
 
 class DeploymentSpec:
-    """What the files of one folder say: catalogue, servers, traffic, nodes (docs/design/simulation.md)."""
+    """The catalogue, servers, traffic and nodes of one example deployment (docs/design/simulation.md).
+
+    They are read from the JSON files of one folder.
+    """
 
     __slots__ = ("catalogue", "servers", "traffic", "nodes", "cluster", "platform")
 
@@ -44,7 +47,7 @@
         )
 
     def settings(self, node: dict[str, Any], **more: Any) -> dict[str, Any]:
-        """The params document of one node."""
+        """Returns the settings document of a node; `more` overrides its keys."""
         cores = [other["address"] for other in self.nodes if other["role"] == "core"]
         doc = {
             "node": node["name"],
@@ -61,7 +64,10 @@
 
 
 class Deployment(Fleet):
-    """A city's fleet in memory: nodes, stand-ins and callers (docs/design/simulation.md)."""
+    """An example deployment in memory: nodes, simulated servers and platform, and clients.
+
+    docs/design/simulation.md describes it.
+    """
 
     __slots__ = ("spec", "settings_more", "records", "orders", "probe")
 
@@ -89,7 +95,7 @@
             self.add_node(node)
 
     def add_server(self, server: Any, load_rate: float = 40.0, has_ids: bool = True) -> None:
-        """A server of the list begins; its record outlives it."""
+        """Adds and starts a simulated server; its record is kept across its restarts."""
         record = self.records.setdefault(server["name"], Record())
 
         def make(box: Box) -> Any:
@@ -100,7 +106,7 @@
         self.add(server["name"], server["kind"], make, server["area"], "", server["address"])
 
     def add_node(self, node: Any, **more: Any) -> Box:
-        """A core or an edge begins; gives its box."""
+        """Adds and starts a core or an edge and returns its box; `more` overrides its settings."""
         role = Core if node["role"] == "core" else Edge
         fields: dict[str, Any] = {
             SETTINGS_FIELDS.get(name, name): tuple(value) if isinstance(value, list) else value
@@ -114,7 +120,10 @@
         return self.add(node["name"], node["role"], make, node["area"], node["address"], node["door"])
 
     def call_in(self, pace: float = 1.0, traffic: Any = None, name: str = "callers", edges: Any = None) -> Any:
-        """Callers begin; gives their machine."""
+        """Starts clients that send `traffic` to the given edges, and returns their state machine.
+
+        By default they send the deployment's own traffic to all edges.
+        """
         http_addresses = {
             box.name: box.http_address
             for box in self.boxes.values()
@@ -143,18 +152,18 @@
         return self.boxes[name].machine
 
     def probe_in(self) -> Any:
-        """A probe of what edges obey begins; gives it."""
+        """Starts and returns a probe that checks whether the edges apply acknowledged changes of keys."""
         self.probe = Probe(self)
         self.add("probe", "probe", lambda box: self.probe, "", "", "probe")
         return self.probe
 
     def operator(self) -> Any:
-        """The machine of the operator, which begins with the first call."""
+        """Returns the state machine of the operator's client, which the first call starts."""
         box = self.boxes.get("operator") or self.add("operator", "operator", lambda box: Operator(), "", "", "operator")
         return box.machine
 
     def inside(self, *but: str) -> list[Any]:
-        """All that a cut of the network can part: nodes, servers, the platform."""
+        """Names the boxes that a network partition can separate: nodes, servers and the platform, except `but`."""
         return [
             box.name
             for box in self.boxes.values()
@@ -162,7 +171,7 @@
         ]
 
     def machines(self, role: str) -> list[Any]:
-        """Those of a role that run."""
+        """Returns the state machines of the running processes with the given role."""
         return [box.machine for box in self.boxes.values() if box.role == role and box.machine is not None]
 
     def ask(
@@ -175,9 +184,10 @@
         step: Callable[[], object] | None = None,
         follows: bool = True,
     ) -> Any:
-        """An operator's request to a core: (status, answer), or None if none came in time.
+        """Sends an operator's request to a core and returns (status, answer), or None after `wait` seconds.
 
-        It is noted for the invariant checker.
+        The request is recorded in `orders` for the invariant checker. `step` advances the simulation in place of the
+        default wait.
         """
         sent_at = self.now
         operator = self.operator()
@@ -186,14 +196,14 @@
         if step is None:
             self.run_until(lambda: number in operator.answers, wait)
         while step is not None and number not in operator.answers and self.now - sent_at < timedelta(seconds=wait):
-            step()  # the asker has other things to see to meanwhile
+            step()  # the calling code has other work to do while it waits
         answer = operator.answers.get(number)
         self.orders.append((path, doc, sent_at, self.now, answer[0] if answer else 0))
         return answer
 
 
 class Operator:
-    """Asks, follows redirects as HTTP clients do, and keeps the answers."""
+    """State machine of an operator's HTTP client: sends requests, follows redirects and keeps the answers."""
 
     __slots__ = ("waiting", "answers", "number", "redirects")
 
@@ -206,10 +216,10 @@
 
     def __init__(self) -> None:
         self.waiting, self.answers, self.number = [], {}, 0
-        self.redirects = {}  # {number: (method, doc, how many more)} of calls whose redirects are followed
+        self.redirects = {}  # request number -> (method, document, redirects left to follow)
 
     def ask(self, url: str, method: str, doc: Any, follows: bool = True) -> int:
-        """A request that goes out with the next tick; gives its number."""
+        """Queues a request to be sent at the next tick and returns its number."""
         self.number += 1
         self.waiting.append((self.number, url, method, doc))
         if follows:
@@ -217,7 +227,7 @@
         return self.number
 
     def take(self, event: Event, now: timedelta) -> list[Any]:
-        """The effects of one event."""
+        """Handles an event and returns the resulting effects."""
         match event:
             case Tick():
                 sent, self.waiting = self.waiting, []
--- a/sumachook/simulation/deployment_quotas.py
+++ b/sumachook/simulation/deployment_quotas.py
@@ -1,4 +1,4 @@
-"""What the callers and servers of a town know of its tenants' shares."""
+"""Checks the quotas of a deployment's tenants against the records of its clients and servers."""
 
 from datetime import timedelta
 from typing import Any
@@ -7,14 +7,14 @@
 from sumachook.quotas.terms import QuotaTerms
 from sumachook.simulation.quota_invariant_checker import Ask, Bounds, QuotaInvariantChecker, Run
 
-OF_WINDOW = timedelta(seconds=0.4)  # between a call's sending and its being let in
+OF_WINDOW = timedelta(seconds=0.4)  # the longest time from the sending of a call to its admission
 
 
 class DeploymentShares:
-    """The invariant checker of a tenant, with the runs and asks to give it (docs/design/quotas.md).
+    """Builds the quota checker of each tenant and collects its runs and requests (docs/design/quotas.md).
 
-    A call counts as run at the moment it was sent, if a server's record has it or its caller got an answer; it may have
-    been let in up to 0.4 s later, so a window holds at most what one that is longer by that may hold.
+    A call that a server's record lists, or whose client got an answer, counts as run at the moment it was sent. It may
+    have been admitted up to 0.4 s later, so the bound of a window is that of a window longer by 0.4 s.
     """
 
     __slots__ = ("deployment", "tenants")
@@ -25,7 +25,7 @@
         self.deployment, self.tenants = deployment, {tenant.name: tenant for tenant in catalogue.tenants}
 
     def calls(self, name: str, since: Any = timedelta(0), until: timedelta = timedelta(days=9)) -> list[Any]:
-        """Calls of a tenant that were sent in this span."""
+        """Returns the tenant's calls that were sent from `since` up to, but not including, `until`."""
         callers = self.tenants[name].callers
         return [
             call
@@ -36,19 +36,19 @@
         ]
 
     def has_run(self, call: Any) -> bool:
-        """Whether a server ran it."""
+        """Returns whether the call succeeded or a server's record shows that it ran."""
         return call.outcome == "ok" or any(record.runs.get(call.tag) for record in self.deployment.records.values())
 
     def runs(self, name: str, **span: Any) -> list[Any]:
-        """Calls of a tenant that ran, as the invariant checker takes them."""
+        """Returns the tenant's calls that ran, as input for the quota checker."""
         return [Run(call.sent_at) for call in self.calls(name, **span) if self.has_run(call)]
 
     def asks(self, name: str, **span: Any) -> list[Any]:
-        """Calls of a tenant, run or refused, as the invariant checker takes them."""
+        """Returns all calls of the tenant, run or refused, as input for the quota checker."""
         return [Ask(call.sent_at, call.fault_class == "allowance") for call in self.calls(name, **span)]
 
     def invariant_checker(self, name: str) -> QuotaInvariantChecker:
-        """The checker of what was written for a tenant."""
+        """Returns a checker of the tenant's configured quota, with bursts widened by 0.4 s of its ceiling."""
         terms = QuotaTerms.of(self.tenants[name])
         slack = OF_WINDOW.total_seconds()
         burst = tuple(most + figure * slack for most, figure in zip(terms.burst, terms.ceiling, strict=True))
--- a/sumachook/simulation/disk.py
+++ b/sumachook/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A machine's disk in memory: the product's own storage over simulated files (docs/design/simulation.md)."""
+"""Simulated disk of a machine: the product's storage code over files in memory (docs/design/simulation.md)."""
 
 from datetime import timedelta
 from random import Random
@@ -14,11 +14,11 @@
 from sumachook.storage.write_queue import Write, WriteKind, WriteQueue, WriteStep, step_of
 from sumachook.transport.codec import as_tuples
 
-MOST_OPERATIONS = 12  # of one step, about; a process may end after any of them
+MOST_OPERATIONS = 12  # about as many file operations as one step has; a process may end after any of them
 
 
 class Disk:
-    """Takes writes as a host does; what is on its way when the process ends or the power is lost may be there or not.
+    """Executes writes as a host does; a write in progress when the process ends or the power fails may be lost.
 
     >>> from sumachook.host.effects import AppendRecords
     >>> disk, zero = Disk(), timedelta(0)
@@ -48,37 +48,40 @@
         self.folder, self.queue = DataFolder(self.file_system), WriteQueue(LOG)
         self.stalled_until = self.refuses_until = timedelta(0)
         self.delay = timedelta(seconds=0.002)
-        self.unfinished: list[WriteStep] = []  # each write that was asked for, in order, until its step is finished
-        self.opened = set()  # tags whose record was ever synced in a ledger here, noted for the invariant checker
+        self.unfinished: list[WriteStep] = []  # requested writes, in order, until their step is finished
+        self.opened = set()  # tags of records that were synced in a ledger on this disk, for the invariant checker
 
     @property
     def files(self) -> dict[str, Any]:
-        """{name: records} as a reader of the folder finds them now."""
+        """Maps each file name to the records that reading the folder now would find."""
         found: dict[Any, Any] = {}
         for name in self.file_system.names():
             raw = self.file_system.read(name)
             if name.startswith("day-"):
-                day = name[: len("day-2026-03-02")] + ".jsonl"  # of all its segments
+                day = name[: len("day-2026-03-02")] + ".jsonl"  # all segments of a day are one file here
                 found.setdefault(day, []).extend(as_tuples(msgspec.json.decode(line)) for line in whole_lines(raw))
             elif "." not in name:
                 found[name] = list(read_file(name, raw).records)
         return found
 
-    # a process's life -----------------------------------------------------------
+    # process lifecycle -----------------------------------------------------------
 
     def open(self, now: timedelta) -> Opened:
-        """What a process that starts now finds; raises `OSError` while the disk refuses."""
+        """Opens the folder for a process that starts now; raises `OSError` while the disk refuses operations."""
         self._obey(now)
         self.folder, self.queue = DataFolder(self.file_system), WriteQueue(LOG)
         return self.folder.open(FILES, IDENTITY_FILES)
 
     def begin(self, write: Write, now: timedelta) -> None:
-        """The process asks for a write."""
+        """Queues a write of the process."""
         self.queue.put(write, now)
         self.unfinished.append(step_of(write, now))
 
     def finish(self, now: timedelta = timedelta(0)) -> Any:
-        """The step under way is durable now: gives what its writer is to be told, or None if the disk refuses it."""
+        """Completes the current write step durably and returns the events for its writer.
+
+        Returns None if the disk refuses the write.
+        """
         step = self.queue.begin_step(now)
         assert step is not None, "no write is under way"
         self._obey(now)
@@ -90,7 +93,7 @@
         if step.kind is WriteKind.APPEND and step.file == LEDGER:
             self.opened.update(record[1]["tag"] for record in step.records)
         waiting = self.queue.waiting.get(step.file)
-        left = waiting.count if waiting else 0  # of this file's writes, those that came after the step was begun
+        left = waiting.count if waiting else 0  # writes of this file that were queued after the step began
         mine = [write for write in self.unfinished if write.file == step.file]
         done = set(map(id, mine[: len(mine) - left]))
         self.unfinished = [write for write in self.unfinished if id(write) not in done]
@@ -99,7 +102,7 @@
     # faults ---------------------------------------------------------------------
 
     def end_process(self) -> None:
-        """The process ends: the step under way got to any point; files stay as they are."""
+        """Ends the process: the current write step stops at a random point and the files stay as they are then."""
         step = self.queue.begin_step(timedelta(0))
         if step is not None and not self.file_system.is_refusing:
             self.file_system.steps_left = self.random.randint(0, MOST_OPERATIONS)
@@ -111,7 +114,10 @@
         self._drop()
 
     def lose_power(self, writes_kept: int | None = None) -> None:
-        """The process ends, and what no sync covered may be lost; or just all but the first so many writes."""
+        """Ends the process and may lose everything that was not synced.
+
+        With `writes_kept`, exactly that many of the oldest unfinished writes are kept.
+        """
         if writes_kept is not None:
             for write in self.unfinished[:writes_kept] if not self.file_system.is_refusing else ():
                 self.folder.write(write)
@@ -121,12 +127,12 @@
         self.file_system.lose_power()
 
     def remove(self, name: str) -> None:
-        """Somebody removes a file behind the node's back."""
+        """Removes a file while the node does not know of it, as an outside process might."""
         self.file_system.remove(name)
         self.file_system.sync_folder()
 
     def wipe(self) -> None:
-        """The machine gets an empty disk."""
+        """Erases all files, as if the machine got an empty disk."""
         self.file_system.wipe()
         self._drop()
         self.opened.clear()
--- a/sumachook/simulation/fake_engine_server.py
+++ b/sumachook/simulation/fake_engine_server.py
@@ -1,4 +1,7 @@
-"""An engine server as the provisioner meets it: one order at a time, own room, own disk, a count of orders, fences."""
+"""Fake engine server for provisioner tests, with memory limit, disk, order sequence and fencing tokens.
+
+It carries out one order at a time.
+"""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -8,11 +11,12 @@
 
 
 class FakeEngineServer:
-    """Takes (method, path, body, now), gives (status, body); speaks `loom/port.py`'s format.
+    """Answers requests (method, path, body, now) with (status, body) in the format of `loom/port.py`.
 
-    `record` keeps what it was ordered: (when, what, details). It records itself what breaks a rule, as a breach.
-    `running` {model: when its last run ends}; an unload waits for that. Its reports are `lag` old. `repeat`: what it
-    answers, without counting it, to the very order that it is carrying out.
+    `record` lists the orders and events as (time, kind, details); an order that exceeds the memory or the adapter
+    places is recorded as a breach. `running` maps each model to the end of its last run, for which an unload waits.
+    Reports show the state of `lag` ago. `repeat` is the status that answers a repetition of the order that is being
+    carried out; such a repetition does not advance the sequence.
     """
 
     __slots__ = (
@@ -31,7 +35,7 @@
         "repeat",
     )
 
-    busy: tuple[timedelta, str, str, str] | None  # until when, and the order that is carried out
+    busy: tuple[timedelta, str, str, str] | None  # end time, verb, model and adapter of the order in progress
     slowness: Callable[[], float]
     record: list[Any]
     running: dict[Any, Any]
@@ -46,7 +50,7 @@
         self.shown = [(timedelta(0), self._report())]
 
     def take(self, method: str, path: str, body: bytes, now: timedelta) -> tuple[int, bytes]:
-        """The status and the body that answer one request."""
+        """Returns the status and body of the answer to a request; every request but GET /report is an order."""
         self._settle(now)
         if (method, path) == ("GET", "/report"):
             return 200, msgspec.json.encode(self._shown(now))
@@ -58,7 +62,7 @@
         return answer, b""
 
     def restart(self, now: timedelta) -> None:
-        """Empty, with fences and count forgotten; its disk keeps what it had."""
+        """Restarts the server with no models and with fence and sequence at zero; the disk keeps its models."""
         self.models, self.busy, self.sequence, self.fence = {}, None, 0, 0
         self.shown = [(now, self._report())]
 
--- a/sumachook/simulation/fault_injection.py
+++ b/sumachook/simulation/fault_injection.py
@@ -1,4 +1,4 @@
-"""Seeded random faults over a whole deployment, then calm, or an end without one; the invariant checker looks on."""
+"""Injects seeded random faults into a whole deployment and checks invariants and recovery."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -20,9 +20,9 @@
 
 
 class FaultInjection:
-    """Brings faults about and then calm, or with `closing` one last fault; gives what broke a rule.
+    """Injects random faults, then a recovery period or, with `closing`, the loss of all nodes.
 
-    The kinds of faults are in docs/design/simulation.md.
+    Returns the violations of invariants that the checker found. docs/design/simulation.md lists the kinds of faults.
     """
 
     __slots__ = (
@@ -51,7 +51,10 @@
         deployment.probe or deployment.probe_in()
 
     def run(self, seconds: float, calm: float = 40.0, closing: bool = False) -> list[str]:
-        """Faults for so many seconds, then the calm or the last fault; gives what broke a rule or was left behind."""
+        """Injects faults for `seconds`, then a recovery period of `calm` seconds or the loss of all nodes.
+
+        Returns the violations of invariants and whatever has not recovered.
+        """
         kinds: list[Callable[[float], str | None]] = [
             getattr(self, name) for name in sorted(dir(self)) if name.startswith("_fault_")
         ]
@@ -68,9 +71,7 @@
         self._go_on(10.0)
         self._end_faults()
         self.deployment.run(5)
-        for zone in self.deployment.spec.catalogue[
-            "areas"
-        ]:  # an order that was not acknowledged may have been carried out
+        for zone in self.deployment.spec.catalogue["areas"]:  # an unacknowledged order may have been applied
             self._order("/operator/restore", {"area": zone})
         self.deployment.run(calm)
         self._hush()
@@ -78,14 +79,14 @@
         return self.invariant_checker.faults() + self._lost() + self.left()
 
     def _close(self) -> list[str]:
-        """The day ends here: every node of ours is gone and none returns; the disks have the last word."""
+        """Kills all cores and edges for good and checks the invariants from what is on their disks."""
         self._go_on(self.random.uniform(0.0, 2.0))
         self._hush()
         nodes = [box.name for box in self.deployment.boxes.values() if box.role in ("edge", "core")]
         self.random.shuffle(nodes)
         for name in nodes:
             self.deployment.kill(name)
-        self.told.append((round(self.deployment.now.total_seconds(), 2), "all nodes are gone for good"))
+        self.told.append((round(self.deployment.now.total_seconds(), 2), "all cores and edges are killed for good"))
         self.deployment.run(20)
         return self.invariant_checker.faults() + self._lost()
 
@@ -96,8 +97,8 @@
 
     def _lost(self) -> list[str]:
         return [
-            f"accounted: {call.tag} of {call.group} at {call.edge}, {call.outcome} {call.fault_class}, "
-            "is not in that day's log"
+            f"accounted: call {call.tag} of group {call.group} at {call.edge}, outcome {call.outcome}, "
+            f"fault {call.fault_class}, has no record in the day log"
             for call in self.invariant_checker.unaccounted()
         ]
 
@@ -110,11 +111,11 @@
             if box.is_frozen:
                 self.deployment.wake(box.name)
             self._revive(box.name)
-        self._go_on(12.0)  # what could not be undone at once is tried again until now
+        self._go_on(12.0)  # undo actions that failed at first are retried until here
         self.undo = []
 
     def _go_on(self, seconds: float) -> None:
-        """Time passes in steps, so that what is due to end does."""
+        """Advances virtual time in steps, so that faults end when they are due."""
         end = self.deployment.now + timedelta(seconds=seconds)
         while self.deployment.now < end:
             self._step()
@@ -130,11 +131,11 @@
         self.undo.append((self.deployment.now + timedelta(seconds=seconds), undo))
 
     def left(self) -> list[str]:
-        """What is not as it was after the calm."""
+        """Lists what has not recovered by the end of the recovery period."""
         deployment, found = self.deployment, []
         leaders = [core for core in deployment.machines("core") if core.consensus.role == "leading"]
         if len(leaders) != 1:
-            found.append(f"{len(leaders)} leaders")
+            found.append(f"{len(leaders)} cores lead, expected 1")
         deployment.run_until(
             lambda: len({node.state.number for node in deployment.machines("core") + deployment.machines("edge")}) == 1,
             3,
@@ -142,14 +143,14 @@
         numbers = {core.state.number for core in deployment.machines("core")}
         behind = [edge.node for edge in deployment.machines("edge") if edge.follower.number < max(numbers)]
         if len(numbers) > 1 or behind:
-            found.append(f"cores at {sorted(numbers)}, edges behind: {behind}")
+            found.append(f"cores are at change numbers {sorted(numbers)}; edges behind them: {behind}")
         images = {str(core.state.snapshot()) for core in deployment.machines("core")}
         if len(images) > 1:
-            found.append("cores hold different states")
+            found.append("cores have different control states")
         if leaders and leaders[0].state.generation < self.acked_generation:
-            found.append(f"acked generation {self.acked_generation}, now {leaders[0].state.generation}")
+            found.append(f"generation {self.acked_generation} was acknowledged, now {leaders[0].state.generation}")
         if leaders and any(not holder for holder, _ in leaders[0].state.duties.values()):
-            found.append(f"duties {leaders[0].state.duties}")
+            found.append(f"a duty has no holder: {leaders[0].state.duties}")
         answered = [
             call
             for call in self.callers.calls
@@ -158,12 +159,12 @@
         bad = [call for call in answered if call.outcome != "ok" and not call.has_moved]
         if not answered or len(bad) > 0.02 * len(answered):
             found.append(
-                f"{len(bad)} of {len(answered)} calls fail after the calm: "
+                f"{len(bad)} of {len(answered)} calls fail after the recovery period: "
                 + str(sorted({(call.group, call.outcome, call.fault_class) for call in bad}, key=str))
             )
         return found
 
-    # faults: each gives a line that tells what it did, or None ------------------------------
+    # faults: each returns a line describing what it did, or None ------------------------------
 
     def _one(self, *roles: Any) -> Any:
         boxes = [
@@ -188,7 +189,7 @@
             return None
         self.deployment.kill(box.name)
         self._later(lasts, lambda: self._revive(box.name))
-        return f"{box.name} killed for {lasts:.1f}"
+        return f"{box.name} killed, duration (s): {lasts:.1f}"
 
     def _fault_kill_server(self, lasts: float) -> str | None:
         box = self._one("model", "records")
@@ -196,7 +197,7 @@
             return None
         self.deployment.kill(box.name)
         self._later(lasts, lambda: self._revive(box.name))
-        return f"{box.name} killed for {lasts:.1f}"
+        return f"{box.name} killed, duration (s): {lasts:.1f}"
 
     def _fault_vanish(self, lasts: float) -> str | None:
         box = self._one("edge", "core", "model", "records")
@@ -204,7 +205,7 @@
             return None
         self.deployment.vanish(box.name)
         self._later(lasts, lambda: self._revive(box.name))
-        return f"{box.name} vanished for {lasts:.1f}"
+        return f"{box.name} lost with its machine, duration (s): {lasts:.1f}"
 
     def _fault_dark(self, lasts: float) -> str | None:
         box = self._one("model", "records")
@@ -217,7 +218,7 @@
             machine.is_dark = False
 
         self._later(lasts, light)
-        return f"{box.name} dark for {lasts:.1f}"
+        return f"{box.name} unresponsive, duration (s): {lasts:.1f}"
 
     def _fault_freeze(self, lasts: float) -> str | None:
         box = self._one("edge", "core", "edge", "core", "model")
@@ -230,7 +231,7 @@
                 self.deployment.wake(box.name)
 
         self._later(lasts, wake)
-        return f"{box.name} frozen for {lasts:.1f}"
+        return f"{box.name} frozen, duration (s): {lasts:.1f}"
 
     def _cut(self, first: Any, second: Any, one_way: bool, lasts: float) -> None:
         deployment, before = self.deployment, set(self.deployment.cuts)
@@ -241,7 +242,7 @@
     def _fault_isolate(self, lasts: float) -> str | None:
         box = self._one("edge", "core")
         self._cut([box.name] if box else [], self.deployment.inside(), False, lasts)
-        return f"{box.name} isolated for {lasts:.1f}" if box else None
+        return f"{box.name} isolated, duration (s): {lasts:.1f}" if box else None
 
     def _fault_one_way(self, lasts: float) -> str | None:
         box = self._one("core", "edge")
@@ -253,7 +254,7 @@
         else:
             for name in others:
                 self._cut([name], [box.name], True, lasts)
-        return f"{box.name} cut one way for {lasts:.1f}"
+        return f"{box.name} has links cut in one direction, duration (s): {lasts:.1f}"
 
     def _fault_split(self, lasts: float) -> str:
         cores = [box.name for box in self.deployment.boxes.values() if box.role == "core"]
@@ -262,21 +263,21 @@
         side = [lone, *self.random.sample(edges, len(edges) // 2)]
         rest = [name for name in cores + edges if name not in side]
         self._cut(side, rest, False, lasts)
-        return f"{side} split off for {lasts:.1f}"
+        return f"{side} partitioned from the other nodes, duration (s): {lasts:.1f}"
 
     def _fault_stall(self, lasts: float) -> str | None:
         box = self._one("core")
         if box is None:
             return None
         box.disk.stalled_until = self.deployment.now + timedelta(seconds=lasts)
-        return f"disk of {box.name} stalls for {lasts:.1f}"
+        return f"disk of {box.name} stalls, duration (s): {lasts:.1f}"
 
     def _fault_refuse(self, lasts: float) -> str | None:
         box = self._one("core")
         if box is None:
             return None
         box.disk.refuses_until = self.deployment.now + timedelta(seconds=lasts)
-        return f"disk of {box.name} refuses writes for {lasts:.1f}"
+        return f"disk of {box.name} refuses writes, duration (s): {lasts:.1f}"
 
     def _fault_jump(self, lasts: float) -> str | None:
         box = self._one("core", "edge")
@@ -297,12 +298,12 @@
             platform.servers.get(name, {})["leaving"] = False
 
         self._later(lasts + 6, back)
-        return f"{name} is leaving for {lasts + 6:.1f}"
+        return f"{name} listed as leaving, duration (s): {lasts + 6:.1f}"
 
     # configuration and orders
 
     def _order(self, path: str, doc: Any) -> Any:
-        """An operator's order to a core that is up; gives the answer's document if it was acknowledged."""
+        """Sends an operator's order to a running core and returns the answer's document if it is acknowledged."""
         core = self._one("core")
         if core is None:
             return None
@@ -316,7 +317,10 @@
         return None
 
     def _probing(self) -> Any:
-        """A part of a configuration and its key: a caller that only the probe uses, and the last one taken out."""
+        """Returns a partial configuration that adds a caller for the probe, and the key of that caller.
+
+        It also removes the previous such caller.
+        """
         self.number += 1
         name = f"probe-{self.number}"
         line = self.deployment.spec.catalogue["lines"][0]["name"]
@@ -325,14 +329,17 @@
         return {"callers": callers}, caller["key"]
 
     def _change(self, part: dict[str, Any]) -> Any:
-        """A partial configuration that the probe will look for, one at a time; gives its answer if acknowledged."""
+        """Applies a partial configuration with a key for the probe and returns the answer if it is acknowledged.
+
+        Only one such change is in progress at a time.
+        """
         if self.is_changing:
             return None
         self.is_changing = True
         more, key = self._probing()
         before = [self.key] if self.key else []
         self.deployment.probe.forget(before)
-        self.key = key  # whether it was taken or not, the next one takes it out
+        self.key = key  # the next change removes it, whether this one was applied or not
         doc = {**part, "callers": [*part.get("callers", ()), *more["callers"]]}
         answer = self._order("/operator/apply", {"doc": doc, "part": True})
         self.is_changing = False
@@ -346,7 +353,7 @@
             {"name": f"storm-{self.number}-{place}", "target": target} for place in range(self.random.randrange(1, 60))
         ]
         answer = self._change({"routes": routes})
-        return f"{len(routes)} routes applied: {answer and answer['generation']}"
+        return f"{len(routes)} routes applied, acknowledged generation: {answer and answer['generation']}"
 
     def _fault_policies(self, lasts: float) -> str:
         policies = self.random.choice(POLICIES)
@@ -356,10 +363,10 @@
                 self._later(1.0, back)
 
         self._later(lasts + 3, back)
-        return f"policies {policies} applied: {self._change({'policies': policies}) is not None}"
+        return f"policies {policies} applied, acknowledged: {self._change({'policies': policies}) is not None}"
 
     def _fault_removal(self, lasts: float) -> str:
-        """A model that is in use, and a caller that calls, are taken out and put back."""
+        """Removes a model in use and an active caller from the configuration, and restores them later."""
         catalogue = self.deployment.spec.catalogue
         model = self.random.choice(
             [
@@ -380,10 +387,10 @@
                 self._later(1.0, back)
 
         self._later(lasts, back)
-        return f"{model['name']} and {caller['name']} taken out for {lasts:.1f}: {answer is not None}"
+        return f"{model['name']} and {caller['name']} removed for {lasts:.1f} s, acknowledged: {answer is not None}"
 
     def _fault_race(self, lasts: float) -> str | None:
-        """A whole configuration and a partial one at two cores at once; their order decides what is left."""
+        """Applies a whole configuration and a partial one at two cores at once; the one committed last wins."""
         cores = [
             box
             for box in self.deployment.boxes.values()
@@ -420,8 +427,8 @@
             self.deployment.probe.promise(
                 [whole_key] + [part_key] * is_part_last, before + [part_key] * (not is_part_last), self.deployment.now
             )
-        self.key = whole_key  # the part's goes with the next whole one, and is forgotten there
-        return f"a whole and a partial configuration raced: {is_good}"
+        self.key = whole_key  # the next whole configuration drops the partial one's key and its promise
+        return f"a whole and a partial configuration applied at once, acknowledged: {is_good}"
 
     def _fault_evacuate(self, lasts: float) -> str | None:
         if (
@@ -431,14 +438,14 @@
             return None
         zone = self.random.choice(self.deployment.spec.catalogue["areas"])
         if self._order("/operator/evacuate", {"area": zone}) is None:
-            return f"evacuation of {zone} not acknowledged"
+            return f"evacuation of zone {zone} not acknowledged"
 
         def restore() -> None:
             if self._order("/operator/restore", {"area": zone}) is None:
                 self._later(1.0, restore)
 
         self._later(lasts + 8, restore)
-        return f"{zone} evacuated for {lasts + 8:.1f}"
+        return f"{zone} evacuated, duration (s): {lasts + 8:.1f}"
 
     # traffic
 
@@ -455,7 +462,7 @@
             crowd.is_on = False
 
         self._later(lasts, end)
-        return f"{what} for {lasts:.1f}"
+        return f"{what} traffic added, duration (s): {lasts:.1f}"
 
     def _fault_crowd(self, lasts: float) -> Any:
         return self._crowd("crowd", 5.0, None, min(lasts, 4.0))
@@ -464,7 +471,7 @@
         return self._crowd("heavy", 1.0, [{**self.deployment.spec.traffic[-1], "rate": 8.0}], lasts)
 
     def _fault_rare(self, lasts: float) -> str:
-        """Every model and adapter but the heaviest, once, all at once."""
+        """Requests every model and adapter once at the same time, except those of the last traffic group."""
         group = next(
             each for each in self.deployment.spec.traffic if each["kind"] == "prompt" and not each.get("stream", True)
         )
@@ -474,12 +481,15 @@
             if item["name"] not in heavy:
                 for effect in self.callers.ask(group, self.deployment.now, model=item["name"]):
                     self.deployment._do(self.deployment.boxes[self.callers.name], effect)
-        return f"{len(self.callers.calls) - before} models and adapters asked for at once"
+        return f"{len(self.callers.calls) - before} models and adapters requested at once"
 
-    # loss, wear and power
+    # permanent losses, slow disks and power failures
 
     def _may_lose(self) -> Any:
-        """One core at a time may be lost for good, and only while the others hold everything."""
+        """Chooses a core to lose for good, or returns None.
+
+        Losses are at least 45 s apart, and only while all cores run and are members, so that the others have all state.
+        """
         cores = [box for box in self.deployment.boxes.values() if box.role == "core" and box.name not in self.retired]
         is_whole = all(
             box.machine is not None and not box.is_frozen and len(box.machine.consensus.members) == 3 for box in cores
@@ -496,7 +506,7 @@
         self.deployment.kill(box.name)
         box.disk.wipe()
         self._later(lasts, lambda: self._revive(box.name))
-        return f"{box.name} loses its disk and is back after {lasts:.1f}"
+        return f"{box.name} loses its disk and restarts, delay (s): {lasts:.1f}"
 
     def _fault_swap(self, lasts: float) -> str | None:
         box = self._may_lose()
@@ -518,7 +528,7 @@
             if each.role == "core" and each.name not in self.retired
         )
         self._later(lasts, lambda: self.deployment.add_node(node, founding=[], seeds=seeds))
-        return f"{box.name} is swapped for an empty {node['name']} after {lasts:.1f}"
+        return f"{box.name} is lost and replaced by an empty {node['name']}, delay (s): {lasts:.1f}"
 
     def _fault_slow_disks(self, lasts: float) -> str:
         delay = timedelta(seconds=self.random.uniform(0.02, 0.15))
@@ -531,7 +541,7 @@
                 disk.delay = timedelta(seconds=0.002)
 
         self._later(lasts, fast)
-        return f"all disks take {delay.total_seconds():.3f} a sync for {lasts:.1f}"
+        return f"sync time of all core disks (s): {delay.total_seconds():.3f}, duration (s): {lasts:.1f}"
 
     def _power(self, roles: Any, lasts: float) -> None:
         names = [box.name for box in self.deployment.boxes.values() if box.role in roles and box.machine is not None]
@@ -549,13 +559,13 @@
             }
         )
         self._power(("core",), min(lasts, 3.0))
-        return f"all cores lose power after {'an' if answer else 'no'} ack, for {min(lasts, 3.0):.1f}"
+        return f"all cores killed after {'an' if answer else 'no'} ack, duration (s): {min(lasts, 3.0):.1f}"
 
     def _fault_total_loss(self, lasts: float) -> str:
         self._power(
             ("core", "edge") if self.random.random() < 0.6 else ("core", "edge", "model", "records"), min(lasts, 4.0)
         )
-        return f"everything of ours loses power for {min(lasts, 4.0):.1f}"
+        return f"all nodes, and in some cases the servers, killed, duration (s): {min(lasts, 4.0):.1f}"
 
     def _fault_short_warning(self, lasts: float) -> str | None:
         box = self._one("edge", "core", "edge")
@@ -570,12 +580,12 @@
 
         self._later(self.random.uniform(0.2, 3.0), end)
         self._later(3.5 + lasts, lambda: self._revive(box.name))
-        return f"{box.name} is told to stop and killed soon after"
+        return f"{box.name} gets a stop request and is killed within 3 s of it"
 
     # servers
 
     def _fault_replace(self, lasts: float) -> str | None:
-        """A model server is announced as leaving, ends a little later in mid-stream, and comes back empty."""
+        """Lists a model server as leaving, kills it 3 to 9 s later in the middle of its streams, and restarts it empty."""
         platform = self.deployment.boxes["platform"].machine
         box = self._one("model")
         if box is None or platform is None or sum(server["leaving"] for server in platform.servers.values()) > 1:
@@ -589,7 +599,7 @@
 
         self._later(notice, lambda: self.deployment.kill(box.name))
         self._later(notice + lasts, back)
-        return f"{box.name} is emptied within {notice:.1f} and replaced after {lasts:.1f}"
+        return f"{box.name} listed as leaving, killed after {notice:.1f} s; delay of its replacement (s): {lasts:.1f}"
 
     def _fault_half_of_the_servers(self, lasts: float) -> str:
         names = [
@@ -611,7 +621,7 @@
                 machine.is_dark = machine.is_busy = False
 
         self._later(lasts, well)
-        return f"half of the servers {how} for {lasts:.1f}"
+        return f"half of the servers {how}, duration (s): {lasts:.1f}"
 
     def _fault_records_gone(self, lasts: float) -> str:
         names = [
@@ -620,10 +630,10 @@
         for name in names:
             self.deployment.kill(name)
             self._later(min(lasts, 5.0), partial(self._revive, name))
-        return f"no records server for {min(lasts, 5.0):.1f}"
+        return f"all records servers killed, duration (s): {min(lasts, 5.0):.1f}"
 
     def _fault_bad_list(self, lasts: float) -> str | None:
-        """The platform's list is empty, half gone or full of junk for a while."""
+        """Makes the platform's list empty, half missing or with invalid entries for at most 6 s."""
         platform = self.deployment.boxes["platform"].machine
         if platform is None or platform.extra:
             return None
@@ -643,7 +653,7 @@
             platform.servers = {**gone, **platform.servers}
 
         self._later(min(lasts, 6.0), well)
-        return f"the platform's list is {how} for {min(lasts, 6.0):.1f}"
+        return f"the platform's server list is {how}, duration (s): {min(lasts, 6.0):.1f}"
 
     def _fault_bad_air(self, lasts: float) -> str:
         self.deployment.loss, self.deployment.latency = 0.25, (0.001, 0.06)
@@ -652,4 +662,4 @@
             self.deployment.loss, self.deployment.latency = 0.0, (0.0005, 0.003)
 
         self._later(lasts, well)
-        return f"a quarter of the datagrams lost and all slow for {lasts:.1f}"
+        return f"25 % of datagrams lost and 1 to 60 ms latency on all links, duration (s): {lasts:.1f}"
--- a/sumachook/simulation/fleet.py
+++ b/sumachook/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""The in-memory fleet: every machine under one seeded virtual clock."""
+"""The in-memory fleet: runs every simulated process under one seeded virtual clock."""
 
 from collections.abc import Callable
 from datetime import UTC, datetime, timedelta
@@ -22,12 +22,12 @@
 START = datetime(2026, 3, 2, 6, 0, tzinfo=UTC)
 MOST_BUFFERED = 2000
 Link = tuple[str, str]  # names of the sending and the receiving box
-HELD_FOR = timedelta(seconds=1.5)  # what a cut held for longer is lost: its sender has given the connection up
-START_AGAIN = timedelta(seconds=0.25)  # between two tries of a process whose disk refuses to be read and settled
+HELD_FOR = timedelta(seconds=1.5)  # messages that a cut held for longer are lost: the sender has closed the connection
+START_AGAIN = timedelta(seconds=0.25)  # delay between a process's attempts to read and repair a disk that refuses it
 
 
 class BoxClock:
-    """One machine's clocks; the wall may jump."""
+    """The monotonic clock and the wall clock of one machine; the wall clock may jump by `jump`."""
 
     __slots__ = ("fleet", "jump")
 
@@ -35,16 +35,16 @@
         self.fleet, self.jump = fleet, timedelta(0)
 
     def mono(self) -> timedelta:
-        """Time since the fleet began."""
+        """Returns the virtual time since the start of the simulation."""
         return self.fleet.now
 
     def wall(self) -> datetime:
-        """The time of day, as this machine has it."""
+        """Returns the wall-clock time of this machine, including its jumps."""
         return self.fleet.dawn + self.fleet.now + self.jump
 
 
 class Box:
-    """A place where one process runs, with its disk, clock and addresses."""
+    """A simulated machine that runs at most one process, with its disk, clock and addresses."""
 
     __slots__ = (
         "name",
@@ -67,7 +67,7 @@
         "records",
     )
 
-    machine: Any  # a state machine, or None where no process runs
+    machine: Any  # the state machine of the running process, or None
     codec: Codec | None
     records: dict[str, Any]
     buffer: list[Event]
@@ -98,12 +98,12 @@
             0,
             False,
         )
-        self.records = {}  # what its process found on the disk at its start
+        self.records = {}  # what the process read from the disk at its start
         self.buffer, self.restart_epochs, self.codec, self.is_gone, self.slow = [], 0, None, False, timedelta(0)
 
 
 class HeldMessage(msgspec.Struct, frozen=True):
-    """What a cut link keeps for its end, as TCP does for a connection that stays open."""
+    """A message that a cut link holds until it heals, as TCP does for a connection that stays open."""
 
     sent_at: timedelta
     receiver: Box
@@ -112,12 +112,12 @@
     arguments: tuple[Any, ...]
 
     def is_deliverable(self, now: timedelta) -> bool:
-        """Whether the connection still stands: the same process at the other end, and not given up by the sender."""
+        """Returns whether the connection is still open: the receiver has not restarted, the sender has not given up."""
         return self.receiver.incarnation == self.receiver_incarnation and now - self.sent_at <= HELD_FOR
 
 
 class Exchange:
-    """One HTTP request between two boxes."""
+    """One HTTP request between two boxes, with the incarnations of client and server at its start."""
 
     __slots__ = (
         "cid",
@@ -152,7 +152,8 @@
 class Fleet:
     """Runs boxes in virtual time; the same seed gives the same run (docs/design/simulation.md).
 
-    `run(seconds)` goes on; `kill`, `start`, `freeze`, `wake`, `cut`, `heal`, `vanish` and the disks bring faults about.
+    `run(seconds)` advances the time. `kill`, `start`, `freeze`, `wake`, `cut`, `heal`, `vanish` and the disks of the
+    boxes inject faults.
     """
 
     __slots__ = (
@@ -205,11 +206,11 @@
         self.latest, self.exchanges, self.by_tid, self.logs = {}, {}, {}, []
         self.latency, self.tries, self.arrivals, self.deaths = (0.0005, 0.003), [], {}, []
         self.reachability, self.dawn = Reachability(self.now), START
-        self.holding, self.held = set(), {}  # cut links that keep what is sent, and what they keep
-        self.slow_links = {}  # what each adds to the latency
+        self.holding, self.held = set(), {}  # cut links that hold what is sent, and the messages held
+        self.slow_links = {}  # added latency of each slow link
         self._later(OBSERVE_EVERY, self._observe)
 
-    # building ----------------------------------------------------------------------
+    # setup ----------------------------------------------------------------------
 
     def add(
         self,
@@ -221,7 +222,10 @@
         http_address: str = "",
         start: bool = True,
     ) -> Box:
-        """`make(box)` gives the machine anew at each start."""
+        """Adds a box and starts its process, unless `start` is false.
+
+        `make(box)` creates the state machine at each start.
+        """
         box = self.boxes[name] = Box(name, role, make, zone, address, http_address, BoxClock(self), self.seed)
         self.by_address[address] = self.by_http_address[http_address] = box
         if start:
@@ -229,7 +233,7 @@
         return box
 
     def start(self, name: str) -> None:
-        """A process begins on the box."""
+        """Starts a new process on the box."""
         box = self.boxes[name]
         box.incarnation += 1
         box.restart_epochs += 1
@@ -237,7 +241,7 @@
         self._load(box, box.incarnation)
 
     def _load(self, box: Box, incarnation: int) -> None:
-        """The process reads its folder, tries until the disk lets it, and begins."""
+        """Opens the data folder, retrying while the disk refuses, then creates the process's state machine."""
         if box.incarnation != incarnation:
             return
         try:
@@ -258,9 +262,9 @@
         self._later(TICK * self.random.random(), self._tick, box, box.incarnation)
 
     def kill(self, name: str, writes_kept: int | None = None) -> None:
-        """The process ends at once; half of the times the power is lost too, and with it what its disk had not synced.
+        """Ends the process at once; with a probability of one half its disk also loses what was not synced.
 
-        With `writes_kept` just so many of the writes on their way stay.
+        With `writes_kept`, exactly that many of the oldest unfinished writes are kept.
         """
         box = self.boxes[name]
         if not self._end(box):
@@ -271,7 +275,7 @@
             box.disk.end_process()
 
     def lose_power(self, name: str, writes_kept: int | None = None) -> None:
-        """The process ends, and what the machine had still to send is lost too."""
+        """Cuts the power: ends the process and also loses unsynced data and messages that its links held."""
         box = self.boxes[name]
         if not self._end(box):
             return
@@ -280,7 +284,10 @@
             del self.held[link]
 
     def _end(self, box: Box) -> bool:
-        """Ends the process, if there is one; one that waits for its disk will not begin."""
+        """Ends the process, if one runs, and returns whether one did.
+
+        A process that still waits for its disk will not start.
+        """
         was_running = box.machine is not None
         box.machine, box.incarnation = None, box.incarnation + 1
         if was_running:
@@ -289,31 +296,31 @@
         return was_running
 
     def vanish(self, name: str) -> None:
-        """The machine is gone: nothing answers, not even a refusal."""
+        """Removes the machine from the network: connections to it time out instead of being refused."""
         self.lose_power(name)
         self.boxes[name].is_gone = True
 
     def stop(self, name: str) -> None:
-        """The platform's short warning."""
+        """Sends the process a stop request, as the platform does shortly before it ends a machine."""
         self._hand(self.boxes[name], events.StopRequested())
 
     def freeze(self, name: str) -> None:
-        """The process stands still; what is sent to it lies in its buffers."""
+        """Suspends the process; events for it are buffered, at most 2000."""
         self.boxes[name].is_frozen = True
 
     def wake(self, name: str) -> None:
-        """What lay in its buffers comes first, then its pulse."""
+        """Resumes a frozen process; the buffered events are delivered before its next tick."""
         box = self.boxes[name]
         box.is_frozen, buffer, box.buffer = False, box.buffer, []
         for message in buffer:
             self._hand(box, message)
 
     def cut(self, first: Any, second: Any, one_way: bool = False, holds: bool = False) -> Any:
-        """Boxes of `first` cannot reach those of `second`; gives the links that were cut.
+        """Cuts the links from the boxes of `first` to those of `second`, and returns the cut links.
 
-        With `holds` what is sent on connections that stand arrives late, in order, when the link heals, if it is not
-        older than HELD_FOR by then and its receiver still runs; datagrams are lost all the same. Else all that is
-        sent is lost.
+        Unless `one_way`, the reverse links are cut too. With `holds`, messages sent on open connections arrive late
+        and in order when the link heals, if they are not older than HELD_FOR by then and the receiver still runs;
+        datagrams are lost. Without `holds`, everything sent is lost.
         """
         links = {(one, other) for one in first for other in second if one != other}
         if not one_way:
@@ -326,7 +333,7 @@
         return links
 
     def heal(self, links: Any = None) -> None:
-        """Ends these cuts, or all; what they held comes first."""
+        """Restores the given cut links, or all; held messages are delivered first."""
         healed = set(self.cuts if links is None else links)
         self.cuts -= healed
         self.holding -= healed
@@ -340,11 +347,11 @@
         heappush(self.heap, (self.now + delay, self.count, call, words))
 
     def run(self, seconds: float) -> None:
-        """Virtual time goes on by so many seconds."""
+        """Advances virtual time by `seconds`."""
         self.run_until(lambda: False, seconds)
 
     def run_until(self, is_reached: Callable[[], bool], seconds: float) -> bool:
-        """Whether it was reached within the virtual seconds."""
+        """Runs until the condition holds or `seconds` of virtual time pass; returns whether the condition holds."""
         end = self.now + timedelta(seconds=seconds)
         check_at = self.now
         while self.heap and self.heap[0][0] <= end:
@@ -386,11 +393,11 @@
         return (box.name, other.name) not in self.cuts and not other.is_gone
 
     def _send(self, box: Box, other: Box, call: Any, *words: Any) -> None:
-        """In order between two boxes, after the wire's latency; lost or held where they are cut off."""
+        """Delivers a message after the link's latency, in order between two boxes; a cut link loses or holds it."""
         self._pass_on(box, other, True, call, words)
 
     def _send_datagram(self, box: Box, other: Box, call: Any, *words: Any) -> None:
-        """As `_send`, but never held."""
+        """Delivers a datagram as `_send` does a message, except that a cut link never holds it."""
         self._pass_on(box, other, False, call, words)
 
     def _pass_on(self, box: Box, other: Box, is_connected: bool, call: Any, words: Any) -> None:
@@ -407,14 +414,14 @@
             self.held.setdefault(key, []).append(HeldMessage(self.now, other, other.incarnation, call, words))
         elif key in self.cuts or other.is_gone:
             if exchange is not None:
-                exchange.is_broken = True  # a connection that lost something says nothing more
+                exchange.is_broken = True  # a connection that lost data delivers nothing more
         elif exchange is None or not exchange.is_broken:
             call(*words)
 
     def _release(self, link: Any) -> None:
-        """Delivers what a link held that has healed, but for what was given up meanwhile."""
+        """Delivers the messages that a healed link held, except those whose connection has been closed."""
         if link in self.cuts:
-            return  # cut again before anything came through
+            return  # the link was cut again before its messages were delivered
         for message in self.held.pop(link, ()):
             exchange = message.arguments[0] if isinstance(message.arguments[0], Exchange) else None
             if not message.is_deliverable(self.now):
@@ -454,7 +461,7 @@
         other = self.by_address.get(address)
         if other is None or (is_cast and self.random.random() < self.loss):
             return
-        assert box.codec is not None, "a process that runs has a codec"
+        assert box.codec is not None, "a running process has a codec"
         raw = box.codec.pack(message)
         send = self._send_datagram if is_cast else self._send
         send(box, other, self._heard, other, raw)
@@ -474,7 +481,7 @@
             self._later(timedelta(0), self._begin_sync, box, box.incarnation)
 
     def _begin_sync(self, box: Box, incarnation: int) -> None:
-        """One sync for all that waits for one file by now; what comes meanwhile is for the next."""
+        """Starts one sync for all waiting writes of a file; writes that arrive during it wait for the next sync."""
         if box.incarnation != incarnation or box.disk.queue.begin_step(self.now) is None:
             return
         delay = max(
@@ -501,7 +508,7 @@
         server = self.by_http_address.get(address)
         self.count += 1
         cid = self.count
-        if box.role == "edge" and (tid[0] == "lookup" or method == "POST"):  # a resume runs nothing and is no resend
+        if box.role == "edge" and (tid[0] == "lookup" or method == "POST"):  # a resumed stream is no retry
             self.tries.append((self.now, tid[2] > 1, tid[0]))
         if server is None or not self._reach(box, server) or not self._reach(server, box):
             failed = events.CallFailed(tid, CallFailure.CONNECT_TIMEOUT)
@@ -530,7 +537,7 @@
     def _hand_alive(self, exchange: Exchange, event: Event) -> None:
         if exchange.server.incarnation == exchange.server_incarnation:
             is_request = isinstance(event, events.HttpRequestReceived)
-            if is_request and exchange.client.role == "edge":  # it came in now, whenever it is taken up
+            if is_request and exchange.client.role == "edge":  # on arrival, also if frozen
                 self.arrivals.setdefault(exchange.server.name, []).append((self.now, exchange.client.name))
             self._hand(exchange.server, event)
 
@@ -577,7 +584,7 @@
                 self._end_exchange(exchange, events.CallFailed(tid, CallFailure.RESET))
 
     def _end_exchange(self, exchange: Exchange, event: Event) -> None:
-        """The client is told how its call ended."""
+        """Closes the exchange and delivers its final event to the client."""
         self._finish(exchange)
         self._tell_client(exchange.client, exchange.client_incarnation, event)
 
--- a/sumachook/simulation/invariant_checker.py
+++ b/sumachook/simulation/invariant_checker.py
@@ -1,4 +1,4 @@
-"""The independent check of the rules, from what callers and stand-ins saw."""
+"""Checks the product's invariants from what clients and simulated servers recorded, not from the router itself."""
 
 from bisect import bisect_left
 from collections.abc import Iterator
@@ -10,16 +10,16 @@
 from sumachook.simulation.reachability import Path
 
 SECOND = timedelta(seconds=1)
-LEAVING_WITHIN = SECOND * 3.6  # three seconds, and the half in which the list may lie unread
+LEAVING_WITHIN = SECOND * 3.6  # three seconds, and up to half a second between two reads of the server list
 OBEY_WITHIN = SECOND * 2
 SETTLED = SECOND * 3
-RATIO, STOCK = 0.2, 4.0  # docs/design/inference.md: a fifth, and what an edge may have saved up
+RATIO, STOCK = 0.2, 4.0  # retries per first attempt, and the credit that an edge may save up (docs/design/inference.md)
 WINDOWS = (1, 3, 10, 30, 60)
 LAST_MOMENT, CARRIED_WITHIN = SECOND / 2, SECOND * 2.5
 
 
 class InvariantChecker:
-    """`faults()` lists what broke a rule; it never asks the router (docs/design/simulation.md)."""
+    """Lists violations of the numbered rules of docs/design/simulation.md without asking the router."""
 
     __slots__ = ("deployment", "callers")
 
@@ -27,7 +27,7 @@
         self.deployment, self.callers = deployment, callers
 
     def faults(self) -> list[str]:
-        """What broke a rule, a line each, with the name of the check."""
+        """Runs all checks and returns a line for each violation, prefixed with the name of the check."""
         checks = (
             self._runs,
             self._texts,
@@ -43,7 +43,7 @@
 
     @property
     def calls(self) -> list[Any]:
-        """Of all callers in the town: a crowd is judged like everybody."""
+        """Returns the calls of all clients in the deployment, including those of additional load."""
         return [
             call
             for box in self.deployment.boxes.values()
@@ -52,11 +52,14 @@
         ]
 
     def runs_of(self, call: Any) -> int:
-        """How often servers ran this call."""
+        """Returns how many times servers ran this call, over all servers."""
         return sum(record.runs.get(call.tag, 0) for record in self.deployment.records.values())
 
     def _runs(self) -> Iterator[str]:
-        """Rule 1: an unsafe prompt runs once at most, whoever repeats its key, and "no" means no."""
+        """Rule 1: a prompt that is not safe to repeat runs at most once, and none runs that was answered `run: no`.
+
+        The same holds for all calls of a caller with the same idempotency key together.
+        """
         by_key: dict[Any, Any] = {}
         for call in self.calls:
             runs = self.runs_of(call) if call.kind == "prompt" else 0
@@ -65,11 +68,11 @@
             if runs > 1 and not call.safe:
                 yield f"{call.tag} of {call.group} ran {runs} times"
             if runs and call.run == "no":
-                yield f"{call.tag} was told that it did not run, and ran {runs} times"
+                yield f"{call.tag} was answered `run: no` and ran {runs} times"
         yield from (f"key {key} ran {runs} times" for key, runs in by_key.items() if runs > 1)
 
     def _texts(self) -> Iterator[str]:
-        """Rules 2 and 3: one server, in order, one's own, whole when it looks whole."""
+        """Rules 2 and 3: an answer is the call's own, from one server, in order, and complete if it looks complete."""
         for call in self.calls:
             if call.kind == "lookup":
                 if call.outcome == "ok" and not call.text.endswith(str(call.number)):
@@ -80,16 +83,19 @@
             servers = {piece.split("/")[1] for piece in pieces}
             places = [int(piece.split("/")[2]) for piece in pieces]
             if owners - {call.tag.replace(" ", "_")}:
-                yield f"{call.tag} got another's answer {owners}"
+                yield f"{call.tag} got text of other calls: {owners}"
             if len(servers) > 1:
-                yield f"{call.tag} is stitched from {servers}"
+                yield f"{call.tag} got text from several servers: {servers}"
             if places != list(range(len(places))):
-                yield f"{call.tag} has places {places}"
+                yield f"{call.tag} got pieces out of order or incomplete: {places}"
             if call.outcome == "ok" and (len(places) != EVENTS or call.finish != "stop"):
-                yield f"{call.tag} looks whole with {len(places)} pieces"
+                yield f"{call.tag} looks complete with {len(places)} pieces"
 
     def _leaving(self) -> Iterator[str]:
-        """Rule 4, from the platform's listing on, for every edge that some core could notify all the while."""
+        """Rule 4: a server gets no new requests from 3.6 s after the platform lists it as leaving.
+
+        Only edges that some core could reach during all of that time are checked.
+        """
         platform = self.deployment.boxes["platform"].machine
         for server, load_times in (platform.leavings if platform else {}).items():
             for at, until in load_times:
@@ -101,32 +107,33 @@
                 ]
                 if late:
                     last_at, last_edge = late[-1]
-                    yield f"{server}, leaving since {at}, got {len(late)} new, the last at {last_at} by {last_edge}"
+                    yield f"{server}, leaving since {at}, got {len(late)} requests, last at {last_at} from {last_edge}"
 
     def _obeys(self) -> Iterator[str]:
-        """Rule 5, by what edges answer to the probe.
+        """Rule 5: all reachable edges apply a change within two seconds of its acknowledgement, and none reverts it.
 
-        Two seconds after an ack all that can be reached obey, and none goes back.
+        The answers of the edges to the probe show whether they did.
         """
         probe, seen = self.deployment.probe, set()
         for edge, at, key, status, incarnation, wanted, since in sorted(
             probe.notes if probe else (), key=lambda note: note[1]
         ):
             if status not in (KNOWN, UNKNOWN):
-                continue  # it serves nobody just now
+                continue  # the edge serves no requests at the moment
             if status == wanted:
                 seen.add((edge, incarnation, key, wanted, since))
             elif (edge, incarnation, key, wanted, since) in seen:
-                yield f"{edge} slipped back at {at}: key {key} gives {status} again, against the ack at {since}"
+                yield f"{edge} reverted a change by {at}: key {key} gives {status} again, acknowledged at {since}"
             elif at >= since + OBEY_WITHIN and self.deployment.reachability.was_unbroken(
                 Path.ORDER_AND_ANSWER, edge, since - SETTLED, at + SECOND / 10
             ):
-                yield f"{edge} does not obey at {at}: key {key} gives {status}, against the ack at {since}"
+                yield f"{edge} has not applied a change by {at}: key {key} gives {status}, acknowledged at {since}"
 
     def evacuations(self) -> list[Any]:
-        """By the operators' own notes: (area, from when nothing may enter, until).
+        """Returns (zone, start, end) of each period in which an evacuated zone may get no new requests.
 
-        Nothing may enter from five seconds after the order, or three after its ack.
+        It starts five seconds after the order or three after its acknowledgement, whichever is later, and ends with
+        the next restore order. The times are those that the operator's client recorded.
         """
         found = []
         for path, doc, sent_at, acked_at, status in self.deployment.orders:
@@ -146,7 +153,7 @@
         return found
 
     def _evacuated(self) -> Iterator[str]:
-        """Rule 6: nothing enters the area, neither a server nor an edge's door."""
+        """Rule 6: neither the servers nor the edges of an evacuated zone accept new requests."""
         for zone, start, end in self.evacuations():
             for server in self.deployment.spec.servers:
                 if server["area"] != zone:
@@ -158,7 +165,7 @@
                 ]
                 if late:
                     name = server["name"]
-                    yield f"{name} in {zone}, evacuated from {start}, was given {len(late)}, the last at {late[-1]}"
+                    yield f"{name} in {zone}, evacuated from {start}, got {len(late)} requests, the last {late[-1]}"
             entered = [
                 call
                 for call in self.calls
@@ -169,24 +176,27 @@
             ]
             if entered:
                 last = f"{entered[-1].tag} at {entered[-1].edge}"
-                yield f"{zone}, evacuated from {start}, let in {len(entered)} calls, the last {last}"
+                yield f"{zone}, evacuated from {start}, admitted {len(entered)} calls, the last {last}"
 
     def _is_inside_alone(self, edge: Any, zone: str, at: timedelta) -> Any:
-        """An edge of the area that nobody could notify: it serves those inside with it (docs/design/changefeed.md)."""
+        """Returns whether the edge is in the zone and no core could send it orders.
+
+        Such an edge may serve the clients that are cut off with it (docs/design/changefeed.md).
+        """
         inside = edge in self.deployment.boxes and self.deployment.boxes[edge].zone == zone
         return inside and not self.deployment.reachability.was_unbroken(Path.ORDER, edge, at - SETTLED, at)
 
     def resends(self) -> Any:
-        """(first tries, resends) as the wire saw them, over all edges together."""
+        """Returns (first attempts, retries) of all edges together, counted on the network."""
         again = sum(is_again for _, is_again, _ in self.deployment.tries)
         return len(self.deployment.tries) - again, again
 
     def _resends(self) -> Iterator[str]:
-        """Rule 7, in every window: a fifth of the calls of that time, and what all edges may have saved up before it.
+        """Rule 7: in every window, retries are at most a fifth of the calls plus the credit saved up by all edges.
 
-        Judged over all calls, and by kind with half of the stock: calls of one kind pay for no resends of the other.
-        A call counts when its caller made it: that is the real traffic. What was lined up before the window is in the
-        stock.
+        It is checked over all calls, and for each kind with half of the saved credit, because calls of one kind pay
+        for no retries of the other. A call counts from the time when its client sent it: that is the real traffic.
+        Calls that were queued before the window are covered by the saved credit.
         """
         kinds = {call.kind for call in self.calls}
         yield from self._resends_of(kinds, STOCK)
@@ -203,15 +213,16 @@
                 resent = bisect_left(again, end) - place
                 real = bisect_left(made, end) - bisect_left(made, start - SECOND)
                 if resent > RATIO * real + stock * edges + 1e-6:
-                    yield f"{resent} resends in {window} s from {start}, with {real} calls: {sorted(kinds)}"
+                    yield f"{resent} retries in {window} s from {start}, with {real} calls of kinds {sorted(kinds)}"
                     return
 
     def unaccounted(self) -> list[Any]:
-        """Rule 12: calls that ended late or not well and are not in the log of the day on which they came in.
+        """Rule 12: returns the calls that ended late or failed and are missing in the log of the day they arrived on.
 
-        Not counted: strangers, what never reached a node of ours, and what came to an edge that had no chance to hand
-        a record in: from then to its death it was never in reach of two keepers for half a second, nor of an edge
-        that was for 2.5 s, both counted from when it was ready if it was not, since until then it knew no keeper.
+        Not counted are calls of unknown callers, calls that reached no node, and calls to an edge that had no chance
+        to store a record: from the call to its death it was never connected for half a second to two cores that store
+        records, nor for 2.5 s to an edge that was. If the edge was not ready, both spans start when it was, since
+        until then it knew of no such core.
         """
         logged = {
             (row["tag"], name)
@@ -227,7 +238,7 @@
         ]
 
     def _days(self, call: Any) -> set[Any]:
-        """The day by the world's own clock; a call that came in within a second of midnight may be in either."""
+        """Returns the day logs that may have the call: by the true time, two if it came within 1 s before midnight."""
         return {
             f"day-{(self.deployment.dawn + call.sent_at + SECOND * slack).date().isoformat()}.jsonl" for slack in (0, 1)
         }
@@ -240,7 +251,7 @@
         return not self.was_last_moment(call)
 
     def was_last_moment(self, call: Any) -> bool:
-        """Whether its edge died before any disk had a record of it and with no chance to have one written."""
+        """Returns whether the call's edge died before any disk had a record of the call and could not store one."""
         died_at = [at for name, at in self.deployment.deaths if name == call.edge and at >= call.sent_at]
         if not died_at or any(call.tag in box.disk.opened for box in self.deployment.boxes.values()):
             return False
@@ -250,7 +261,10 @@
         return not (could(LAST_MOMENT, Path.STORE_RECORDS, *span) or could(CARRIED_WITHIN, Path.RELAY_RECORDS, *span))
 
     def _ready_after(self, call: Any) -> Any:
-        """When its edge, not ready then, served somebody: only from then on did it know any keeper."""
+        """Returns when the call's edge, not ready at the time, first served a later call.
+
+        Only from then on did the edge know of cores that store records.
+        """
         return min(
             (
                 other.sent_at
@@ -261,21 +275,24 @@
         )
 
     def _warm(self) -> Iterator[str]:
-        """Rule 8, over the warming time and all edges: what a model, and a server that came up cold, has in hand."""
+        """Rule 8: while a model or a cold server warms up, the requests that it runs or queues stay within a bound.
+
+        The requests of all edges count together.
+        """
         for name, record in self.deployment.records.items():
             for what, at, age, busy, most in record.floods[:1]:
-                yield f"{name} had {busy} of {what} at {at:.2f}, {age:.2f} s after it was ready, at most {most}"
+                yield f"{name} had {busy} requests for {what} at {at:.2f}, {age:.2f} s after ready, at most {most}"
 
     def _orders(self) -> Iterator[str]:
-        """Rule 9: no load beyond room; fences only rise at each server."""
+        """Rule 9: no load exceeds a server's memory or adapter places, and its fencing tokens never decrease."""
         for name, record in self.deployment.records.items():
             yield from record.broken
             fences = [fence for _, fence, _, _ in record.orders]
             if fences != sorted(fences):
-                yield f"{name} took orders under {fences}"
+                yield f"{name} accepted orders under decreasing fencing tokens: {fences}"
 
     def _store(self) -> Iterator[str]:
-        """Rule 10: over every stretch of time, no more was begun than its pace allows."""
+        """Rule 10: in every window, no more gigabytes of loads start than the store's pace and burst allow."""
         store = self.deployment.spec.catalogue["store"]
         loads = sorted(load for record in self.deployment.records.values() for load in record.loads)
         for start in range(len(loads)):
@@ -283,12 +300,12 @@
             for at, size, _ in loads[start:]:
                 begun += size
                 if begun > store["burst"] + store["pace"] * (at - loads[start][0]) + 1e-6 + store["pace"] * 0.1:
-                    yield f"{begun:.1f} GB begun within {at - loads[start][0]:.2f} s"
+                    yield f"{begun:.1f} GB of loads started within {at - loads[start][0]:.2f} s"
                     return
 
 
 def _was_admitted(call: Any) -> bool:
-    """Whether a node let it in: anything but a refusal at the door."""
+    """Returns whether a node admitted the call, that is, did not refuse it as evacuated, draining or not ready."""
     if call.outcome == "pending" or call.status is None:
         return False
     return not (call.run == "no" and call.fault_class in ("evacuated", "draining", "not-ready"))
--- a/sumachook/simulation/model.py
+++ b/sumachook/simulation/model.py
@@ -1,4 +1,4 @@
-"""A stand-in for one model server."""
+"""Simulated model server that streams answers, loads models and records what it ran."""
 
 from datetime import timedelta
 from typing import Any
@@ -18,19 +18,20 @@
 
 
 def most_while_warming(age: timedelta) -> int:
-    """Rule 8: two at first, doubling every step (docs/design/inference.md).
+    """Returns the bound of rule 8 on requests at a model or server that has been warming for `age`.
 
-    Twice that, as edges may differ over who the others are.
+    Edges allow two at first, doubled every 1.5 s (docs/design/inference.md). The bound is twice that, since edges may
+    disagree on which other edges exist.
     """
     return 4 << int(age / STEP)
 
 
 class Record:
-    """What one server saw, kept by the world outside: it outlives the server's crashes (docs/design/simulation.md).
+    """Record of what one server ran and was ordered; it survives the server's crashes (docs/design/simulation.md).
 
-    `runs` {tag of the call: times run}, `broken` what it was told and must never be told, `stale` orders under old
-    fences, `warm_peak` the most it had in hand of a model, or of all, in a first step of warming, `floods` where that
-    or a later step was beyond its bound.
+    `runs` counts the runs of each call by its tag. `broken` lists orders that no server may ever get, `stale` the
+    orders under old fencing tokens. `warm_peak` is the largest number of requests running or queued, of a model or of
+    all, in the first step of warming, `floods` the times when that number exceeded its bound in this or a later step.
     """
 
     __slots__ = ("runs", "broken", "loads", "warm_peak", "stale", "orders", "floods")
@@ -55,7 +56,7 @@
         )
 
     def server_record(self) -> dict[str, Any]:
-        """The document that `/proof` answers with; `orders` stays inside the process."""
+        """Returns the document that `/proof` answers with; `orders` is not part of it."""
         return {
             "runs": self.runs,
             "broken": self.broken,
@@ -67,7 +68,7 @@
 
 
 class Run:
-    """One prompt being run, and what it has said so far."""
+    """A prompt that runs or is queued, with the events generated so far."""
 
     __slots__ = (
         "request",
@@ -87,7 +88,7 @@
     )
 
     events: list[Any]
-    started_at: timedelta  # set, with `step_every`, when it begins
+    started_at: timedelta  # set, with `step_every`, when the run begins
     step_every: timedelta
     gone_at: timedelta | None
 
@@ -98,7 +99,7 @@
 
 
 class ModelServer:
-    """Takes (message, now); notes in its record all that it ran and was ordered (docs/design/simulation.md)."""
+    """State machine of a model server that records all it ran and was ordered (docs/design/simulation.md)."""
 
     __slots__ = (
         "name",
@@ -166,7 +167,7 @@
         self.ready_at, self.prefill, self.load_rate, self.cold_at = {}, timedelta(seconds=0.1), load_rate, None
 
     def take(self, event: Event, now: timedelta) -> list[Any]:
-        """The effects of one event."""
+        """Handles an event and returns the resulting effects."""
         match event:
             case Tick():
                 return self._tick(now)
@@ -281,7 +282,7 @@
             self.active[run.request] = run
 
     def _finish_loads(self, now: timedelta) -> None:
-        """What is loaded by now is ready; a model that comes up where none was makes the server cold."""
+        """Marks finished loads as ready; the first model on a server without loaded models makes the server cold."""
         for name, value in list(self.held.items()):
             if isinstance(value, str) or now < value:
                 continue
@@ -295,7 +296,7 @@
         out: list[Any] = []
         self._finish_loads(now)
         if self.is_dark:
-            return []  # it holds back what it has to say; a stream cannot skip
+            return []  # events are kept back, since a stream cannot skip any
         for run in list(self.active.values()):
             out += self._speak(run, now)
             if run.is_done:
@@ -328,7 +329,7 @@
         return self._flush(run, now)
 
     def _flush(self, run: Run, now: timedelta) -> list[Any]:
-        """What the caller has not had yet; a caller that is gone may come back for it."""
+        """Returns effects that send the client the remaining events; a disconnected client may resume later."""
         if run.gone_at is not None:
             run.is_done = run.said > EVENTS
             return []
@@ -343,7 +344,7 @@
         run.flushed = max(run.flushed, len(run.events))
         if (
             self.ends_after is not None and run.flushed >= self.ends_after
-        ):  # ends in good order, but with no word of being done
+        ):  # a clean end of the response without a finish reason
             run.is_done, run.gone_at = True, now
             word = [SendChunk(run.cid, send(Event(data="[DONE]")))] if self.says_done else []
             return [*out, *word, EndResponse(run.cid)]
--- a/sumachook/simulation/platform.py
+++ b/sumachook/simulation/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform that lists the servers."""
+"""Simulated platform that publishes the list of servers."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class Platform:
-    """Answers GET /servers, POST /leaving {"name", "leaving"} and POST /servers {"servers"}."""
+    """State machine that answers GET /servers, POST /leaving {"name", "leaving"} and POST /servers {"servers"}."""
 
     __slots__ = ("servers", "leavings", "extra")
 
@@ -21,11 +21,11 @@
 
     def __init__(self, servers: list[dict[str, Any]]) -> None:
         self.servers = {server["name"]: {**server} for server in servers}
-        self.leavings = {}  # {server: [[listed as leaving since, until or None]]}, for the invariant checker
-        self.extra = []  # what else the list says, sound or not
+        self.leavings = {}  # server -> [[start, end or None]] of its leaving periods, for the invariant checker
+        self.extra = []  # further entries of the list, valid or not
 
     def take(self, event: Event, now: timedelta) -> list[Any]:
-        """The effects of one event."""
+        """Handles an event and returns the resulting effects; records when servers start and stop leaving."""
         self._note(now)
         if isinstance(event, StopRequested):
             return [Exit(0)]
--- a/sumachook/simulation/probe.py
+++ b/sumachook/simulation/probe.py
@@ -1,4 +1,4 @@
-"""Asks each edge from outside whether it obeys what was acknowledged."""
+"""Probes each edge over HTTP for whether it applies acknowledged changes of keys."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,11 +12,11 @@
 
 
 class Probe:
-    """Asks each edge for a record with keys of callers that may not look up (docs/design/simulation.md).
+    """Requests a record from each edge every 0.5 s with keys of callers without lookup permission.
 
-    An edge that knows the key answers 403, one that does not 401; neither begins a request.
-    `present` and `absent` {key: since}: what an ack has promised; `notes`: (edge, asked at, key, status, incarnation of
-    the edge, status that was promised, since when).
+    An edge that knows the key answers 403, any other 401; neither starts a request of its own. `present` and `absent`
+    map each key to the time of the acknowledgement that promised it. `notes` lists (edge, time, key, status,
+    incarnation of the edge, promised status, time of the promise). See docs/design/simulation.md.
     """
 
     __slots__ = ("deployment", "present", "absent", "notes", "next_at", "number", "waiting")
@@ -31,19 +31,19 @@
         self.next_at, self.number, self.waiting = deployment.now, 0, {}
 
     def promise(self, present: Any = (), absent: Any = (), now: timedelta = timedelta(0)) -> None:
-        """From an ack on, these keys are known and those are not."""
+        """Records that from `now` on, as acknowledged, edges must know the `present` keys and not the `absent` ones."""
         self.forget((*present, *absent))
         self.present |= dict.fromkeys(present, now)
         self.absent |= dict.fromkeys(absent, now)
 
     def forget(self, keys: Any) -> None:
-        """An order is on its way that may change them: nothing is promised of them any more."""
+        """Drops the promises about these keys, because an order in flight may change them."""
         for key in keys:
             self.present.pop(key, None)
             self.absent.pop(key, None)
 
     def take(self, event: Event, now: timedelta) -> list[Any]:
-        """The effects of one event."""
+        """Handles an event and returns the resulting effects; sends the next probes when due."""
         if isinstance(event, CallEvent):
             if isinstance(event, ResponseReceived) and event.call_id in self.waiting:
                 edge, asked_at, key, incarnation, wanted, since = self.waiting.pop(event.call_id)
--- a/sumachook/simulation/quota_invariant_checker.py
+++ b/sumachook/simulation/quota_invariant_checker.py
@@ -1,4 +1,4 @@
-"""The independent check of allowances, from callers' and servers' records alone."""
+"""Checks the quota of a tenant from the records of clients and servers alone."""
 
 from bisect import bisect_left
 from collections.abc import Iterator
@@ -8,14 +8,14 @@
 SECOND = timedelta(seconds=1)
 WINDOWS = (1, 3, 10)
 LEASE = 0.4  # seconds (docs/design/quotas.md)
-LEAST_BUSY = 6.0  # requests a second; below that no router asks ahead
-MEMORY = 10.0  # seconds for which what was asked for beyond the floor is held against a tenant
+LEAST_BUSY = 6.0  # requests per second; below that rate no router borrows ahead of demand
+MEMORY = 10.0  # seconds for which demand above the floor counts against a tenant
 
 
 class Run(NamedTuple):
     """A request as the server that ran it saw it.
 
-    `tokens`: of the prompt and those that came out; `estimate`: of the prompt and the most that may come out.
+    `tokens` counts the prompt and the generated tokens, `estimate` the prompt and the most that may be generated.
     """
 
     at: timedelta
@@ -24,14 +24,14 @@
 
 
 class Ask(NamedTuple):
-    """A request as its caller saw it; `isRefused`: turned away for the tenant's allowance."""
+    """A request as its client saw it; `is_refused` tells whether the tenant's quota refused it."""
 
     at: timedelta
     is_refused: bool
 
 
 class Bounds(NamedTuple):
-    """What the operator wrote, in requests and tokens: each a second, and what may be saved up."""
+    """A tenant's configured quota as (requests, tokens): rates per second and the bursts that may be saved up."""
 
     ceiling: tuple[float, ...]
     floor: tuple[float, ...]
@@ -40,7 +40,7 @@
 
 
 class QuotaInvariantChecker:
-    """`over(runs, ...)` and `short(asks, ...)` list what broke the rule of docs/design/quotas.md for one tenant."""
+    """Lists violations of one tenant's ceiling (`over`) and floor (`short`), by the rules of docs/design/quotas.md."""
 
     __slots__ = ("bounds",)
 
@@ -48,10 +48,10 @@
         self.bounds = bounds
 
     def bound(self, window: float, place: int, changes: int = 0, is_disturbed: bool = False, sides: int = 1) -> float:
-        """The most requests (place 0) or tokens (place 1) in so many seconds (docs/design/quotas.md).
+        """Returns the most requests (place 0) or tokens (place 1) allowed in `window` seconds (docs/design/quotas.md).
 
-        `changes`: of the lending holder; `is_disturbed`: some router had nobody who lends; `sides`: parts of the
-        network that have forgotten each other.
+        `changes` counts the changes of the node that lends quota, `is_disturbed` tells whether some router could reach
+        no such node, and `sides` counts the network partitions that no longer know of each other.
         """
         bounds = self.bounds
         if bounds.ceiling[place] == float("inf"):
@@ -60,7 +60,7 @@
         return most + (sides * (bounds.floor[place] * window + bounds.floor_burst[place]) if is_disturbed else 0.0)
 
     def over(self, runs: Any, span: Any = None, **state: Any) -> Iterator[str]:
-        """Windows in which it ran more than the bound; `span`: (from, until) that is judged."""
+        """Yields windows in which more than the bound ran; with `span` (start, end), only runs in it are checked."""
         runs = sorted(run for run in runs if span is None or span[0] <= run.at < span[1])
         times = [run.at for run in runs]
         sums, in_hand = [0.0], max((run.estimate for run in runs), default=0.0)
@@ -77,21 +77,21 @@
                         return
 
     def short(self, asks: Any, stranded: float = 0.0, span: Any = None) -> Iterator[str]:
-        """Calls that were refused though all that was asked for was inside the floor (docs/design/quotas.md).
+        """Yields calls that were refused although the tenant's demand was within its floor (docs/design/quotas.md).
 
-        `stranded`: requests that may lie in parts too small to be spent, one a router, while nobody lends; what is lent
-        ahead to busy routers is not there for others either.
+        `stranded` is the number of requests that may lie unused at routers in fractions below one, one for each
+        router, while no node lends. Quota lent ahead to busy routers is not available to others either.
         """
         for ask, level in self._levels(asks, stranded):
             if level >= 1.0 and ask.is_refused and (span is None or span[0] <= ask.at < span[1]):
-                yield f"a call at {ask.at} was refused with {level:.1f} requests of the floor left"
+                yield f"a call at {ask.at} was refused while {level:.1f} requests of the floor were left"
 
     def inside(self, asks: Any, stranded: float = 0.0) -> int:
-        """Calls of which `short` would say so."""
+        """Counts the calls that were within the floor, which `short` would report if they had been refused."""
         return sum(level >= 1.0 for _, level in self._levels(asks, stranded))
 
     def _levels(self, asks: Any, stranded: float) -> Iterator[Any]:
-        """Each call with what the floor's bucket held just before."""
+        """Yields each call with the level of the floor's token bucket just before it."""
         rate, depth = self.bounds.floor[0], self.bounds.floor_burst[0]
         depth -= stranded + (2 * LEASE * rate if rate > LEAST_BUSY else 0.0)
         least = -max(MEMORY * rate, self.bounds.burst[0])
--- a/sumachook/simulation/reachability.py
+++ b/sumachook/simulation/reachability.py
@@ -1,4 +1,4 @@
-"""Which edges could be reached while the fleet ran, observed from outside and never asked of the router."""
+"""Records which edges were reachable while the fleet ran, from its links and processes, not from the router."""
 
 from bisect import bisect_left
 from collections.abc import Collection, Mapping
@@ -6,19 +6,18 @@
 from enum import StrEnum
 from typing import Any
 
-OBSERVE_EVERY = timedelta(seconds=0.1)  # ten looks within the shortest time that a rule speaks of
+OBSERVE_EVERY = timedelta(seconds=0.1)  # ten observations in the shortest period of a rule, one second
 
 Links = Collection[tuple[str, str]]
 
 
 class Path(StrEnum):
-    """What an edge can be reached for.
+    """The purposes for which an edge may be reachable; every path needs both directions of its links.
 
-    `ORDER`: by a running core that forms, with one more such core, both ways, a majority whose disks accept records.
-    `ORDER_AND_ANSWER`: the same, and the edge is not frozen.
-    `SERVER_LIST`: by any running core that can also reach the platform.
-    `STORE_RECORDS`: not frozen, it can send its records to two cores that store them.
-    `RELAY_RECORDS`: that, or it can send them to another edge that can.
+    `ORDER`: a running core reaches the edge and forms a majority with another such core; the disks of both accept
+    records. `ORDER_AND_ANSWER`: as `ORDER`, and the edge is not frozen. `SERVER_LIST`: any running core that also
+    reaches the platform reaches the edge. `STORE_RECORDS`: the edge is not frozen and can send its records to two
+    cores that store them. `RELAY_RECORDS`: as `STORE_RECORDS`, or it can send them to another edge that can.
     """
 
     ORDER = "order"
@@ -29,11 +28,10 @@
 
 
 class Reachability:
-    """The times at which an edge could not be reached.
+    """Records the times at which a path to an edge was broken.
 
-    `observe` is to be called every OBSERVE_EVERY. A restart counts as a break of every path. A frozen edge is excused
-    from answering, but not from knowing that it was away: of the paths of orders only ORDER_AND_ANSWER is broken by a
-    freeze.
+    `observe` must be called every OBSERVE_EVERY. A restart breaks every path. A freeze breaks only ORDER_AND_ANSWER of
+    the paths of orders, because a frozen edge need not answer, but must notice afterwards that it was frozen.
     """
 
     __slots__ = ("breaks", "incarnations", "since")
@@ -44,7 +42,7 @@
         self.since = since
 
     def observe(self, boxes: Mapping[str, Any], cuts: Links, now: timedelta) -> None:
-        """Notes the paths that are broken now, given all boxes by name and the cut links (from, to)."""
+        """Records the paths that are broken now, given all boxes by name and the cut links (from, to)."""
         cores = [box for box in boxes.values() if box.role == "core" and _is_running(box)]
         storing = [core for core in cores if now >= max(core.disk.stalled_until, core.disk.refuses_until)]
         electable = {
@@ -65,7 +63,7 @@
             if _is_running(edge) and sum(_are_connected(core, edge, cuts) for core in storing) > 1
         ]
         for edge in edges:
-            has_restarted = self._has_restarted(edge)  # noted also while the edge is down
+            has_restarted = self._has_restarted(edge)  # recorded also while the edge is down
             is_up = edge.machine is not None and not edge.is_gone and not has_restarted
             is_ordered = is_up and any(core.name in electable and _are_connected(core, edge, cuts) for core in storing)
             can_relay = _is_running(edge) and any(
@@ -83,13 +81,13 @@
                     self.breaks.setdefault((path, edge.name), []).append(now)
 
     def _has_restarted(self, edge: Any) -> bool:
-        """Whether the edge runs in another incarnation than at the last look."""
+        """Returns whether the edge has another incarnation than at the last observation."""
         is_new: bool = self.incarnations.get(edge.name) != edge.incarnation
         self.incarnations[edge.name] = edge.incarnation
         return is_new
 
     def was_unbroken(self, path: Path, edge: str, start: timedelta, end: timedelta) -> bool:
-        """Whether no break was seen from `start` to `end`; nothing is known of the time before the first look."""
+        """Returns whether no break was observed from `start` to `end`, and observation had begun by `start`."""
         breaks = self.breaks.get((path, edge), ())
         index = bisect_left(breaks, start)
         return start >= self.since and (index >= len(breaks) or breaks[index] > end)
@@ -97,13 +95,13 @@
     def was_ever_unbroken_for(
         self, duration: timedelta, path: Path, edge: str, start: timedelta, end: timedelta
     ) -> bool:
-        """Whether between `start` and `end` there was a stretch longer than `duration` without a break."""
+        """Returns whether the path was unbroken for longer than `duration` at some time from `start` to `end`."""
         breaks = [at for at in self.breaks.get((path, edge), ()) if start <= at <= end]
         return any(later - sooner > duration for sooner, later in zip([start, *breaks], [*breaks, end], strict=True))
 
 
 def _are_connected(one: Any, other: Any, cuts: Links) -> bool:
-    """Whether two boxes reach each other, both ways."""
+    """Returns whether two boxes can reach each other in both directions."""
     return (one.name, other.name) not in cuts and (other.name, one.name) not in cuts
 
 
--- a/sumachook/simulation/records.py
+++ b/sumachook/simulation/records.py
@@ -1,4 +1,4 @@
-"""A stand-in for one server of the records service."""
+"""Simulated server of the records service."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class RecordsServer:
-    """Takes (message, now); answers small lookups at once (docs/design/simulation.md)."""
+    """State machine that answers lookups at once, except for ids that begin with `none` (docs/design/simulation.md)."""
 
     __slots__ = ("name", "is_dark", "is_busy")
 
@@ -20,7 +20,7 @@
         self.name, self.is_dark, self.is_busy = name, False, False
 
     def take(self, event: Event, now: timedelta) -> list[Any]:
-        """The effects of one event."""
+        """Handles an event and returns the resulting effects; answers nothing while `is_dark` is set."""
         if isinstance(event, StopRequested):
             return [Exit(0)]
         if not isinstance(event, HttpRequestReceived) or self.is_dark:
--- a/sumachook/simulation/report.py
+++ b/sumachook/simulation/report.py
@@ -1,4 +1,4 @@
-"""What callers met, class by class."""
+"""Reports the outcomes of the clients' calls by traffic group."""
 
 from collections import Counter
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 
 def report_calls(calls: Any, file: Any = None) -> str:
-    """A table of outcomes; with a file, each call goes there as a line of JSON.
+    """Returns a table of call outcomes and latencies; with `file`, writes each call to it as a line of JSON.
 
     >>> report_calls(())
     'no calls'
@@ -38,7 +38,7 @@
         Path(file).write_bytes(b"\n".join(lines) + b"\n")
     if not calls:
         return "no calls"
-    calls = [call for call in calls if not call.has_moved]  # those are judged by what came of going on to another edge
+    calls = [call for call in calls if not call.has_moved]  # resent calls count by their resend
     rows = Counter((call.group, call.outcome, call.fault_class or "") for call in calls)
     times: dict[Any, Any] = {}
     for call in calls:
@@ -51,6 +51,6 @@
     for group, seconds in sorted(times.items()):
         seconds.sort()
         table.append(
-            f"{group:<12}first word after {seconds[len(seconds) // 2]:.3f} s (median), {seconds[-1]:.3f} s (last)"
+            f"{group:<12}first token after {seconds[len(seconds) // 2]:.3f} s (median), {seconds[-1]:.3f} s (last)"
         )
     return "\n".join(table)
--- a/sumachook/simulation/simulated_files.py
+++ b/sumachook/simulation/simulated_files.py
@@ -1,4 +1,7 @@
-"""A folder in memory that loses with the power what a real one may lose (docs/design/simulation.md)."""
+"""In-memory file system that loses unsynced changes on a power failure, as a real one may.
+
+docs/design/simulation.md describes the failures.
+"""
 
 import errno
 from random import Random
@@ -6,15 +9,15 @@
 
 from sumachook.storage.file_system import FileSystem
 
-LOSE_ALL = 0.25  # so often a loss of power removes every change that was not synced
+LOSE_ALL = 0.25  # probability that a power failure loses every unsynced change
 
 
 class ProcessEndedError(Exception):
-    """The process ends in the middle of an operation."""
+    """Raised where the simulated process ends in the middle of a file operation."""
 
 
 class SimulatedFile:
-    """A file's durable content, and the changes since its last sync."""
+    """The durable content of a file and the changes since its last sync."""
 
     __slots__ = ("durable", "current", "changes")
 
@@ -23,20 +26,20 @@
         self.changes: list[tuple[Any, ...]] = []  # ("write", place, bytes) or ("length", length)
 
     def write(self, raw: bytes) -> None:
-        """Appends; not durable before the next sync."""
+        """Appends bytes, which are not durable before the next sync."""
         self.change("write", len(self.current), raw)
 
     def change(self, *change: Any) -> None:
-        """One change of the content, kept until the next sync."""
+        """Applies a change to the content and records it as unsynced until the next sync."""
         self.changes.append(change)
         _carry_out(self.current, change)
 
     def sync(self) -> None:
-        """All changes are durable."""
+        """Makes all changes of the content durable."""
         self.durable, self.changes = bytes(self.current), []
 
     def lose_power(self, random: Random, loses_all: bool) -> None:
-        """Each change may be present, absent or torn, whatever becomes of the others."""
+        """Keeps, drops or tears each unsynced change independently; with `loses_all`, drops all of them."""
         content = bytearray(self.durable)
         for change in [] if loses_all else self.changes:
             fate = random.choice(("present", "absent", "torn"))
@@ -51,7 +54,8 @@
 class SimulatedFileSystem(FileSystem):
     """A `FileSystem` in memory.
 
-    `is_refusing` makes every change fail, `steps_left` ends the process in the middle of one.
+    `is_refusing` makes every change fail with ENOSPC. `steps_left` counts the steps until the process ends in the
+    middle of a change.
     """
 
     __slots__ = ("random", "durable_names", "files", "name_changes", "is_refusing", "steps_left")
@@ -62,34 +66,34 @@
         self.files: dict[str, SimulatedFile] = {}
         self.name_changes: list[
             dict[str, Any]
-        ] = []  # name -> file, or None for one that is gone; each change is kept or lost as a whole
+        ] = []  # name -> file, or None for a removed one; each change is kept or lost as a whole
         self.is_refusing = False
         self.steps_left: int | None = None
 
     @property
     def location(self) -> str:
-        """No path: the files are in memory."""
+        """Returns `memory`, since the files have no path."""
         return "memory"
 
-    # the operations -------------------------------------------------------------
+    # file operations -------------------------------------------------------------
 
     def prepare(self) -> None:
-        """Nothing to do: a folder in memory is there."""
+        """Does nothing, because a folder in memory always exists."""
 
     def names(self) -> Any:
-        """The names of the files, in order."""
+        """Returns the names of the files, sorted."""
         return sorted(self.files)
 
     def size(self, name: str) -> Any:
-        """How many bytes a file has."""
+        """Returns the size of a file in bytes, including unsynced changes."""
         return len(self._file(name).current)
 
     def read(self, name: str) -> Any:
-        """The content of a file."""
+        """Returns the content of a file, including unsynced changes."""
         return bytes(self._file(name).current)
 
     def write_new(self, name: str, raw: bytes) -> None:
-        """Writes a file anew, and syncs it."""
+        """Creates or overwrites a file, and syncs its content."""
         self._step()
         if name in self.files:
             self.files[name].change("length", 0)
@@ -98,42 +102,42 @@
         self._write(name, raw)
 
     def append(self, name: str, raw: bytes) -> None:
-        """Adds to the end of a file, and syncs it."""
+        """Appends to a file, and syncs it."""
         self._step()
         self._write(name, raw)
 
     def truncate(self, name: str, length: int) -> None:
-        """Cuts a file to a length, and syncs it."""
+        """Truncates a file to `length` bytes, and syncs it."""
         self._step()
         self._file(name).change("length", length)
         self._step()
         self._file(name).sync()
 
     def sync(self, name: str) -> None:
-        """What was written to a file is durable."""
+        """Makes the content of a file durable."""
         self._step()
         self._file(name).sync()
 
     def rename(self, name: str, new_name: str) -> None:
-        """A file has another name, durable with the next sync of the folder."""
+        """Renames a file; the new name is durable after the next sync of the folder."""
         self._step()
         self._change_names({name: None, new_name: self._file(name)})
 
     def remove(self, name: str) -> None:
-        """A file is gone, durably with the next sync of the folder."""
+        """Removes a file; the removal is durable after the next sync of the folder."""
         self._step()
         self._file(name)
         self._change_names({name: None})
 
     def sync_folder(self) -> None:
-        """The names of the files are durable."""
+        """Makes creations, renames and removals of files durable."""
         self._step()
         self.durable_names, self.name_changes = dict(self.files), []
 
     # faults ---------------------------------------------------------------------
 
     def lose_power(self) -> None:
-        """What was not synced is kept or lost, each change by itself; at times all of it is lost."""
+        """Keeps or loses each unsynced change independently; with a probability of 0.25 loses all of them."""
         loses_all = self.random.random() < LOSE_ALL
         files = dict(self.durable_names)
         for change in [] if loses_all else self.name_changes:
@@ -144,11 +148,11 @@
             file.lose_power(self.random, loses_all)
 
     def wipe(self) -> None:
-        """All files are gone, durable or not."""
+        """Erases all files, durable or not."""
         self.files, self.durable_names, self.name_changes = {}, {}, []
 
     def _write(self, name: str, raw: bytes) -> None:
-        """In two halves, so that a process may end between them."""
+        """Writes and syncs in two parts split at random, so that a process may end between them."""
         file, half = self._file(name), self.random.randint(0, len(raw))
         for part in (raw[:half], raw[half:]):
             file.write(part)
@@ -184,9 +188,9 @@
 
 
 def _torn(change: tuple[Any, ...], random: Random) -> tuple[Any, ...]:
-    """The write without a part of it: its head, its body or its end.
+    """Returns a torn write: only its head, only its end, or the whole with a range of zeros.
 
-    Now and then the length is set and there are only zeros.
+    Zeros stand for a file whose length was updated but not its data.
     """
     _, place, raw = change
     first, last = sorted((random.randint(0, len(raw)), random.randint(0, len(raw))))
