--- a/harness/experiments/chaos.py
+++ b/harness/experiments/chaos.py
@@ -69,7 +69,7 @@
         self.read_number += 1
         token = f"chaos-{self.read_number}"
         self.reads[token] = [name for _, name in self.acked]
-        self.deployment._hand(box, ReadRequested(token))
+        self.deployment._deliver(box, ReadRequested(token))
 
     def end_read(self, core, token, is_readable):
         names = self.reads.pop(token, None)
--- a/harness/experiments/costs.py
+++ b/harness/experiments/costs.py
@@ -28,7 +28,7 @@
 
     def __init__(self, deployment):
         self.deployment, self.counts, self.before = deployment, Counter(), Counter()
-        self.tell, self.synced = Fleet._tell, Fleet._synced
+        self.tell, self.synced = Fleet._send_message, Fleet._synced
 
         def tell(fleet, box, address, message, is_cast):
             self.counts[box.role, "messages"] += 1
@@ -41,7 +41,7 @@
                 self.counts[box.role, "syncs"] += 1
             self.synced(fleet, box, incarnation)
 
-        Fleet._tell, Fleet._synced = tell, synced
+        Fleet._send_message, Fleet._synced = tell, synced
 
     def since(self):
         found, self.before = self.counts - self.before, Counter(self.counts)
--- a/harness/experiments/digest.py
+++ b/harness/experiments/digest.py
@@ -101,7 +101,7 @@
 
 def take(seed: int) -> str:
     """The digest of the effects of one storm; raises EmptyDigestError where none was seen."""
-    digest, carry_out, count = sha256(), Fleet._do, 0
+    digest, carry_out, count = sha256(), Fleet._execute, 0
 
     def noted(fleet, box, effect):
         nonlocal count
@@ -109,11 +109,11 @@
         digest.update(repr((fleet.now, box.name, as_plain(effect))).encode())
         carry_out(fleet, box, effect)
 
-    Fleet._do = noted
+    Fleet._execute = noted
     try:
         play(seed, 25.0)
     finally:
-        Fleet._do = carry_out
+        Fleet._execute = carry_out
     if not count:
         raise EmptyDigestError(seed)
     return digest.hexdigest()[:16]
--- a/harness/experiments/scale/failures.py
+++ b/harness/experiments/scale/failures.py
@@ -65,7 +65,7 @@
         for effect in leader.take(
             ProposeChange(("configure", "v1", self.fleet.site.catalogue(1), {}, False, 0)), self.fleet.now
         ):
-            self.fleet._do(box, effect)
+            self.fleet._execute(box, effect)
 
     def _second(self) -> int:
         """On whole seconds, as traffic is counted."""
--- a/harness/experiments/scale/simulated_fleet.py
+++ b/harness/experiments/scale/simulated_fleet.py
@@ -74,7 +74,7 @@
         if box.role not in ("server", "platform"):
             super()._tick(box, incarnation)
 
-    def _tell(self, box, address, message, is_cast):
+    def _send_message(self, box, address, message, is_cast):
         other = self.by_address.get(address)
         if other is None:
             return
@@ -88,7 +88,7 @@
             counts[box.role, mechanism, BETWEEN_ZONES] += len(raw)
         self.longest[kind] = max(self.longest[kind], len(raw))
         if not is_cast or len(raw) <= MOST_DATAGRAM:  # as the node port does
-            self._send(box, other, self._heard, other, raw)
+            self._send(box, other, self._receive_message, other, raw)
 
     # what is asked of it ----------------------------------------------------------
 
@@ -183,4 +183,4 @@
             for effect in leader.take(
                 ProposeChange(("configure", f"v{version}", doc, {}, True, version - 1)), self.now
             ):
-                self._do(box, effect)
+                self._execute(box, effect)
--- a/harness/experiments/scenarios.py
+++ b/harness/experiments/scenarios.py
@@ -69,7 +69,7 @@
     before = len(scene.callers.calls)
     for model in scene.deployment.spec.catalogue["models"]:
         for effect in scene.callers.ask(kind, scene.deployment.now, model=model["name"]):
-            scene.deployment._do(scene.deployment.boxes["callers"], effect)
+            scene.deployment._execute(scene.deployment.boxes["callers"], effect)
     asked = scene.callers.calls[before:]
     scene.end(40)
     scene.figures["rare asked"] = f"{sum(call.outcome == 'ok' for call in asked)} of {len(asked)} answered"
--- a/harness/experiments/size.py
+++ b/harness/experiments/size.py
@@ -88,7 +88,7 @@
         box = next(box for box in fleet.boxes_of("core") if box.machine is leader)
         change = ProposeChange(("configure", "v1", fleet.site.catalogue(1), {}, False, 0))
         for effect in leader.take(change, fleet.now):
-            fleet._do(box, effect)
+            fleet._execute(box, effect)
 
     def is_fresh(self) -> bool:
         """Whether every edge runs and holds its state for fresh."""
--- a/harness/model_checking/control_deployment.py
+++ b/harness/model_checking/control_deployment.py
@@ -154,8 +154,8 @@
     def _core_addresses(self):
         return tuple(self.boxes[name].address for name in self.names)
 
-    def _hand(self, box, message):
-        super()._hand(box, message)
+    def _deliver(self, box, message):
+        super()._deliver(box, message)
         if box.role == "core" and box.machine is not None and not box.is_frozen:
             self.invariants.look(box.machine, self.now)
 
--- a/harness/model_checking/faults.py
+++ b/harness/model_checking/faults.py
@@ -46,7 +46,11 @@
         deployment.slow_links.clear()
         for name in deployment.names:
             box = deployment.boxes[name]
-            box.disk.stalled_until, box.slow, box.disk.delay = deployment.now, _span(0), _span(WHOLE_DISK_DELAY)
+            box.disk.stalled_until, box.extra_tick_delay, box.disk.delay = (
+                deployment.now,
+                _span(0),
+                _span(WHOLE_DISK_DELAY),
+            )
             if box.is_frozen:
                 deployment.wake(name)
         for name in self.losses.trouble_until:
@@ -152,11 +156,11 @@
     def _(self, choice: choices.SlowMachine):
         name = self._begin(choice.machine, choice.seconds)
         if name is not None:
-            self.deployment.boxes[name].slow = _span(choice.delay)
+            self.deployment.boxes[name].extra_tick_delay = _span(choice.delay)
             self._later(choice.seconds, self._unslow, name)
 
     def _unslow(self, name):
-        self.deployment.boxes[name].slow = _span(0)
+        self.deployment.boxes[name].extra_tick_delay = _span(0)
 
     @apply.register
     def _(self, choice: choices.ClockStep):
--- a/sumachook/simulation/deployment.py
+++ b/sumachook/simulation/deployment.py
@@ -192,7 +192,7 @@
         sent_at = self.now
         operator = self.operator()
         number = operator.ask(f"http://{self.boxes[core].http_address}{path}", method, doc, follows)
-        self._hand(self.boxes["operator"], Tick())
+        self._deliver(self.boxes["operator"], Tick())
         if step is None:
             self.run_until(lambda: number in operator.answers, wait)
         while step is not None and number not in operator.answers and self.now - sent_at < timedelta(seconds=wait):
--- a/sumachook/simulation/fault_injection.py
+++ b/sumachook/simulation/fault_injection.py
@@ -480,7 +480,7 @@
         for item in [*catalogue["models"], *catalogue["adapters"]]:
             if item["name"] not in heavy:
                 for effect in self.callers.ask(group, self.deployment.now, model=item["name"]):
-                    self.deployment._do(self.deployment.boxes[self.callers.name], effect)
+                    self.deployment._execute(self.deployment.boxes[self.callers.name], effect)
         return f"{len(self.callers.calls) - before} models and adapters requested at once"
 
     # permanent losses, slow disks and power failures
@@ -585,7 +585,7 @@
     # servers
 
     def _fault_replace(self, lasts: float) -> str | None:
-        """Lists a model server as leaving, kills it 3 to 9 s later in the middle of its streams, and restarts it empty."""
+        """Lists a model server as leaving, kills it 3 to 9 s later, amid its streams, and restarts it empty."""
         platform = self.deployment.boxes["platform"].machine
         box = self._one("model")
         if box is None or platform is None or sum(server["leaving"] for server in platform.servers.values()) > 1:
--- a/sumachook/simulation/fleet.py
+++ b/sumachook/simulation/fleet.py
@@ -19,11 +19,11 @@
 from sumachook.transport.errors import UnreadableFrameError
 
 TICK = timedelta(seconds=0.05)
-START = datetime(2026, 3, 2, 6, 0, tzinfo=UTC)
-MOST_BUFFERED = 2000
+DEFAULT_START_TIME = datetime(2026, 3, 2, 6, 0, tzinfo=UTC)
+MAX_BUFFERED_EVENTS = 2000
 Link = tuple[str, str]  # names of the sending and the receiving box
-HELD_FOR = timedelta(seconds=1.5)  # messages that a cut held for longer are lost: the sender has closed the connection
-START_AGAIN = timedelta(seconds=0.25)  # delay between a process's attempts to read and repair a disk that refuses it
+MAX_HOLD_TIME = timedelta(seconds=1.5)  # then the sender has closed the connection and held messages are lost
+DISK_RETRY_DELAY = timedelta(seconds=0.25)  # between attempts of a process to read and repair a disk that refuses it
 
 
 class BoxClock:
@@ -40,7 +40,7 @@
 
     def wall(self) -> datetime:
         """Returns the wall-clock time of this machine, including its jumps."""
-        return self.fleet.dawn + self.fleet.now + self.jump
+        return self.fleet.start_time + self.fleet.now + self.jump
 
 
 class Box:
@@ -63,7 +63,7 @@
         "is_gone",
         "role",
         "wake",
-        "slow",
+        "extra_tick_delay",
         "records",
     )
 
@@ -99,7 +99,13 @@
             False,
         )
         self.records = {}  # what the process read from the disk at its start
-        self.buffer, self.restart_epochs, self.codec, self.is_gone, self.slow = [], 0, None, False, timedelta(0)
+        self.buffer, self.restart_epochs, self.codec, self.is_gone, self.extra_tick_delay = (
+            [],
+            0,
+            None,
+            False,
+            timedelta(0),
+        )
 
 
 class HeldMessage(msgspec.Struct, frozen=True):
@@ -113,17 +119,17 @@
 
     def is_deliverable(self, now: timedelta) -> bool:
         """Returns whether the connection is still open: the receiver has not restarted, the sender has not given up."""
-        return self.receiver.incarnation == self.receiver_incarnation and now - self.sent_at <= HELD_FOR
+        return self.receiver.incarnation == self.receiver_incarnation and now - self.sent_at <= MAX_HOLD_TIME
 
 
 class Exchange:
     """One HTTP request between two boxes, with the incarnations of client and server at its start."""
 
     __slots__ = (
-        "cid",
+        "server_call_id",
         "client",
         "client_incarnation",
-        "tid",
+        "client_call_id",
         "server",
         "server_incarnation",
         "mode",
@@ -132,12 +138,12 @@
         "is_broken",
     )
 
-    def __init__(self, cid: Any, client: Box, tid: Any, server: Any, mode: str) -> None:
-        self.cid, self.client, self.client_incarnation, self.tid, self.server = (
-            cid,
+    def __init__(self, server_call_id: Any, client: Box, client_call_id: Any, server: Any, mode: str) -> None:
+        self.server_call_id, self.client, self.client_incarnation, self.client_call_id, self.server = (
+            server_call_id,
             client,
             client.incarnation,
-            tid,
+            client_call_id,
             server,
         )
         self.server_incarnation, self.mode, self.parser, self.is_open, self.is_broken = (
@@ -168,16 +174,16 @@
         "loss",
         "latest",
         "exchanges",
-        "by_tid",
+        "exchange_ids",
         "logs",
         "cluster",
         "latency",
         "seed",
-        "tries",
+        "attempts",
         "arrivals",
         "deaths",
         "reachability",
-        "dawn",
+        "start_time",
         "holding",
         "held",
         "slow_links",
@@ -190,9 +196,9 @@
     cuts: set[Link]
     latest: dict[Link, timedelta]
     exchanges: dict[Any, Exchange]
-    by_tid: dict[Any, int]
+    exchange_ids: dict[Any, int]
     logs: list[tuple[Any, ...]]
-    tries: list[tuple[timedelta, bool, str]]
+    attempts: list[tuple[timedelta, bool, str]]
     arrivals: dict[str, list[tuple[timedelta, str]]]
     deaths: list[tuple[str, timedelta]]
     holding: set[Link]
@@ -203,9 +209,9 @@
         self.seed = seed
         self.now, self.random, self.heap, self.count, self.cluster = timedelta(0), Random(seed), [], 0, cluster
         self.boxes, self.by_address, self.by_http_address, self.cuts, self.loss = {}, {}, {}, set(), 0.0
-        self.latest, self.exchanges, self.by_tid, self.logs = {}, {}, {}, []
-        self.latency, self.tries, self.arrivals, self.deaths = (0.0005, 0.003), [], {}, []
-        self.reachability, self.dawn = Reachability(self.now), START
+        self.latest, self.exchanges, self.exchange_ids, self.logs = {}, {}, {}, []
+        self.latency, self.attempts, self.arrivals, self.deaths = (0.0005, 0.003), [], {}, []
+        self.reachability, self.start_time = Reachability(self.now), DEFAULT_START_TIME
         self.holding, self.held = set(), {}  # cut links that hold what is sent, and the messages held
         self.slow_links = {}  # added latency of each slow link
         self._later(OBSERVE_EVERY, self._observe)
@@ -247,7 +253,7 @@
         try:
             opened = box.disk.open(self.now)
         except OSError:
-            self._later(START_AGAIN, self._load, box, incarnation)
+            self._later(DISK_RETRY_DELAY, self._load, box, incarnation)
             return
         for damage in opened.damages:
             self.logs.append(
@@ -302,7 +308,7 @@
 
     def stop(self, name: str) -> None:
         """Sends the process a stop request, as the platform does shortly before it ends a machine."""
-        self._hand(self.boxes[name], events.StopRequested())
+        self._deliver(self.boxes[name], events.StopRequested())
 
     def freeze(self, name: str) -> None:
         """Suspends the process; events for it are buffered, at most 2000."""
@@ -313,13 +319,13 @@
         box = self.boxes[name]
         box.is_frozen, buffer, box.buffer = False, box.buffer, []
         for message in buffer:
-            self._hand(box, message)
+            self._deliver(box, message)
 
     def cut(self, first: Any, second: Any, one_way: bool = False, holds: bool = False) -> Any:
         """Cuts the links from the boxes of `first` to those of `second`, and returns the cut links.
 
         Unless `one_way`, the reverse links are cut too. With `holds`, messages sent on open connections arrive late
-        and in order when the link heals, if they are not older than HELD_FOR by then and the receiver still runs;
+        and in order when the link heals, if they are not older than MAX_HOLD_TIME by then and the receiver still runs;
         datagrams are lost. Without `holds`, everything sent is lost.
         """
         links = {(one, other) for one in first for other in second if one != other}
@@ -342,9 +348,9 @@
 
     # time -----------------------------------------------------------------------------
 
-    def _later(self, delay: timedelta, call: Any, *words: Any) -> None:
+    def _later(self, delay: timedelta, call: Any, *arguments: Any) -> None:
         self.count += 1
-        heappush(self.heap, (self.now + delay, self.count, call, words))
+        heappush(self.heap, (self.now + delay, self.count, call, arguments))
 
     def run(self, seconds: float) -> None:
         """Advances virtual time by `seconds`."""
@@ -359,8 +365,8 @@
                 if is_reached():
                     return True
                 check_at = self.heap[0][0] + TICK
-            self.now, _, call, words = heappop(self.heap)
-            call(*words)
+            self.now, _, call, arguments = heappop(self.heap)
+            call(*arguments)
         self.now = end
         return is_reached()
 
@@ -373,50 +379,50 @@
             return
         if not box.is_frozen:
             if (change := box.disk.queue.state_change(self.now)) is not None:
-                self._hand(box, change)
-            self._hand(box, events.Tick())
-        self._later(TICK + box.slow, self._tick, box, incarnation)
+                self._deliver(box, change)
+            self._deliver(box, events.Tick())
+        self._later(TICK + box.extra_tick_delay, self._tick, box, incarnation)
 
-    def _hand(self, box: Box, message: Any) -> None:
+    def _deliver(self, box: Box, message: Any) -> None:
         if box.machine is None:
             return
         if box.is_frozen:
-            if len(box.buffer) < MOST_BUFFERED:
+            if len(box.buffer) < MAX_BUFFERED_EVENTS:
                 box.buffer.append(message)
             return
         incarnation = box.incarnation
         for effect in box.machine.take(message, self.now):
             if box.incarnation == incarnation:
-                self._do(box, effect)
+                self._execute(box, effect)
 
-    def _reach(self, box: Box, other: Box) -> bool:
+    def _can_reach(self, box: Box, other: Box) -> bool:
         return (box.name, other.name) not in self.cuts and not other.is_gone
 
-    def _send(self, box: Box, other: Box, call: Any, *words: Any) -> None:
+    def _send(self, box: Box, other: Box, call: Any, *arguments: Any) -> None:
         """Delivers a message after the link's latency, in order between two boxes; a cut link loses or holds it."""
-        self._pass_on(box, other, True, call, words)
+        self._pass_on(box, other, True, call, arguments)
 
-    def _send_datagram(self, box: Box, other: Box, call: Any, *words: Any) -> None:
+    def _send_datagram(self, box: Box, other: Box, call: Any, *arguments: Any) -> None:
         """Delivers a datagram as `_send` does a message, except that a cut link never holds it."""
-        self._pass_on(box, other, False, call, words)
+        self._pass_on(box, other, False, call, arguments)
 
-    def _pass_on(self, box: Box, other: Box, is_connected: bool, call: Any, words: Any) -> None:
+    def _pass_on(self, box: Box, other: Box, is_connected: bool, call: Any, arguments: Any) -> None:
         at = self.now + timedelta(seconds=self.random.uniform(*self.latency))
         key = (box.name, other.name)
         at += self.slow_links.get(key, timedelta(0))
         at = self.latest[key] = max(at, self.latest.get(key, at))
-        self._later(at - self.now, self._arrive, key, other, is_connected, call, words)
+        self._later(at - self.now, self._arrive, key, other, is_connected, call, arguments)
 
-    def _arrive(self, key: Link, other: Box, is_connected: bool, call: Any, words: Any) -> None:
-        exchange = words[0] if isinstance(words[0], Exchange) else None
+    def _arrive(self, key: Link, other: Box, is_connected: bool, call: Any, arguments: Any) -> None:
+        exchange = arguments[0] if isinstance(arguments[0], Exchange) else None
         is_held = is_connected and not other.is_gone and (key in self.holding if key in self.cuts else key in self.held)
         if is_held:
-            self.held.setdefault(key, []).append(HeldMessage(self.now, other, other.incarnation, call, words))
+            self.held.setdefault(key, []).append(HeldMessage(self.now, other, other.incarnation, call, arguments))
         elif key in self.cuts or other.is_gone:
             if exchange is not None:
                 exchange.is_broken = True  # a connection that lost data delivers nothing more
         elif exchange is None or not exchange.is_broken:
-            call(*words)
+            call(*arguments)
 
     def _release(self, link: Any) -> None:
         """Delivers the messages that a healed link held, except those whose connection has been closed."""
@@ -432,14 +438,14 @@
 
     # effects --------------------------------------------------------------------------
 
-    def _do(self, box: Box, effect: Any) -> None:
+    def _execute(self, box: Box, effect: Any) -> None:
         match effect:
             case effects.Send(address, message):
-                self._tell(box, address, message, False)
+                self._send_message(box, address, message, False)
             case effects.SendDatagram(address, message):
-                self._tell(box, address, message, True)
+                self._send_message(box, address, message, True)
             case effects.AppendRecords() | effects.RewriteRecords() | effects.AppendDayLog():
-                self._disk(box, effect)
+                self._queue_write(box, effect)
             case effects.Fetch():
                 self._fetch(box, effect)
             case effects.CancelCall(call_id):
@@ -451,30 +457,30 @@
                 | effects.EndResponse()
                 | effects.AbortResponse()
             ):
-                self._answer(box, effect)
+                self._send_response(box, effect)
             case effects.Log(level, component, text, fields):
                 self.logs.append((self.now, box.name, level, component, text, fields))
             case effects.Exit():
                 self.kill(box.name)
 
-    def _tell(self, box: Box, address: str, message: Any, is_cast: bool) -> None:
+    def _send_message(self, box: Box, address: str, message: Any, is_datagram: bool) -> None:
         other = self.by_address.get(address)
-        if other is None or (is_cast and self.random.random() < self.loss):
+        if other is None or (is_datagram and self.random.random() < self.loss):
             return
         assert box.codec is not None, "a running process has a codec"
         raw = box.codec.pack(message)
-        send = self._send_datagram if is_cast else self._send
-        send(box, other, self._heard, other, raw)
+        send = self._send_datagram if is_datagram else self._send
+        send(box, other, self._receive_message, other, raw)
 
-    def _heard(self, other: Box, raw: bytes) -> None:
+    def _receive_message(self, other: Box, raw: bytes) -> None:
         try:
             frame = read_frame(self.cluster, raw)
         except UnreadableFrameError:
-            self._hand(other, events.UnreadableMessageReceived())
+            self._deliver(other, events.UnreadableMessageReceived())
             return
-        self._hand(other, events.MessageReceived(frame.sender, frame.address, frame.message))
+        self._deliver(other, events.MessageReceived(frame.sender, frame.address, frame.message))
 
-    def _disk(self, box: Box, effect: Any) -> None:
+    def _queue_write(self, box: Box, effect: Any) -> None:
         is_idle = box.disk.queue.is_empty
         box.disk.begin(effect, self.now)
         if is_idle:
@@ -485,7 +491,9 @@
         if box.incarnation != incarnation or box.disk.queue.begin_step(self.now) is None:
             return
         delay = max(
-            box.disk.delay, box.disk.stalled_until - self.now, START_AGAIN if box.disk.queue.error else box.disk.delay
+            box.disk.delay,
+            box.disk.stalled_until - self.now,
+            DISK_RETRY_DELAY if box.disk.queue.error else box.disk.delay,
         )
         self._later(delay, self._synced, box, box.incarnation)
 
@@ -495,33 +503,33 @@
         followups = box.disk.finish(self.now) if self.now >= box.disk.stalled_until else None
         self._begin_sync(box, incarnation)
         if followups is None and (change := box.disk.queue.state_change(self.now)) is not None:
-            self._hand(box, change)
+            self._deliver(box, change)
         for followup in followups or ():
             if box.incarnation == incarnation:
-                self._hand(box, followup)
+                self._deliver(box, followup)
 
     # HTTP ---------------------------------------------------------------------------------
 
     def _fetch(self, box: Box, effect: Any) -> None:
-        tid, method = effect.call_id, effect.method
+        client_call_id, method = effect.call_id, effect.method
         address, _, path = effect.url.removeprefix("http://").partition("/")
         server = self.by_http_address.get(address)
         self.count += 1
-        cid = self.count
-        if box.role == "edge" and (tid[0] == "lookup" or method == "POST"):  # a resumed stream is no retry
-            self.tries.append((self.now, tid[2] > 1, tid[0]))
-        if server is None or not self._reach(box, server) or not self._reach(server, box):
-            failed = events.CallFailed(tid, CallFailure.CONNECT_TIMEOUT)
-            self._later(effect.connect_timeout, self._tell_client, box, box.incarnation, failed)
+        server_call_id = self.count
+        if box.role == "edge" and (client_call_id[0] == "lookup" or method == "POST"):  # a resumed stream is no retry
+            self.attempts.append((self.now, client_call_id[2] > 1, client_call_id[0]))
+        if server is None or not self._can_reach(box, server) or not self._can_reach(server, box):
+            failed = events.CallFailed(client_call_id, CallFailure.CONNECT_TIMEOUT)
+            self._later(effect.connect_timeout, self._notify_client, box, box.incarnation, failed)
             return
         if server.machine is None:
-            failed = events.CallFailed(tid, CallFailure.REFUSED)
-            self._later(timedelta(seconds=0.002), self._tell_client, box, box.incarnation, failed)
+            failed = events.CallFailed(client_call_id, CallFailure.REFUSED)
+            self._later(timedelta(seconds=0.002), self._notify_client, box, box.incarnation, failed)
             return
-        exchange = self.exchanges[cid] = Exchange(cid, box, tid, server, effect.mode)
-        self.by_tid[(box.name, box.incarnation, tid)] = cid
+        exchange = self.exchanges[server_call_id] = Exchange(server_call_id, box, client_call_id, server, effect.mode)
+        self.exchange_ids[(box.name, box.incarnation, client_call_id)] = server_call_id
         headers = {name.lower(): value for name, value in effect.headers.items()}
-        request = events.HttpRequestReceived(cid, method, "/" + path, headers, effect.body)
+        request = events.HttpRequestReceived(server_call_id, method, "/" + path, headers, effect.body)
         self._later(timedelta(seconds=0.001), self._connected, exchange, request)
         self._later(effect.total_timeout, self._expire, exchange)
 
@@ -529,9 +537,9 @@
         if not exchange.is_open:
             return
         if exchange.server.incarnation != exchange.server_incarnation:
-            self._end_exchange(exchange, events.CallFailed(exchange.tid, CallFailure.REFUSED))
+            self._end_exchange(exchange, events.CallFailed(exchange.client_call_id, CallFailure.REFUSED))
             return
-        self._tell_client(exchange.client, exchange.client_incarnation, events.RequestSent(exchange.tid))
+        self._notify_client(exchange.client, exchange.client_incarnation, events.RequestSent(exchange.client_call_id))
         self._send(exchange.client, exchange.server, self._hand_alive, exchange, request)
 
     def _hand_alive(self, exchange: Exchange, event: Event) -> None:
@@ -539,71 +547,77 @@
             is_request = isinstance(event, events.HttpRequestReceived)
             if is_request and exchange.client.role == "edge":  # on arrival, also if frozen
                 self.arrivals.setdefault(exchange.server.name, []).append((self.now, exchange.client.name))
-            self._hand(exchange.server, event)
+            self._deliver(exchange.server, event)
 
     def _expire(self, exchange: Exchange) -> None:
         if exchange.is_open:
             self._finish(exchange)
-            self._hand_alive(exchange, events.ClientDisconnected(exchange.cid))
-            failed = events.CallFailed(exchange.tid, CallFailure.TIMEOUT)
-            self._tell_client(exchange.client, exchange.client_incarnation, failed)
+            self._hand_alive(exchange, events.ClientDisconnected(exchange.server_call_id))
+            failed = events.CallFailed(exchange.client_call_id, CallFailure.TIMEOUT)
+            self._notify_client(exchange.client, exchange.client_incarnation, failed)
 
     def _finish(self, exchange: Exchange) -> None:
         exchange.is_open = False
-        self.exchanges.pop(exchange.cid, None)
-        self.by_tid.pop((exchange.client.name, exchange.client_incarnation, exchange.tid), None)
+        self.exchanges.pop(exchange.server_call_id, None)
+        self.exchange_ids.pop((exchange.client.name, exchange.client_incarnation, exchange.client_call_id), None)
 
-    def _cancel_call(self, box: Box, tid: Any) -> None:
-        exchange = self.exchanges.get(self.by_tid.get((box.name, box.incarnation, tid)))
+    def _cancel_call(self, box: Box, client_call_id: Any) -> None:
+        exchange = self.exchanges.get(self.exchange_ids.get((box.name, box.incarnation, client_call_id)))
         if exchange is not None:
             self._finish(exchange)
-            self._send(box, exchange.server, self._hand_alive, exchange, events.ClientDisconnected(exchange.cid))
+            self._send(
+                box, exchange.server, self._hand_alive, exchange, events.ClientDisconnected(exchange.server_call_id)
+            )
 
-    def _answer(self, box: Box, effect: Any) -> None:
+    def _send_response(self, box: Box, effect: Any) -> None:
         exchange = self.exchanges.get(effect.call_id)
         if exchange is not None:
-            self._send(box, exchange.client, self._answered, exchange, effect)
+            self._send(box, exchange.client, self._receive_response, exchange, effect)
 
-    def _answered(self, exchange: Exchange, effect: Any) -> None:
+    def _receive_response(self, exchange: Exchange, effect: Any) -> None:
         if not exchange.is_open:
             return
-        tid = exchange.tid
+        client_call_id = exchange.client_call_id
         match effect:
             case effects.Reply(_, status, headers, body):
-                self._end_exchange(exchange, events.ResponseReceived(tid, status, _lower(headers), body))
+                self._end_exchange(
+                    exchange, events.ResponseReceived(client_call_id, status, _lowercase_names(headers), body)
+                )
             case effects.BeginResponse(_, status, headers):
-                head = events.ResponseHeadReceived(tid, status, _lower(headers))
-                self._tell_client(exchange.client, exchange.client_incarnation, head)
+                head = events.ResponseHeadReceived(client_call_id, status, _lowercase_names(headers))
+                self._notify_client(exchange.client, exchange.client_incarnation, head)
             case effects.SendChunk(_, data):
                 for event in exchange.parser.receive_bytes(data):
-                    received = events.ServerEventReceived(tid, event.id, event.data)
-                    self._tell_client(exchange.client, exchange.client_incarnation, received)
+                    received = events.ServerEventReceived(client_call_id, event.id, event.data)
+                    self._notify_client(exchange.client, exchange.client_incarnation, received)
             case effects.EndResponse():
-                self._end_exchange(exchange, events.ResponseEnded(tid))
+                self._end_exchange(exchange, events.ResponseEnded(client_call_id))
             case _:
-                self._end_exchange(exchange, events.CallFailed(tid, CallFailure.RESET))
+                self._end_exchange(exchange, events.CallFailed(client_call_id, CallFailure.RESET))
 
     def _end_exchange(self, exchange: Exchange, event: Event) -> None:
         """Closes the exchange and delivers its final event to the client."""
         self._finish(exchange)
-        self._tell_client(exchange.client, exchange.client_incarnation, event)
+        self._notify_client(exchange.client, exchange.client_incarnation, event)
 
-    def _tell_client(self, box: Box, incarnation: int, event: Event) -> None:
+    def _notify_client(self, box: Box, incarnation: int, event: Event) -> None:
         if box.incarnation == incarnation:
-            self._hand(box, event)
+            self._deliver(box, event)
 
     def _break_exchanges(self, box: Box) -> None:
         for exchange in list(self.exchanges.values()):
             if exchange.server is box:
                 self._finish(exchange)
-                failed = events.CallFailed(exchange.tid, CallFailure.RESET)
+                failed = events.CallFailed(exchange.client_call_id, CallFailure.RESET)
                 self._send(
-                    box, exchange.client, self._tell_client, exchange.client, exchange.client_incarnation, failed
+                    box, exchange.client, self._notify_client, exchange.client, exchange.client_incarnation, failed
                 )
             elif exchange.client is box:
                 self._finish(exchange)
-                self._send(box, exchange.server, self._hand_alive, exchange, events.ClientDisconnected(exchange.cid))
+                self._send(
+                    box, exchange.server, self._hand_alive, exchange, events.ClientDisconnected(exchange.server_call_id)
+                )
 
 
-def _lower(headers: Any) -> dict[str, Any]:
+def _lowercase_names(headers: Any) -> dict[str, Any]:
     return {name.lower(): value for name, value in headers.items()}
--- a/sumachook/simulation/invariant_checker.py
+++ b/sumachook/simulation/invariant_checker.py
@@ -188,8 +188,8 @@
 
     def resends(self) -> Any:
         """Returns (first attempts, retries) of all edges together, counted on the network."""
-        again = sum(is_again for _, is_again, _ in self.deployment.tries)
-        return len(self.deployment.tries) - again, again
+        again = sum(is_again for _, is_again, _ in self.deployment.attempts)
+        return len(self.deployment.attempts) - again, again
 
     def _resends(self) -> Iterator[str]:
         """Rule 7: in every window, retries are at most a fifth of the calls plus the credit saved up by all edges.
@@ -205,7 +205,7 @@
 
     def _resends_of(self, kinds: set[str], stock: float) -> Iterator[str]:
         edges = sum(box.role == "edge" for box in self.deployment.boxes.values())
-        again = [at for at, is_again, kind in self.deployment.tries if is_again and kind in kinds]
+        again = [at for at, is_again, kind in self.deployment.attempts if is_again and kind in kinds]
         made = sorted(call.sent_at for call in self.calls if call.kind in kinds)
         for window in WINDOWS:
             for place, start in enumerate(again):
@@ -240,7 +240,8 @@
     def _days(self, call: Any) -> set[Any]:
         """Returns the day logs that may have the call: by the true time, two if it came within 1 s before midnight."""
         return {
-            f"day-{(self.deployment.dawn + call.sent_at + SECOND * slack).date().isoformat()}.jsonl" for slack in (0, 1)
+            f"day-{(self.deployment.start_time + call.sent_at + SECOND * slack).date().isoformat()}.jsonl"
+            for slack in (0, 1)
         }
 
     def _should_be_logged(self, call: Any) -> bool:
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -150,7 +150,7 @@
 
     def __init__(self, deployment, transcript: Transcript):
         self.deployment, self.transcript, self.replies = deployment, transcript, []
-        hand_over = deployment._answer
+        hand_over = deployment._send_response
 
         def keep(box, effect):
             exchange = deployment.exchanges.get(effect.call_id)
@@ -158,7 +158,7 @@
                 self.replies.append(effect)
             hand_over(box, effect)
 
-        deployment._answer = keep
+        deployment._send_response = keep
         deployment.add("caller", "operator", lambda box: test_platform_operator.Operator(), "", "", "operator")
 
     def call(self, title, method, path, doc=b"", core="core-1", base=None):
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -279,7 +279,7 @@
     for step in range(20):
         deployment.run(0.1 + 0.0137 * (step % 7))
         before = leader(deployment).state.number
-        deployment._hand(box_of(deployment, other), ProposeChange(("evacuate", f"step-{step}", "hall-a")))
+        deployment._deliver(box_of(deployment, other), ProposeChange(("evacuate", f"step-{step}", "hall-a")))
         deployment.run(0.018)
         assert all(core.state.number > before for core in deployment.machines("core")), step
 
@@ -459,7 +459,7 @@
         deployment.run(1)
         assert _apply(deployment, f"without-{step}", at=next(name for name in CORES if name != lone))
         for name in CORES:
-            deployment._hand(deployment.boxes[name], ReadRequested(f"{name}/{step}"))
+            deployment._deliver(deployment.boxes[name], ReadRequested(f"{name}/{step}"))
     deployment.heal(links)
     deployment.run(0.6)
     readable = {token for token, is_readable in answers.items() if is_readable}
@@ -598,13 +598,13 @@
 
 def _longest_message(deployment):
     """Notes the longest message between nodes from now on, in a list of one."""
-    longest, hear = [0], deployment._heard
+    longest, hear = [0], deployment._receive_message
 
     def heard(other, raw):
         longest[0] = max(longest[0], len(raw))
         hear(other, raw)
 
-    deployment._heard = heard
+    deployment._receive_message = heard
     return longest
 
 
--- a/tests/deployment_fixtures.py
+++ b/tests/deployment_fixtures.py
@@ -104,7 +104,7 @@
 def ask(deployment, callers, name, max_tokens=64, **more):
     """One call of a group, made now; gives it."""
     for effect in callers.ask(group(deployment, name, max_tokens=max_tokens), deployment.now, **more):
-        deployment._do(deployment.boxes["callers"], effect)
+        deployment._execute(deployment.boxes["callers"], effect)
     return callers.calls[-1]
 
 
--- a/tests/inference/test_requests.py
+++ b/tests/inference/test_requests.py
@@ -126,9 +126,11 @@
     call = ask(deployment, callers, "refunds", model="refund-04")
     assert deployment.run_until(lambda: call.first_at is not None, 3)
     edge = deployment.boxes[call.edge]
-    exchange = next(item for item in deployment.exchanges.values() if item.client is edge and item.tid[0] == "prompt")
-    deployment._end_exchange(exchange, CallFailed(exchange.tid, CallFailure.RESET))
-    deployment._hand_alive(exchange, ClientDisconnected(exchange.cid))
+    exchange = next(
+        item for item in deployment.exchanges.values() if item.client is edge and item.client_call_id[0] == "prompt"
+    )
+    deployment._end_exchange(exchange, CallFailed(exchange.client_call_id, CallFailure.RESET))
+    deployment._hand_alive(exchange, ClientDisconnected(exchange.server_call_id))
     deployment.run(6)
     assert call.outcome == "ok" and call.is_done
     assert (
@@ -148,9 +150,11 @@
     for server in deployment.machines("model"):
         server.skips = 1
     edge = deployment.boxes[call.edge]
-    exchange = next(item for item in deployment.exchanges.values() if item.client is edge and item.tid[0] == "prompt")
-    deployment._end_exchange(exchange, CallFailed(exchange.tid, CallFailure.RESET))
-    deployment._hand_alive(exchange, ClientDisconnected(exchange.cid))
+    exchange = next(
+        item for item in deployment.exchanges.values() if item.client is edge and item.client_call_id[0] == "prompt"
+    )
+    deployment._end_exchange(exchange, CallFailed(exchange.client_call_id, CallFailure.RESET))
+    deployment._hand_alive(exchange, ClientDisconnected(exchange.server_call_id))
     deployment.run(6)
     assert call.outcome == "cut" and call.fault_class == "cut"
     assert invariant_checker(deployment, callers).faults() == []
@@ -160,11 +164,11 @@
     """Given a model that nobody configured, the caller is told at once, one alert is logged, no server is tried."""
     deployment = settled(37)
     callers = quiet(deployment)
-    before = len(deployment.tries)
+    before = len(deployment.attempts)
     calls = [ask(deployment, callers, "refunds", model="nobody-knows", edge="edge-1") for _ in range(5)]
     deployment.run(1)
     assert {(call.status, call.fault_class, call.run) for call in calls} == {(404, "no-model", "no")}
-    assert len(deployment.tries) == before
+    assert len(deployment.attempts) == before
     assert len([line for line in deployment.logs if "not configured" in line[4]]) == 1
 
 
@@ -197,7 +201,7 @@
         ("GET", "/elsewhere", key, b"", 404),
         ("GET", "/records/1", {"Authorization": "Bearer wrong-key"}, b"", 401),
     ]
-    before, edge = len(deployment.tries), deployment.boxes["edge-1"].machine
+    before, edge = len(deployment.attempts), deployment.boxes["edge-1"].machine
     for method, path, headers, body, status in cases:
         headers = {name.lower(): value for name, value in headers.items()}
         (answer,) = [
@@ -206,7 +210,7 @@
             if isinstance(effect, Reply)
         ]
         assert answer.status == status and json.loads(answer.body)["fault"]["reason"], (method, path, answer)
-    assert http_address and len(deployment.tries) == before
+    assert http_address and len(deployment.attempts) == before
 
 
 def test_same_key_at_two_edges_runs_once():
--- a/tests/ledger/test_day_logs.py
+++ b/tests/ledger/test_day_logs.py
@@ -20,7 +20,7 @@
     """Rule 12. Given traffic over midnight and an edge that is killed just before it, each call that was dropped is in the log of
     the day on which it came in, though it was found lost on the next."""
     deployment = settled(91, edges=4)
-    deployment.dawn = datetime(2026, 3, 3, tzinfo=UTC) - deployment.now - timedelta(seconds=6)
+    deployment.start_time = datetime(2026, 3, 3, tzinfo=UTC) - deployment.now - timedelta(seconds=6)
     deployment.run(1)
     callers = deployment.call_in(3.0)
     deployment.run(4.6)
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -287,7 +287,7 @@
             "doc": {"routes": [{"name": f"under-way-{step}", "target": "refund-01"}]},
         }
         operator.ask(f"http://{http_address}/operator/apply", "POST", doc)
-        deployment._hand(deployment.boxes["operator"], HostTick())
+        deployment._deliver(deployment.boxes["operator"], HostTick())
         deployment.run(0.0007 * step)
         for name in CORES:
             deployment.kill(name)
--- a/tests/nodes/test_disks_and_power.py
+++ b/tests/nodes/test_disks_and_power.py
@@ -46,7 +46,7 @@
     operator = deployment.operator()
     number = operator.ask(f"http://{deployment.boxes[core].http_address}/operator/{kind}", "POST", document, False)
     for effect in operator.take(None, deployment.now):
-        deployment._do(deployment.boxes["operator"], effect)
+        deployment._execute(deployment.boxes["operator"], effect)
     return number
 
 
--- a/tests/nodes/test_operator_changes.py
+++ b/tests/nodes/test_operator_changes.py
@@ -269,7 +269,7 @@
     number = deployment.operator().ask(
         f"http://{deployment.boxes[core].http_address}/operator/{kind}", "POST", json_fields(document), False
     )
-    deployment._hand(deployment.boxes["operator"], Tick())
+    deployment._deliver(deployment.boxes["operator"], Tick())
     return number
 
 
@@ -464,7 +464,7 @@
     assert _call(deployment, first, "evacuate", request="two", area="hall-b")[0] == 200
     assert _call(deployment, first, "restore", request="three", area="hall-b")[0] == 200
     for effect in held:
-        deployment._do(late, effect)
+        deployment._execute(late, effect)
     deployment.run(2)
     assert {machine.state.is_open("hall-b") for role in ("core", "edge") for machine in deployment.machines(role)} == {
         True
--- a/tests/simulation/test_fleet_links.py
+++ b/tests/simulation/test_fleet_links.py
@@ -32,7 +32,7 @@
 
 
 def _send(fleet, number, sender="a", receiver="b", effect_type=Send):
-    fleet._do(fleet.boxes[sender], effect_type(f"{receiver}:1", Follow(number, 0)))
+    fleet._execute(fleet.boxes[sender], effect_type(f"{receiver}:1", Follow(number, 0)))
 
 
 def _numbers(fleet, name="b"):
@@ -159,7 +159,7 @@
     fleet = _pair()
     fleet.boxes["a"].disk.stalled_until = fleet.now + timedelta(seconds=5)
     for number in (1, 2, 3):
-        fleet._do(fleet.boxes["a"], AppendRecords("log", ((number,),)))
+        fleet._execute(fleet.boxes["a"], AppendRecords("log", ((number,),)))
     fleet.lose_power("a", writes_kept=2)
     assert fleet.boxes["a"].disk.files == {"log": [(1,), (2,)]}
 
