--- a/harness/experiments/allowances.py
+++ b/harness/experiments/allowances.py
@@ -15,7 +15,7 @@
 from harness.experiments.twins import LOOKUP_SLACK, PROMPT_SLACK
 from harness.run_checks import find_unchecked, seed_range
 from sumachook.configuration.tenant import Tenant
-from sumachook.simulation.deployment_quotas import DeploymentShares
+from sumachook.simulation.deployment_quotas import DeploymentQuotas
 from sumachook.simulation.fault_injection import FaultInjection
 from sumachook.simulation.quota_invariant_checker import WINDOWS
 from tests.deployment_fixtures import group, leader, settled
@@ -189,7 +189,9 @@
             invariant_checker = offices.invariant_checker(each.name)
             found += [
                 f"{each.name}: {line}"
-                for line in invariant_checker.over(offices.runs(each.name), changes=changes, is_disturbed=True)
+                for line in invariant_checker.ceiling_violations(
+                    offices.runs(each.name), changes=changes, is_disturbed=True
+                )
             ]
         asks = [
             ask
@@ -197,8 +199,10 @@
             if not self._is_excused(call)
         ]
         routers = sum(name.startswith("edge") for name in offices.nodes)
-        self.judged = offices.invariant_checker(calm.name).inside(asks, routers)
-        found += [f"{calm.name}: {line}" for line in offices.invariant_checker(calm.name).short(asks, routers)][:3]
+        self.judged = offices.invariant_checker(calm.name).count_within_floor(asks, routers)
+        found += [
+            f"{calm.name}: {line}" for line in offices.invariant_checker(calm.name).floor_violations(asks, routers)
+        ][:3]
         waits = sorted(
             (call.answered_at - call.at) / SECOND * 1000
             for call in offices.calls
@@ -249,7 +253,7 @@
         fault_injection.judged,
         fault_injection.wait,
         found,
-        fault_injection.told,
+        fault_injection.injected_faults,
     )
 
 
@@ -294,15 +298,19 @@
         **deployment.spec.catalogue,
         "tenants": tenants,
     }  # the storm applies it whole now and then
-    shares = DeploymentShares(deployment, tenants)
-    callers = deployment.call_in(0.6, [each for each in deployment.spec.traffic if each["name"] not in floods])
-    flood = deployment.call_in(1.0, [group(deployment, name, rate=rate) for name, rate in floods.items()], "flood")
+    shares = DeploymentQuotas(deployment, tenants)
+    callers = deployment.start_callers(0.6, [each for each in deployment.spec.traffic if each["name"] not in floods])
+    flood = deployment.start_callers(
+        1.0, [group(deployment, name, rate=rate) for name, rate in floods.items()], "flood"
+    )
     fault_injection = FaultInjection(deployment, callers, seed)
     deployment.run(2)
     found = fault_injection.run(seconds, 15.0, seed % 3 == 2)
     flood.is_on = False
     for name in shares.tenants:
-        lines = shares.invariant_checker(name).over(shares.runs(name), changes=MOST_CHANGES, is_disturbed=True)
+        lines = shares.invariant_checker(name).ceiling_violations(
+            shares.runs(name), changes=MOST_CHANGES, is_disturbed=True
+        )
         found = [*found, *(f"{name}: {line}" for line in lines)]
     outcomes = Counter(
         (name, "refused" if call.fault_class == "allowance" else "let in" if shares.has_run(call) else "lost")
@@ -310,7 +318,7 @@
         for call in shares.calls(name)
     )
     found = [*found, *find_unchecked({"calls let in": _let_in(outcomes)})]
-    return seed, spec, outcomes, 0, 0.0, found, fault_injection.told
+    return seed, spec, outcomes, 0, 0.0, found, fault_injection.injected_faults
 
 
 TWINS = {  # (the tenant's group, its allowance a second)
@@ -332,15 +340,15 @@
         "/operator/apply",
         {"request": "tenants", "doc": {"tenants": tenants}, "part": True},
     )
-    callers = deployment.call_in(1.0, [each for each in deployment.spec.traffic if each["name"] != name])
-    flood = deployment.call_in(1.0, [group(deployment, name, rate=rate * 10)], "flood") if is_flooded else None
+    callers = deployment.start_callers(1.0, [each for each in deployment.spec.traffic if each["name"] != name])
+    flood = deployment.start_callers(1.0, [group(deployment, name, rate=rate * 10)], "flood") if is_flooded else None
     deployment.run(seconds)
     calls = [call for call in callers.calls if call.outcome != "pending"]
     found = {}
     for each in {call.group for call in calls}:
         mine = [call for call in calls if call.group == each]
         found[each] = (
-            [((call.first_at or call.ended_at) - call.sent_at) / SECOND for call in mine if call.outcome == "ok"],
+            [((call.first_token_at or call.ended_at) - call.sent_at) / SECOND for call in mine if call.outcome == "ok"],
             sum(call.outcome != "ok" for call in mine),
         )
     sent = flood.calls if flood else ()
--- a/harness/experiments/costs.py
+++ b/harness/experiments/costs.py
@@ -89,7 +89,7 @@
             == 200
         )
     change = meter.since()
-    callers = deployment.call_in(1.0, name="traffic")
+    callers = deployment.start_callers(1.0, name="traffic")
     deployment.run(20)
     callers.is_on = False
     busy = meter.since()
@@ -162,7 +162,7 @@
             lambda: _ask(edge, "POST", chat, "kosice-counter-key", doc),
         )
         for pace in (1, 2, 4, 8, 12, 16, 24):
-            callers = fleet.call_in(8, pace, fleet.work / "one.jsonl", pace, 1, edges=1)
+            callers = fleet.start_callers(8, pace, fleet.work / "one.jsonl", pace, 1, edges=1)
             callers.communicate(timeout=200)
             calls = [json.loads(line) for line in (fleet.work / "one.jsonl").read_text().splitlines()]
             bad = Counter(call["class"] for call in calls if call["outcome"] != "ok")
--- a/harness/experiments/scenarios.py
+++ b/harness/experiments/scenarios.py
@@ -19,7 +19,7 @@
 
     def __init__(self, spec, seed):
         self.deployment = settled(seed, spec, edges=None, voter_away=5.0)
-        self.callers = self.deployment.call_in(1.0)
+        self.callers = self.deployment.start_callers(1.0)
         self.invariant_checker = invariant_checker(self.deployment, self.callers)
         self.deployment.run(8)
         self.fault_at, self.figures = self.deployment.now, {}
@@ -48,7 +48,7 @@
 
 def crowd(scene):
     """Crowds arrive at once: ten times the traffic for ten seconds"""
-    more = scene.deployment.call_in(9.0, name="crowd")
+    more = scene.deployment.start_callers(9.0, name="crowd")
     scene.deployment.run(10)
     more.is_on = False
     scene.end(20)
@@ -355,7 +355,7 @@
 def flood(scene):
     """Audits or dossiers flood all lines for fifteen seconds"""
     heavy = scene.deployment.spec.traffic[-1]
-    more = scene.deployment.call_in(1.0, [{**heavy, "rate": 25.0}], "flood")
+    more = scene.deployment.start_callers(1.0, [{**heavy, "rate": 25.0}], "flood")
     scene.deployment.run(15)
     more.is_on = False
     scene.end(10)
@@ -405,7 +405,7 @@
         for call in calls
         if call.kind == "prompt" and call.outcome == "ok" and call.sent_at - back_at < SECOND * 12
     ]
-    waits = [(call.first_at or call.ended_at) - call.sent_at for call in slow]
+    waits = [(call.first_token_at or call.ended_at) - call.sent_at for call in slow]
     scene.figures["longest first word of a prompt of the first 12 s"] = (
         f"{max(waits, default=SECOND * 0) / SECOND:.1f} s"
     )
@@ -418,7 +418,7 @@
 
 def total_with_a_disk(scene):
     """All of our nodes lose power, one core's disk is lost with it, in a crowd of three times the traffic"""
-    more = scene.deployment.call_in(2.0, name="crowd")
+    more = scene.deployment.start_callers(2.0, name="crowd")
     _total(scene, ("core", "edge"), "core-2")
     more.is_on = False
 
@@ -433,7 +433,7 @@
         else:
             setattr(machine, how, True)
     scene.deployment.run(20)
-    more = scene.deployment.call_in(3.0, name="crowd")
+    more = scene.deployment.start_callers(3.0, name="crowd")
     scene.deployment.run(10)
     more.is_on = False
     scene.deployment.run(30)
--- a/harness/experiments/storms.py
+++ b/harness/experiments/storms.py
@@ -22,9 +22,9 @@
     again = [
         {**group, "again": 0.3} if "keyed" in group else group for group in deployment.spec.traffic
     ]  # double clicks
-    callers = deployment.call_in(0.6, again)
+    callers = deployment.start_callers(0.6, again)
     fault_injection = FaultInjection(deployment, callers, seed)
-    found = fault_injection.run(seconds, closing=seed % 3 == 2)
+    found = fault_injection.run(seconds, ends_with_total_loss=seed % 3 == 2)
     outcomes, resends = (
         Counter(call.outcome for call in fault_injection.invariant_checker.calls),
         fault_injection.invariant_checker.resends(),
@@ -33,9 +33,9 @@
         "calls answered": outcomes["ok"],
         "first tries": resends[0],
         "prompts run": sum(sum(record.runs.values()) for record in deployment.records.values()),
-        "faults played": len(fault_injection.told),
+        "faults played": len(fault_injection.injected_faults),
     }
-    return seed, spec, dict(outcomes), resends, [*found, *find_unchecked(judged)], fault_injection.told
+    return seed, spec, dict(outcomes), resends, [*found, *find_unchecked(judged)], fault_injection.injected_faults
 
 
 def main():
--- a/harness/experiments/twins.py
+++ b/harness/experiments/twins.py
@@ -19,14 +19,14 @@
     """{group: (answer times in order, calls not answered)} of the light groups of one storm."""
     deployment = settled(seed, CITIES[seed % 2], None, voter_away=6.0)
     light, heavy = deployment.spec.traffic[:-1], deployment.spec.traffic[-1]
-    callers = deployment.call_in(0.8, light)
+    callers = deployment.start_callers(0.8, light)
     if is_heavy:
-        deployment.call_in(1.0, [{**heavy, "rate": 10.0}], "flood")
+        deployment.start_callers(1.0, [{**heavy, "rate": 10.0}], "flood")
     FaultInjection(deployment, callers, seed).run(seconds, 10.0)
     found = {}
     for group in light:
         calls = [call for call in callers.calls if call.group == group["name"] and not call.key]
-        times = sorted((call.first_at or call.ended_at) - call.sent_at for call in calls if call.outcome == "ok")
+        times = sorted((call.first_token_at or call.ended_at) - call.sent_at for call in calls if call.outcome == "ok")
         found[group["name"]] = (times, sum(call.outcome != "ok" and not call.has_moved for call in calls))
     return found
 
--- a/harness/local_cluster/allowance_trial.py
+++ b/harness/local_cluster/allowance_trial.py
@@ -168,14 +168,14 @@
                 Bounds(terms[name].ceiling, terms[name].floor, burst, terms[name].floor_burst)
             )
             over = list(
-                invariant_checker.over(
+                invariant_checker.ceiling_violations(
                     [Run(second * call["at"]) for call in calls if call["outcome"] == "ok"],
                     changes=1,
                     is_disturbed=True,
                 )
             )
             short = list(
-                invariant_checker.short(
+                invariant_checker.floor_violations(
                     [Ask(second * call["at"], call["class"] == "allowance") for call in calls],
                     len(fleet.http_addresses("edge")),
                 )
--- a/harness/local_cluster/city.py
+++ b/harness/local_cluster/city.py
@@ -28,7 +28,7 @@
             print("cores", *fleet.http_addresses("core"), "edges", *fleet.http_addresses("edge"), flush=True)
             signal.sigwait({signal.SIGINT, signal.SIGTERM})
             return
-        callers = fleet.call_in(min(given.seconds, 600), min(given.pace, 5), work / "calls.jsonl")
+        callers = fleet.start_callers(min(given.seconds, 600), min(given.pace, 5), work / "calls.jsonl")
         print(callers.communicate()[0], end="")
         verdict = judge_runs(read_calls(work / "calls.jsonl"), fleet.server_records().values())
         print(verdict.describe())
--- a/harness/local_cluster/processes.py
+++ b/harness/local_cluster/processes.py
@@ -185,7 +185,7 @@
             raise SystemExit(f"pairs were not held within {bound} s; see {self.work}")
         return time.monotonic() - begun
 
-    def call_in(
+    def start_callers(
         self, seconds: float, pace: float, calls: Path, random: int = 1, place: int = 1, edges=None
     ) -> subprocess.Popen:
         spec = str(self.folder)
--- a/harness/local_cluster/trials.py
+++ b/harness/local_cluster/trials.py
@@ -46,7 +46,7 @@
     def run(self, name: str, do, seconds: float) -> bool:
         print(f"up in {self.fleet.bring_up():.1f} s", flush=True)
         calls = self.work / "calls.jsonl"
-        callers = self.fleet.call_in(seconds, 1.0, calls)
+        callers = self.fleet.start_callers(seconds, 1.0, calls)
         try:
             time.sleep(3)
             self.sample()
@@ -321,7 +321,7 @@
 
 def crowd(trial: Trial):
     """Four more cities' worth of callers for ten seconds."""
-    more = trial.fleet.call_in(10, 4.0, trial.work / "crowd.jsonl", 2, 2)
+    more = trial.fleet.start_callers(10, 4.0, trial.work / "crowd.jsonl", 2, 2)
     time.sleep(16)
     more.communicate(timeout=120)
     calls = [json.loads(line) for line in (trial.work / "crowd.jsonl").read_text().splitlines()]
--- a/sumachook/simulation/callers.py
+++ b/sumachook/simulation/callers.py
@@ -21,7 +21,7 @@
     Tick,
 )
 
-CONNECT = timedelta(seconds=2)
+CONNECT_TIMEOUT = timedelta(seconds=2)
 PENDING, OK, FAULT, CUT, NONE = "pending", "ok", "fault", "cut", "none"
 
 
@@ -41,8 +41,8 @@
         "fault_class",
         "request",
         "text",
-        "first_at",
-        "finish",
+        "first_token_at",
+        "finish_reason",
         "is_stream",
         "patience",
         "moves",
@@ -53,15 +53,15 @@
         "has_moved",
         "is_done",
         "caller",
-        "tried",
+        "tried_zones",
     )
 
     ended_at: timedelta | None
     status: int | None
     run: str | None
     fault_class: str | None
-    first_at: timedelta | None
-    finish: str | None
+    first_token_at: timedelta | None
+    finish_reason: str | None
 
     def __init__(
         self,
@@ -74,9 +74,9 @@
         patience: timedelta,
         safe: bool,
         moves: int = 0,
-        tried: tuple[str, ...] = (),
+        tried_zones: tuple[str, ...] = (),
     ) -> None:
-        self.tag, self.caller, self.tried = tag, group["caller"], tried
+        self.tag, self.caller, self.tried_zones = tag, group["caller"], tried_zones
         self.number, self.group, self.edge, self.sent_at, self.model = number, group["name"], edge, now, model
         self.kind, self.is_stream, self.patience, self.safe = group["kind"], group.get("stream", True), patience, safe
         self.ended_at, self.outcome, self.status, self.run, self.fault_class, self.request = (
@@ -87,7 +87,7 @@
             None,
             "",
         )
-        self.text, self.first_at, self.finish, self.moves, self.key, self.has_moved, self.is_done = (
+        self.text, self.first_token_at, self.finish_reason, self.moves, self.key, self.has_moved, self.is_done = (
             "",
             None,
             None,
@@ -115,7 +115,7 @@
         "random",
         "calls",
         "open",
-        "due",
+        "next_request_at",
         "is_on",
         "pace",
         "start_at",
@@ -151,7 +151,7 @@
             now,
             stop_after,
         )
-        self.due = {
+        self.next_request_at = {
             group["name"]: now + timedelta(seconds=random.expovariate(group["rate"] * pace)) for group in traffic
         }
 
@@ -170,9 +170,11 @@
             if not self.open:
                 return [Exit(0)]
         for group in self.groups:
-            while self.is_on and now >= self.due[group["name"]]:
-                self.due[group["name"]] += timedelta(seconds=self.random.expovariate(group["rate"] * self.pace))
-                out += self._ask_anew(group, now)
+            while self.is_on and now >= self.next_request_at[group["name"]]:
+                self.next_request_at[group["name"]] += timedelta(
+                    seconds=self.random.expovariate(group["rate"] * self.pace)
+                )
+                out += self._send_new_request(group, now)
         for number, call in list(self.open.items()):
             if now - call.sent_at > call.patience * 1.5 + timedelta(seconds=5):
                 del self.open[number]
@@ -180,7 +182,7 @@
                 out.append(CancelCall(("call", number)))
         return out
 
-    def _ask_anew(self, group: dict[str, Any], now: timedelta) -> list[Any]:
+    def _send_new_request(self, group: dict[str, Any], now: timedelta) -> list[Any]:
         is_keyed = group.get("keyed") and self.random.random() < group["keyed"]
         key = f"{self.name}-{len(self.calls)}" if is_keyed else ""
         out = self.ask(group, now, key=key)
@@ -198,7 +200,7 @@
         model: Any = None,
         key: str = "",
         moves: int = 0,
-        tried: tuple[str, ...] = (),
+        tried_zones: tuple[str, ...] = (),
     ) -> list[Any]:
         """Records a new call of the traffic group and returns the effect that sends its request.
 
@@ -207,7 +209,7 @@
         caller = self.callers[group["caller"]]
         edge = edge or self.random.choice(sorted(self.edges))
         is_lookup = group["kind"] == "lookup"
-        model = None if is_lookup else model or self._model(group)
+        model = None if is_lookup else model or self._choose_model(group)
         patience = timedelta(seconds=caller.get("lookupPatience", 5.0) if is_lookup else caller["patience"])
         number = len(self.calls)
         tag = f"{self.name} {number}"
@@ -221,7 +223,7 @@
             patience,
             is_lookup or caller.get("safe", False),
             moves,
-            (*tried, self.zones.get(edge, edge)),
+            (*tried_zones, self.zones.get(edge, edge)),
         )
         call.key = key
         self.calls.append(call)
@@ -245,9 +247,9 @@
         mode = "events" if not is_lookup and call.is_stream else "whole"
         limit = patience * 1.5 + timedelta(seconds=5)
         url = f"http://{self.edges[edge]}{path}"
-        return [Fetch(("call", number), method, url, headers, body, CONNECT, limit, mode)]
+        return [Fetch(("call", number), method, url, headers, body, CONNECT_TIMEOUT, limit, mode)]
 
-    def _model(self, group: dict[str, Any]) -> Any:
+    def _choose_model(self, group: dict[str, Any]) -> Any:
         """Chooses a model of the group at random, weighted 1, 1/2, 1/3 and so on in their order (Zipf)."""
         names = group["models"]
         return self.random.choices(names, [1 / place for place in range(1, len(names) + 1)])[0]
@@ -262,11 +264,11 @@
                 call.status, call.request = status, headers.get("x-request-id", "")
                 return []
             case ServerEventReceived(_, _, data):
-                return self._event(call, data, now)
+                return self._handle_server_event(call, data, now)
             case ResponseReceived(_, status, headers, body):
-                return self._whole(call, status, headers, body, now)
+                return self._handle_whole_response(call, status, headers, body, now)
             case ResponseEnded():
-                return self._end(call, OK if call.is_done else CUT, now)
+                return self._end_call(call, OK if call.is_done else CUT, now)
             case CallFailed(_, failure):
                 return self._handle_failure(call, failure, now)
         raise TypeError(f"callers cannot handle the event {event!r}")
@@ -274,10 +276,10 @@
     def _handle_failure(self, call: Any, failure: str, now: timedelta) -> list[Any]:
         call.fault_class = call.fault_class or failure
         if CallFailure(failure).was_before_first_byte:
-            return self._end(call, NONE, now) + self._move(call, now)
-        return self._end(call, CUT if call.status == 200 else NONE, now)
+            return self._end_call(call, NONE, now) + self._resend_in_another_zone(call, now)
+        return self._end_call(call, CUT if call.status == 200 else NONE, now)
 
-    def _event(self, call: Any, data: str, now: timedelta) -> list[Any]:
+    def _handle_server_event(self, call: Any, data: str, now: timedelta) -> list[Any]:
         if data == "[DONE]":
             call.is_done = True
             return []
@@ -287,44 +289,47 @@
             return []
         choice = (doc.get("choices") or [{}])[0]
         text = choice.get("delta", {}).get("content") or ""
-        if text and call.first_at is None:
-            call.first_at = now
+        if text and call.first_token_at is None:
+            call.first_token_at = now
         call.text += text
-        call.finish = choice.get("finish_reason") or call.finish
+        call.finish_reason = choice.get("finish_reason") or call.finish_reason
         return []
 
-    def _whole(self, call: Any, status: int, headers: Any, body: bytes, now: timedelta) -> list[Any]:
+    def _handle_whole_response(self, call: Any, status: int, headers: Any, body: bytes, now: timedelta) -> list[Any]:
         call.status, call.request = status, headers.get("x-request-id", "")
         if status == 200:
             call.is_done, call.run = True, "yes"
             if call.kind == "prompt":
                 doc = msgspec.json.decode(body)
-                call.text, call.finish = doc["choices"][0]["message"]["content"], doc["choices"][0]["finish_reason"]
+                call.text, call.finish_reason = (
+                    doc["choices"][0]["message"]["content"],
+                    doc["choices"][0]["finish_reason"],
+                )
             else:
                 call.text = msgspec.json.decode(body)["id"]
-            return self._end(call, OK, now)
+            return self._end_call(call, OK, now)
         doc = msgspec.json.decode(body)
         fault = doc.get("fault", {}) if isinstance(doc, dict) else {}
         call.fault_class, call.run, call.request = fault.get("class"), fault.get("run"), fault.get("request", "")
-        out = self._end(call, FAULT, now)
+        out = self._end_call(call, FAULT, now)
         return (
-            out + self._move(call, now)
+            out + self._resend_in_another_zone(call, now)
             if call.fault_class in ("draining", "evacuated", "not-ready") and call.run == "no"
             else out
         )
 
-    def _end(self, call: Any, outcome: str, now: timedelta) -> list[Any]:
+    def _end_call(self, call: Any, outcome: str, now: timedelta) -> list[Any]:
         call.outcome, call.ended_at = outcome, now
         self.open.pop(call.number, None)
         return []
 
-    def _move(self, call: Any, now: timedelta) -> list[Any]:
+    def _resend_in_another_zone(self, call: Any, now: timedelta) -> list[Any]:
         """Resends a request that was certainly not run to an edge in a zone not tried yet, at most twice."""
-        others = [edge for edge in sorted(self.edges) if self.zones[edge] not in call.tried]
+        others = [edge for edge in sorted(self.edges) if self.zones[edge] not in call.tried_zones]
         if call.moves >= 2 or not others:
             return []
         group = next((group for group in self.groups if group["name"] == call.group), None)
         if group is None:
             return []
         call.has_moved = True
-        return self.ask(group, now, self.random.choice(others), call.model, call.key, call.moves + 1, call.tried)
+        return self.ask(group, now, self.random.choice(others), call.model, call.key, call.moves + 1, call.tried_zones)
--- a/sumachook/simulation/deployment.py
+++ b/sumachook/simulation/deployment.py
@@ -69,7 +69,7 @@
     docs/design/simulation.md describes it.
     """
 
-    __slots__ = ("spec", "settings_more", "records", "orders", "probe")
+    __slots__ = ("spec", "extra_settings", "records", "orders", "probe")
 
     records: dict[str, Any]
     orders: list[Any]
@@ -82,10 +82,10 @@
         edges: Any = None,
         load_rate: float = 40.0,
         has_ids: bool = True,
-        **settings_more: Any,
+        **extra_settings: Any,
     ) -> None:
         super().__init__(seed, spec.cluster)
-        self.spec, self.settings_more, self.records, self.orders, self.probe = spec, settings_more, {}, [], None
+        self.spec, self.extra_settings, self.records, self.orders, self.probe = spec, extra_settings, {}, [], None
         self.add("platform", "platform", lambda box: Platform(spec.servers), "", "", spec.platform)
         for server in spec.servers:
             self.add_server(server, load_rate, has_ids)
@@ -110,7 +110,7 @@
         role = Core if node["role"] == "core" else Edge
         fields: dict[str, Any] = {
             SETTINGS_FIELDS.get(name, name): tuple(value) if isinstance(value, list) else value
-            for name, value in self.spec.settings(node, **self.settings_more, **more).items()
+            for name, value in self.spec.settings(node, **self.extra_settings, **more).items()
         }
         settings = NodeSettings(**fields)
 
@@ -119,7 +119,7 @@
 
         return self.add(node["name"], node["role"], make, node["area"], node["address"], node["door"])
 
-    def call_in(self, pace: float = 1.0, traffic: Any = None, name: str = "callers", edges: Any = None) -> Any:
+    def start_callers(self, pace: float = 1.0, traffic: Any = None, name: str = "callers", edges: Any = None) -> Any:
         """Starts clients that send `traffic` to the given edges, and returns their state machine.
 
         By default they send the deployment's own traffic to all edges.
@@ -151,7 +151,7 @@
         )
         return self.boxes[name].machine
 
-    def probe_in(self) -> Any:
+    def start_probe(self) -> Any:
         """Starts and returns a probe that checks whether the edges apply acknowledged changes of keys."""
         self.probe = Probe(self)
         self.add("probe", "probe", lambda box: self.probe, "", "", "probe")
--- a/sumachook/simulation/deployment_quotas.py
+++ b/sumachook/simulation/deployment_quotas.py
@@ -7,10 +7,10 @@
 from sumachook.quotas.terms import QuotaTerms
 from sumachook.simulation.quota_invariant_checker import Ask, Bounds, QuotaInvariantChecker, Run
 
-OF_WINDOW = timedelta(seconds=0.4)  # the longest time from the sending of a call to its admission
+MAX_ADMISSION_DELAY = timedelta(seconds=0.4)  # the longest time from the sending of a call to its admission
 
 
-class DeploymentShares:
+class DeploymentQuotas:
     """Builds the quota checker of each tenant and collects its runs and requests (docs/design/quotas.md).
 
     A call that a server's record lists, or whose client got an answer, counts as run at the moment it was sent. It may
@@ -50,6 +50,6 @@
     def invariant_checker(self, name: str) -> QuotaInvariantChecker:
         """Returns a checker of the tenant's configured quota, with bursts widened by 0.4 s of its ceiling."""
         terms = QuotaTerms.of(self.tenants[name])
-        slack = OF_WINDOW.total_seconds()
+        slack = MAX_ADMISSION_DELAY.total_seconds()
         burst = tuple(most + figure * slack for most, figure in zip(terms.burst, terms.ceiling, strict=True))
         return QuotaInvariantChecker(Bounds(terms.ceiling, terms.floor, burst, terms.floor_burst))
--- a/sumachook/simulation/disk.py
+++ b/sumachook/simulation/disk.py
@@ -14,7 +14,7 @@
 from sumachook.storage.write_queue import Write, WriteKind, WriteQueue, WriteStep, step_of
 from sumachook.transport.codec import as_tuples
 
-MOST_OPERATIONS = 12  # about as many file operations as one step has; a process may end after any of them
+MAX_OPERATIONS_PER_STEP = 12  # about as many file operations as one step has; a process may end after any of them
 
 
 class Disk:
@@ -36,11 +36,11 @@
         "stalled_until",
         "refuses_until",
         "delay",
-        "opened",
+        "synced_tags",
         "unfinished",
     )
 
-    opened: set[str]
+    synced_tags: set[str]
 
     def __init__(self, seed: int = 0) -> None:
         self.random = Random(seed)
@@ -49,7 +49,7 @@
         self.stalled_until = self.refuses_until = timedelta(0)
         self.delay = timedelta(seconds=0.002)
         self.unfinished: list[WriteStep] = []  # requested writes, in order, until their step is finished
-        self.opened = set()  # tags of records that were synced in a ledger on this disk, for the invariant checker
+        self.synced_tags = set()  # tags of records that were synced in a ledger on this disk, for the invariant checker
 
     @property
     def files(self) -> dict[str, Any]:
@@ -68,7 +68,7 @@
 
     def open(self, now: timedelta) -> Opened:
         """Opens the folder for a process that starts now; raises `OSError` while the disk refuses operations."""
-        self._obey(now)
+        self._update_refusal(now)
         self.folder, self.queue = DataFolder(self.file_system), WriteQueue(LOG)
         return self.folder.open(FILES, IDENTITY_FILES)
 
@@ -84,18 +84,18 @@
         """
         step = self.queue.begin_step(now)
         assert step is not None, "no write is under way"
-        self._obey(now)
+        self._update_refusal(now)
         try:
             self.folder.write(step)
         except OSError as error:
             self.queue.fail_step(str(error))
             return None
         if step.kind is WriteKind.APPEND and step.file == LEDGER:
-            self.opened.update(record[1]["tag"] for record in step.records)
+            self.synced_tags.update(record[1]["tag"] for record in step.records)
         waiting = self.queue.waiting.get(step.file)
         left = waiting.count if waiting else 0  # writes of this file that were queued after the step began
-        mine = [write for write in self.unfinished if write.file == step.file]
-        done = set(map(id, mine[: len(mine) - left]))
+        file_writes = [write for write in self.unfinished if write.file == step.file]
+        done = set(map(id, file_writes[: len(file_writes) - left]))
         self.unfinished = [write for write in self.unfinished if id(write) not in done]
         return self.queue.finish_step()
 
@@ -105,13 +105,13 @@
         """Ends the process: the current write step stops at a random point and the files stay as they are then."""
         step = self.queue.begin_step(timedelta(0))
         if step is not None and not self.file_system.is_refusing:
-            self.file_system.steps_left = self.random.randint(0, MOST_OPERATIONS)
+            self.file_system.steps_left = self.random.randint(0, MAX_OPERATIONS_PER_STEP)
             try:
                 self.folder.write(step)
             except ProcessEndedError:
                 pass
             self.file_system.steps_left = None
-        self._drop()
+        self._discard_writes()
 
     def lose_power(self, writes_kept: int | None = None) -> None:
         """Ends the process and may lose everything that was not synced.
@@ -121,7 +121,7 @@
         if writes_kept is not None:
             for write in self.unfinished[:writes_kept] if not self.file_system.is_refusing else ():
                 self.folder.write(write)
-            self._drop()
+            self._discard_writes()
             return
         self.end_process()
         self.file_system.lose_power()
@@ -134,11 +134,11 @@
     def wipe(self) -> None:
         """Erases all files, as if the machine got an empty disk."""
         self.file_system.wipe()
-        self._drop()
-        self.opened.clear()
+        self._discard_writes()
+        self.synced_tags.clear()
 
-    def _drop(self) -> None:
+    def _discard_writes(self) -> None:
         self.queue, self.unfinished = WriteQueue(LOG), []
 
-    def _obey(self, now: timedelta) -> None:
+    def _update_refusal(self, now: timedelta) -> None:
         self.file_system.is_refusing = now < self.refuses_until
--- a/sumachook/simulation/fault_injection.py
+++ b/sumachook/simulation/fault_injection.py
@@ -9,7 +9,7 @@
 from sumachook.simulation.invariant_checker import InvariantChecker
 
 FOREVER = timedelta(days=9)
-LOSS_EVERY = timedelta(seconds=45)
+MIN_LOSS_INTERVAL = timedelta(seconds=45)
 POLICIES = (
     {"hold": "waiting < bound / 2 or line == 'counter'"},
     {"retry": "attempt < 3 and fault != 'overload'"},
@@ -20,7 +20,7 @@
 
 
 class FaultInjection:
-    """Injects random faults, then a recovery period or, with `closing`, the loss of all nodes.
+    """Injects random faults, then a recovery period or, with `ends_with_total_loss`, the loss of all nodes.
 
     Returns the violations of invariants that the checker found. docs/design/simulation.md lists the kinds of faults.
     """
@@ -30,28 +30,39 @@
         "callers",
         "invariant_checker",
         "random",
-        "told",
-        "undo",
+        "injected_faults",
+        "pending_undos",
         "acked_generation",
         "number",
-        "lost_at",
+        "last_loss_at",
         "retired",
-        "key",
+        "probe_key",
         "is_changing",
     )
 
-    told: list[tuple[float, str]]
-    undo: list[tuple[timedelta, Callable[[], object]]]
+    injected_faults: list[tuple[float, str]]
+    pending_undos: list[tuple[timedelta, Callable[[], object]]]
     retired: set[str]
 
     def __init__(self, deployment: Any, callers: Any, seed: int) -> None:
         self.deployment, self.callers, self.random = deployment, callers, Random(seed)
-        self.invariant_checker, self.told, self.undo, self.number = InvariantChecker(deployment, callers), [], [], 0
-        self.acked_generation, self.lost_at, self.retired, self.key, self.is_changing = 0, -LOSS_EVERY, set(), "", False
-        deployment.probe or deployment.probe_in()
+        self.invariant_checker, self.injected_faults, self.pending_undos, self.number = (
+            InvariantChecker(deployment, callers),
+            [],
+            [],
+            0,
+        )
+        self.acked_generation, self.last_loss_at, self.retired, self.probe_key, self.is_changing = (
+            0,
+            -MIN_LOSS_INTERVAL,
+            set(),
+            "",
+            False,
+        )
+        deployment.probe or deployment.start_probe()
 
-    def run(self, seconds: float, calm: float = 40.0, closing: bool = False) -> list[str]:
-        """Injects faults for `seconds`, then a recovery period of `calm` seconds or the loss of all nodes.
+    def run(self, seconds: float, recovery_seconds: float = 40.0, ends_with_total_loss: bool = False) -> list[str]:
+        """Injects faults for `seconds`, then a recovery period of `recovery_seconds` seconds or the loss of all nodes.
 
         Returns the violations of invariants and whatever has not recovered.
         """
@@ -61,41 +72,43 @@
         end = self.deployment.now + timedelta(seconds=seconds)
         while self.deployment.now < end:
             kind = self.random.choice(kinds)
-            lasts = self.random.uniform(0.5, 9.0)
-            what = kind(lasts)
+            duration_s = self.random.uniform(0.5, 9.0)
+            what = kind(duration_s)
             if what:
-                self.told.append((round(self.deployment.now.total_seconds(), 2), what))
-            self._go_on(self.random.uniform(0.3, 3.0))
-        if closing:
-            return self._close()
-        self._go_on(10.0)
+                self.injected_faults.append((round(self.deployment.now.total_seconds(), 2), what))
+            self._advance(self.random.uniform(0.3, 3.0))
+        if ends_with_total_loss:
+            return self._kill_all_nodes()
+        self._advance(10.0)
         self._end_faults()
         self.deployment.run(5)
         for zone in self.deployment.spec.catalogue["areas"]:  # an unacknowledged order may have been applied
             self._order("/operator/restore", {"area": zone})
-        self.deployment.run(calm)
-        self._hush()
+        self.deployment.run(recovery_seconds)
+        self._stop_callers()
         self.deployment.run(8)
-        return self.invariant_checker.faults() + self._lost() + self.left()
+        return self.invariant_checker.faults() + self._unaccounted_calls() + self.unrecovered()
 
-    def _close(self) -> list[str]:
+    def _kill_all_nodes(self) -> list[str]:
         """Kills all cores and edges for good and checks the invariants from what is on their disks."""
-        self._go_on(self.random.uniform(0.0, 2.0))
-        self._hush()
+        self._advance(self.random.uniform(0.0, 2.0))
+        self._stop_callers()
         nodes = [box.name for box in self.deployment.boxes.values() if box.role in ("edge", "core")]
         self.random.shuffle(nodes)
         for name in nodes:
             self.deployment.kill(name)
-        self.told.append((round(self.deployment.now.total_seconds(), 2), "all cores and edges are killed for good"))
+        self.injected_faults.append(
+            (round(self.deployment.now.total_seconds(), 2), "all cores and edges are killed for good")
+        )
         self.deployment.run(20)
-        return self.invariant_checker.faults() + self._lost()
+        return self.invariant_checker.faults() + self._unaccounted_calls()
 
-    def _hush(self) -> None:
+    def _stop_callers(self) -> None:
         for box in self.deployment.boxes.values():
             if box.role == "callers":
                 box.machine.is_on = False
 
-    def _lost(self) -> list[str]:
+    def _unaccounted_calls(self) -> list[str]:
         return [
             f"accounted: call {call.tag} of group {call.group} at {call.edge}, outcome {call.outcome}, "
             f"fault {call.fault_class}, has no record in the day log"
@@ -103,7 +116,7 @@
         ]
 
     def _end_faults(self) -> None:
-        last, self.undo = self.undo, []
+        last, self.pending_undos = self.pending_undos, []
         for _, undo in last:
             undo()
         self.deployment.heal()
@@ -111,10 +124,10 @@
             if box.is_frozen:
                 self.deployment.wake(box.name)
             self._revive(box.name)
-        self._go_on(12.0)  # undo actions that failed at first are retried until here
-        self.undo = []
+        self._advance(12.0)  # undo actions that failed at first are retried until here
+        self.pending_undos = []
 
-    def _go_on(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         """Advances virtual time in steps, so that faults end when they are due."""
         end = self.deployment.now + timedelta(seconds=seconds)
         while self.deployment.now < end:
@@ -122,15 +135,15 @@
 
     def _step(self) -> None:
         self.deployment.run(0.25)
-        for item in list(self.undo):
-            if item[0] <= self.deployment.now and item in self.undo:
-                self.undo.remove(item)
+        for item in list(self.pending_undos):
+            if item[0] <= self.deployment.now and item in self.pending_undos:
+                self.pending_undos.remove(item)
                 item[1]()
 
-    def _later(self, seconds: float, undo: Callable[[], object]) -> None:
-        self.undo.append((self.deployment.now + timedelta(seconds=seconds), undo))
+    def _undo_later(self, seconds: float, undo: Callable[[], object]) -> None:
+        self.pending_undos.append((self.deployment.now + timedelta(seconds=seconds), undo))
 
-    def left(self) -> list[str]:
+    def unrecovered(self) -> list[str]:
         """Lists what has not recovered by the end of the recovery period."""
         deployment, found = self.deployment, []
         leaders = [core for core in deployment.machines("core") if core.consensus.role == "leading"]
@@ -166,7 +179,7 @@
 
     # faults: each returns a line describing what it did, or None ------------------------------
 
-    def _one(self, *roles: Any) -> Any:
+    def _random_running_box(self, *roles: Any) -> Any:
         boxes = [
             box
             for box in self.deployment.boxes.values()
@@ -183,45 +196,45 @@
         ):
             self.deployment.start(name)
 
-    def _fault_kill_node(self, lasts: float) -> str | None:
-        box = self._one("edge", "core")
+    def _fault_kill_node(self, duration_s: float) -> str | None:
+        box = self._random_running_box("edge", "core")
         if box is None:
             return None
         self.deployment.kill(box.name)
-        self._later(lasts, lambda: self._revive(box.name))
-        return f"{box.name} killed, duration (s): {lasts:.1f}"
+        self._undo_later(duration_s, lambda: self._revive(box.name))
+        return f"{box.name} killed, duration (s): {duration_s:.1f}"
 
-    def _fault_kill_server(self, lasts: float) -> str | None:
-        box = self._one("model", "records")
+    def _fault_kill_server(self, duration_s: float) -> str | None:
+        box = self._random_running_box("model", "records")
         if box is None:
             return None
         self.deployment.kill(box.name)
-        self._later(lasts, lambda: self._revive(box.name))
-        return f"{box.name} killed, duration (s): {lasts:.1f}"
+        self._undo_later(duration_s, lambda: self._revive(box.name))
+        return f"{box.name} killed, duration (s): {duration_s:.1f}"
 
-    def _fault_vanish(self, lasts: float) -> str | None:
-        box = self._one("edge", "core", "model", "records")
+    def _fault_vanish(self, duration_s: float) -> str | None:
+        box = self._random_running_box("edge", "core", "model", "records")
         if box is None:
             return None
         self.deployment.vanish(box.name)
-        self._later(lasts, lambda: self._revive(box.name))
-        return f"{box.name} lost with its machine, duration (s): {lasts:.1f}"
+        self._undo_later(duration_s, lambda: self._revive(box.name))
+        return f"{box.name} lost with its machine, duration (s): {duration_s:.1f}"
 
-    def _fault_dark(self, lasts: float) -> str | None:
-        box = self._one("model", "records")
+    def _fault_dark(self, duration_s: float) -> str | None:
+        box = self._random_running_box("model", "records")
         if box is None:
             return None
         machine = box.machine
         machine.is_dark = True
 
-        def light() -> None:
+        def respond_again() -> None:
             machine.is_dark = False
 
-        self._later(lasts, light)
-        return f"{box.name} unresponsive, duration (s): {lasts:.1f}"
+        self._undo_later(duration_s, respond_again)
+        return f"{box.name} unresponsive, duration (s): {duration_s:.1f}"
 
-    def _fault_freeze(self, lasts: float) -> str | None:
-        box = self._one("edge", "core", "edge", "core", "model")
+    def _fault_freeze(self, duration_s: float) -> str | None:
+        box = self._random_running_box("edge", "core", "edge", "core", "model")
         if box is None:
             return None
         self.deployment.freeze(box.name)
@@ -230,63 +243,63 @@
             if box.is_frozen:
                 self.deployment.wake(box.name)
 
-        self._later(lasts, wake)
-        return f"{box.name} frozen, duration (s): {lasts:.1f}"
+        self._undo_later(duration_s, wake)
+        return f"{box.name} frozen, duration (s): {duration_s:.1f}"
 
-    def _cut(self, first: Any, second: Any, one_way: bool, lasts: float) -> None:
+    def _cut_links(self, first: Any, second: Any, one_way: bool, duration_s: float) -> None:
         deployment, before = self.deployment, set(self.deployment.cuts)
         deployment.cut(first, second, one_way)
         added = deployment.cuts - before
-        self._later(lasts, lambda: deployment.heal(added))
+        self._undo_later(duration_s, lambda: deployment.heal(added))
 
-    def _fault_isolate(self, lasts: float) -> str | None:
-        box = self._one("edge", "core")
-        self._cut([box.name] if box else [], self.deployment.inside(), False, lasts)
-        return f"{box.name} isolated, duration (s): {lasts:.1f}" if box else None
+    def _fault_isolate(self, duration_s: float) -> str | None:
+        box = self._random_running_box("edge", "core")
+        self._cut_links([box.name] if box else [], self.deployment.inside(), False, duration_s)
+        return f"{box.name} isolated, duration (s): {duration_s:.1f}" if box else None
 
-    def _fault_one_way(self, lasts: float) -> str | None:
-        box = self._one("core", "edge")
+    def _fault_one_way(self, duration_s: float) -> str | None:
+        box = self._random_running_box("core", "edge")
         if box is None:
             return None
         others = [other.name for other in self.deployment.boxes.values() if other.role in ("core", "edge")]
         if self.random.random() < 0.5:
-            self._cut([box.name], others, True, lasts)
+            self._cut_links([box.name], others, True, duration_s)
         else:
             for name in others:
-                self._cut([name], [box.name], True, lasts)
-        return f"{box.name} has links cut in one direction, duration (s): {lasts:.1f}"
+                self._cut_links([name], [box.name], True, duration_s)
+        return f"{box.name} has links cut in one direction, duration (s): {duration_s:.1f}"
 
-    def _fault_split(self, lasts: float) -> str:
+    def _fault_split(self, duration_s: float) -> str:
         cores = [box.name for box in self.deployment.boxes.values() if box.role == "core"]
         edges = [box.name for box in self.deployment.boxes.values() if box.role == "edge"]
         lone = self.random.choice(cores)
         side = [lone, *self.random.sample(edges, len(edges) // 2)]
         rest = [name for name in cores + edges if name not in side]
-        self._cut(side, rest, False, lasts)
-        return f"{side} partitioned from the other nodes, duration (s): {lasts:.1f}"
+        self._cut_links(side, rest, False, duration_s)
+        return f"{side} partitioned from the other nodes, duration (s): {duration_s:.1f}"
 
-    def _fault_stall(self, lasts: float) -> str | None:
-        box = self._one("core")
+    def _fault_stall(self, duration_s: float) -> str | None:
+        box = self._random_running_box("core")
         if box is None:
             return None
-        box.disk.stalled_until = self.deployment.now + timedelta(seconds=lasts)
-        return f"disk of {box.name} stalls, duration (s): {lasts:.1f}"
+        box.disk.stalled_until = self.deployment.now + timedelta(seconds=duration_s)
+        return f"disk of {box.name} stalls, duration (s): {duration_s:.1f}"
 
-    def _fault_refuse(self, lasts: float) -> str | None:
-        box = self._one("core")
+    def _fault_refuse(self, duration_s: float) -> str | None:
+        box = self._random_running_box("core")
         if box is None:
             return None
-        box.disk.refuses_until = self.deployment.now + timedelta(seconds=lasts)
-        return f"disk of {box.name} refuses writes, duration (s): {lasts:.1f}"
+        box.disk.refuses_until = self.deployment.now + timedelta(seconds=duration_s)
+        return f"disk of {box.name} refuses writes, duration (s): {duration_s:.1f}"
 
-    def _fault_jump(self, lasts: float) -> str | None:
-        box = self._one("core", "edge")
+    def _fault_jump(self, duration_s: float) -> str | None:
+        box = self._random_running_box("core", "edge")
         if box is None:
             return None
         box.clock.jump = timedelta(hours=self.random.uniform(-30, 30))
         return f"wall clock of {box.name} jumps by {box.clock.jump}"
 
-    def _fault_leave(self, lasts: float) -> str | None:
+    def _fault_leave(self, duration_s: float) -> str | None:
         platform = self.deployment.boxes["platform"].machine
         names = [name for name, server in platform.servers.items() if not server["leaving"]]
         if len(names) < 6:
@@ -297,14 +310,14 @@
         def back() -> None:
             platform.servers.get(name, {})["leaving"] = False
 
-        self._later(lasts + 6, back)
-        return f"{name} listed as leaving, duration (s): {lasts + 6:.1f}"
+        self._undo_later(duration_s + 6, back)
+        return f"{name} listed as leaving, duration (s): {duration_s + 6:.1f}"
 
     # configuration and orders
 
     def _order(self, path: str, doc: Any) -> Any:
         """Sends an operator's order to a running core and returns the answer's document if it is acknowledged."""
-        core = self._one("core")
+        core = self._random_running_box("core")
         if core is None:
             return None
         self.number += 1
@@ -316,7 +329,7 @@
             return answer[1]
         return None
 
-    def _probing(self) -> Any:
+    def _probe_part(self) -> Any:
         """Returns a partial configuration that adds a caller for the probe, and the key of that caller.
 
         It also removes the previous such caller.
@@ -325,10 +338,10 @@
         name = f"probe-{self.number}"
         line = self.deployment.spec.catalogue["lines"][0]["name"]
         caller = {"name": name, "key": f"{name}-key", "line": line, "patience": 5.0, "lookups": False}
-        callers = [caller] + ([{"name": self.key.removesuffix("-key"), "remove": True}] if self.key else [])
+        callers = [caller] + ([{"name": self.probe_key.removesuffix("-key"), "remove": True}] if self.probe_key else [])
         return {"callers": callers}, caller["key"]
 
-    def _change(self, part: dict[str, Any]) -> Any:
+    def _apply_part(self, part: dict[str, Any]) -> Any:
         """Applies a partial configuration with a key for the probe and returns the answer if it is acknowledged.
 
         Only one such change is in progress at a time.
@@ -336,10 +349,10 @@
         if self.is_changing:
             return None
         self.is_changing = True
-        more, key = self._probing()
-        before = [self.key] if self.key else []
+        more, key = self._probe_part()
+        before = [self.probe_key] if self.probe_key else []
         self.deployment.probe.forget(before)
-        self.key = key  # the next change removes it, whether this one was applied or not
+        self.probe_key = key  # the next change removes it, whether this one was applied or not
         doc = {**part, "callers": [*part.get("callers", ()), *more["callers"]]}
         answer = self._order("/operator/apply", {"doc": doc, "part": True})
         self.is_changing = False
@@ -347,25 +360,25 @@
             self.deployment.probe.promise([key], before, self.deployment.now)
         return answer
 
-    def _fault_apply(self, lasts: float) -> str:
+    def _fault_apply(self, duration_s: float) -> str:
         target = self.deployment.spec.catalogue["models"][0]["name"]
         routes = [
             {"name": f"storm-{self.number}-{place}", "target": target} for place in range(self.random.randrange(1, 60))
         ]
-        answer = self._change({"routes": routes})
+        answer = self._apply_part({"routes": routes})
         return f"{len(routes)} routes applied, acknowledged generation: {answer and answer['generation']}"
 
-    def _fault_policies(self, lasts: float) -> str:
+    def _fault_policies(self, duration_s: float) -> str:
         policies = self.random.choice(POLICIES)
 
         def back() -> None:
-            if self._change({"policies": POLICIES[-1]}) is None:
-                self._later(1.0, back)
+            if self._apply_part({"policies": POLICIES[-1]}) is None:
+                self._undo_later(1.0, back)
 
-        self._later(lasts + 3, back)
-        return f"policies {policies} applied, acknowledged: {self._change({'policies': policies}) is not None}"
+        self._undo_later(duration_s + 3, back)
+        return f"policies {policies} applied, acknowledged: {self._apply_part({'policies': policies}) is not None}"
 
-    def _fault_removal(self, lasts: float) -> str:
+    def _fault_removal(self, duration_s: float) -> str:
         """Removes a model in use and an active caller from the configuration, and restores them later."""
         catalogue = self.deployment.spec.catalogue
         model = self.random.choice(
@@ -376,20 +389,22 @@
             ]
         )
         caller = self.random.choice(catalogue["callers"])
-        gone = {
+        removed = {
             "models": [{"name": model["name"], "remove": True}],
             "callers": [{"name": caller["name"], "remove": True}],
         }
-        answer = self._change(gone)
+        answer = self._apply_part(removed)
 
         def back() -> None:
-            if self._change({"models": [model], "callers": [caller]}) is None:
-                self._later(1.0, back)
+            if self._apply_part({"models": [model], "callers": [caller]}) is None:
+                self._undo_later(1.0, back)
 
-        self._later(lasts, back)
-        return f"{model['name']} and {caller['name']} removed for {lasts:.1f} s, acknowledged: {answer is not None}"
+        self._undo_later(duration_s, back)
+        return (
+            f"{model['name']} and {caller['name']} removed for {duration_s:.1f} s, acknowledged: {answer is not None}"
+        )
 
-    def _fault_race(self, lasts: float) -> str | None:
+    def _fault_race(self, duration_s: float) -> str | None:
         """Applies a whole configuration and a partial one at two cores at once; the one committed last wins."""
         cores = [
             box
@@ -399,13 +414,13 @@
         if len(cores) < 2 or self.is_changing:
             return None
         one, other = self.random.sample(cores, 2)
-        whole_part, whole_key = self._probing()
-        part_part, part_key = self._probing()
-        part_part["callers"] = part_part["callers"][:1]
-        before = [self.key] if self.key else []
+        whole_change, whole_key = self._probe_part()
+        partial_change, partial_key = self._probe_part()
+        partial_change["callers"] = partial_change["callers"][:1]
+        before = [self.probe_key] if self.probe_key else []
         self.deployment.probe.forget([*before, *self.deployment.probe.present, *self.deployment.probe.absent])
         whole = self.deployment.spec.catalogue
-        whole = {**whole, "callers": [*whole["callers"], *whole_part["callers"][:1]]}
+        whole = {**whole, "callers": [*whole["callers"], *whole_change["callers"][:1]]}
         operator = self.deployment.operator()
         asked = [
             operator.ask(
@@ -414,7 +429,7 @@
             operator.ask(
                 f"http://{other.http_address}/operator/apply",
                 "POST",
-                {"request": f"part-{self.number}", "doc": part_part, "part": True},
+                {"request": f"part-{self.number}", "doc": partial_change, "part": True},
             ),
         ]
         self.deployment.run_until(lambda: all(number in operator.answers for number in asked), 9.0)
@@ -423,14 +438,16 @@
         is_good = [bool(answer) and answer[0] == 200 for answer in answers]
         if all(is_good):
             self.acked_generation = max(self.acked_generation, *(answer[1]["generation"] for answer in answers))
-            is_part_last = answers[1][1]["number"] > answers[0][1]["number"]
+            is_partial_last = answers[1][1]["number"] > answers[0][1]["number"]
             self.deployment.probe.promise(
-                [whole_key] + [part_key] * is_part_last, before + [part_key] * (not is_part_last), self.deployment.now
+                [whole_key] + [partial_key] * is_partial_last,
+                before + [partial_key] * (not is_partial_last),
+                self.deployment.now,
             )
-        self.key = whole_key  # the next whole configuration drops the partial one's key and its promise
+        self.probe_key = whole_key  # the next whole configuration drops the partial one's key and its promise
         return f"a whole and a partial configuration applied at once, acknowledged: {is_good}"
 
-    def _fault_evacuate(self, lasts: float) -> str | None:
+    def _fault_evacuate(self, duration_s: float) -> str | None:
         if (
             len(self.invariant_checker.evacuations())
             and self.invariant_checker.evacuations()[-1][2] >= self.deployment.now
@@ -442,16 +459,16 @@
 
         def restore() -> None:
             if self._order("/operator/restore", {"area": zone}) is None:
-                self._later(1.0, restore)
+                self._undo_later(1.0, restore)
 
-        self._later(lasts + 8, restore)
-        return f"{zone} evacuated, duration (s): {lasts + 8:.1f}"
+        self._undo_later(duration_s + 8, restore)
+        return f"{zone} evacuated, duration (s): {duration_s + 8:.1f}"
 
     # traffic
 
-    def _crowd(self, what: str, pace: float, traffic: Any, lasts: float) -> str:
+    def _add_traffic(self, what: str, pace: float, traffic: Any, duration_s: float) -> str:
         self.number += 1
-        crowd = self.deployment.call_in(
+        crowd = self.deployment.start_callers(
             pace,
             traffic,
             f"{what}-{self.number}",
@@ -461,16 +478,16 @@
         def end() -> None:
             crowd.is_on = False
 
-        self._later(lasts, end)
-        return f"{what} traffic added, duration (s): {lasts:.1f}"
+        self._undo_later(duration_s, end)
+        return f"{what} traffic added, duration (s): {duration_s:.1f}"
 
-    def _fault_crowd(self, lasts: float) -> Any:
-        return self._crowd("crowd", 5.0, None, min(lasts, 4.0))
+    def _fault_crowd(self, duration_s: float) -> Any:
+        return self._add_traffic("crowd", 5.0, None, min(duration_s, 4.0))
 
-    def _fault_heavy(self, lasts: float) -> Any:
-        return self._crowd("heavy", 1.0, [{**self.deployment.spec.traffic[-1], "rate": 8.0}], lasts)
+    def _fault_heavy(self, duration_s: float) -> Any:
+        return self._add_traffic("heavy", 1.0, [{**self.deployment.spec.traffic[-1], "rate": 8.0}], duration_s)
 
-    def _fault_rare(self, lasts: float) -> str:
+    def _fault_rare(self, duration_s: float) -> str:
         """Requests every model and adapter once at the same time, except those of the last traffic group."""
         group = next(
             each for each in self.deployment.spec.traffic if each["kind"] == "prompt" and not each.get("stream", True)
@@ -485,7 +502,7 @@
 
     # permanent losses, slow disks and power failures
 
-    def _may_lose(self) -> Any:
+    def _choose_core_to_lose(self) -> Any:
         """Chooses a core to lose for good, or returns None.
 
         Losses are at least 45 s apart, and only while all cores run and are members, so that the others have all state.
@@ -494,22 +511,22 @@
         is_whole = all(
             box.machine is not None and not box.is_frozen and len(box.machine.consensus.members) == 3 for box in cores
         )
-        if not is_whole or self.deployment.now - self.lost_at < LOSS_EVERY:
+        if not is_whole or self.deployment.now - self.last_loss_at < MIN_LOSS_INTERVAL:
             return None
-        self.lost_at = self.deployment.now
+        self.last_loss_at = self.deployment.now
         return self.random.choice(cores)
 
-    def _fault_blank(self, lasts: float) -> str | None:
-        box = self._may_lose()
+    def _fault_blank(self, duration_s: float) -> str | None:
+        box = self._choose_core_to_lose()
         if box is None:
             return None
         self.deployment.kill(box.name)
         box.disk.wipe()
-        self._later(lasts, lambda: self._revive(box.name))
-        return f"{box.name} loses its disk and restarts, delay (s): {lasts:.1f}"
+        self._undo_later(duration_s, lambda: self._revive(box.name))
+        return f"{box.name} loses its disk and restarts, delay (s): {duration_s:.1f}"
 
-    def _fault_swap(self, lasts: float) -> str | None:
-        box = self._may_lose()
+    def _fault_swap(self, duration_s: float) -> str | None:
+        box = self._choose_core_to_lose()
         if box is None:
             return None
         self.number += 1
@@ -527,10 +544,10 @@
             for each in self.deployment.boxes.values()
             if each.role == "core" and each.name not in self.retired
         )
-        self._later(lasts, lambda: self.deployment.add_node(node, founding=[], seeds=seeds))
-        return f"{box.name} is lost and replaced by an empty {node['name']}, delay (s): {lasts:.1f}"
+        self._undo_later(duration_s, lambda: self.deployment.add_node(node, founding=[], seeds=seeds))
+        return f"{box.name} is lost and replaced by an empty {node['name']}, delay (s): {duration_s:.1f}"
 
-    def _fault_slow_disks(self, lasts: float) -> str:
+    def _fault_slow_disks(self, duration_s: float) -> str:
         delay = timedelta(seconds=self.random.uniform(0.02, 0.15))
         disks = [box.disk for box in self.deployment.boxes.values() if box.role == "core"]
         for disk in disks:
@@ -540,35 +557,36 @@
             for disk in disks:
                 disk.delay = timedelta(seconds=0.002)
 
-        self._later(lasts, fast)
-        return f"sync time of all core disks (s): {delay.total_seconds():.3f}, duration (s): {lasts:.1f}"
+        self._undo_later(duration_s, fast)
+        return f"sync time of all core disks (s): {delay.total_seconds():.3f}, duration (s): {duration_s:.1f}"
 
-    def _power(self, roles: Any, lasts: float) -> None:
+    def _kill_and_restart(self, roles: Any, duration_s: float) -> None:
         names = [box.name for box in self.deployment.boxes.values() if box.role in roles and box.machine is not None]
         for name in names:
             self.deployment.kill(name)
         for name in names:
-            self._later(lasts + self.random.uniform(0, 0.5), partial(self._revive, name))
+            self._undo_later(duration_s + self.random.uniform(0, 0.5), partial(self._revive, name))
 
-    def _fault_power_after_ack(self, lasts: float) -> str:
-        answer = self._change(
+    def _fault_power_after_ack(self, duration_s: float) -> str:
+        answer = self._apply_part(
             {
                 "routes": [
                     {"name": f"power-{self.number}", "target": self.deployment.spec.catalogue["models"][0]["name"]}
                 ]
             }
         )
-        self._power(("core",), min(lasts, 3.0))
-        return f"all cores killed after {'an' if answer else 'no'} ack, duration (s): {min(lasts, 3.0):.1f}"
+        self._kill_and_restart(("core",), min(duration_s, 3.0))
+        return f"all cores killed after {'an' if answer else 'no'} ack, duration (s): {min(duration_s, 3.0):.1f}"
 
-    def _fault_total_loss(self, lasts: float) -> str:
-        self._power(
-            ("core", "edge") if self.random.random() < 0.6 else ("core", "edge", "model", "records"), min(lasts, 4.0)
+    def _fault_total_loss(self, duration_s: float) -> str:
+        self._kill_and_restart(
+            ("core", "edge") if self.random.random() < 0.6 else ("core", "edge", "model", "records"),
+            min(duration_s, 4.0),
         )
-        return f"all nodes, and in some cases the servers, killed, duration (s): {min(lasts, 4.0):.1f}"
+        return f"all nodes, and in some cases the servers, killed, duration (s): {min(duration_s, 4.0):.1f}"
 
-    def _fault_short_warning(self, lasts: float) -> str | None:
-        box = self._one("edge", "core", "edge")
+    def _fault_short_warning(self, duration_s: float) -> str | None:
+        box = self._random_running_box("edge", "core", "edge")
         if box is None:
             return None
         incarnation = box.incarnation
@@ -578,16 +596,16 @@
             if box.incarnation == incarnation:
                 self.deployment.kill(box.name)
 
-        self._later(self.random.uniform(0.2, 3.0), end)
-        self._later(3.5 + lasts, lambda: self._revive(box.name))
+        self._undo_later(self.random.uniform(0.2, 3.0), end)
+        self._undo_later(3.5 + duration_s, lambda: self._revive(box.name))
         return f"{box.name} gets a stop request and is killed within 3 s of it"
 
     # servers
 
-    def _fault_replace(self, lasts: float) -> str | None:
+    def _fault_replace(self, duration_s: float) -> str | None:
         """Lists a model server as leaving, kills it 3 to 9 s later, amid its streams, and restarts it empty."""
         platform = self.deployment.boxes["platform"].machine
-        box = self._one("model")
+        box = self._random_running_box("model")
         if box is None or platform is None or sum(server["leaving"] for server in platform.servers.values()) > 1:
             return None
         platform.servers.get(box.name, {})["leaving"] = True
@@ -597,11 +615,13 @@
             self._revive(box.name)
             platform.servers.get(box.name, {})["leaving"] = False
 
-        self._later(notice, lambda: self.deployment.kill(box.name))
-        self._later(notice + lasts, back)
-        return f"{box.name} listed as leaving, killed after {notice:.1f} s; delay of its replacement (s): {lasts:.1f}"
+        self._undo_later(notice, lambda: self.deployment.kill(box.name))
+        self._undo_later(notice + duration_s, back)
+        return (
+            f"{box.name} listed as leaving, killed after {notice:.1f} s; delay of its replacement (s): {duration_s:.1f}"
+        )
 
-    def _fault_half_of_the_servers(self, lasts: float) -> str:
+    def _fault_half_of_the_servers(self, duration_s: float) -> str:
         names = [
             box.name
             for box in self.deployment.boxes.values()
@@ -612,7 +632,7 @@
         for name, machine in zip(names, machines, strict=True):
             if how == "killed":
                 self.deployment.kill(name)
-                self._later(lasts, partial(self._revive, name))
+                self._undo_later(duration_s, partial(self._revive, name))
             else:
                 setattr(machine, "is_dark" if how == "dark" else "is_busy", True)
 
@@ -620,26 +640,26 @@
             for machine in machines:
                 machine.is_dark = machine.is_busy = False
 
-        self._later(lasts, well)
-        return f"half of the servers {how}, duration (s): {lasts:.1f}"
+        self._undo_later(duration_s, well)
+        return f"half of the servers {how}, duration (s): {duration_s:.1f}"
 
-    def _fault_records_gone(self, lasts: float) -> str:
+    def _fault_records_gone(self, duration_s: float) -> str:
         names = [
             box.name for box in self.deployment.boxes.values() if box.role == "records" and box.machine is not None
         ]
         for name in names:
             self.deployment.kill(name)
-            self._later(min(lasts, 5.0), partial(self._revive, name))
-        return f"all records servers killed, duration (s): {min(lasts, 5.0):.1f}"
+            self._undo_later(min(duration_s, 5.0), partial(self._revive, name))
+        return f"all records servers killed, duration (s): {min(duration_s, 5.0):.1f}"
 
-    def _fault_bad_list(self, lasts: float) -> str | None:
+    def _fault_bad_list(self, duration_s: float) -> str | None:
         """Makes the platform's list empty, half missing or with invalid entries for at most 6 s."""
         platform = self.deployment.boxes["platform"].machine
         if platform is None or platform.extra:
             return None
         how = self.random.choice(("empty", "half", "junk"))
-        gone = dict(list(platform.servers.items())[:: 1 if how == "empty" else 2]) if how != "junk" else {}
-        for name in gone:
+        removed = dict(list(platform.servers.items())[:: 1 if how == "empty" else 2]) if how != "junk" else {}
+        for name in removed:
             del platform.servers[name]
         platform.extra = [
             {"name": 3},
@@ -650,16 +670,16 @@
 
         def well() -> None:
             platform.extra = []
-            platform.servers = {**gone, **platform.servers}
+            platform.servers = {**removed, **platform.servers}
 
-        self._later(min(lasts, 6.0), well)
-        return f"the platform's server list is {how}, duration (s): {min(lasts, 6.0):.1f}"
+        self._undo_later(min(duration_s, 6.0), well)
+        return f"the platform's server list is {how}, duration (s): {min(duration_s, 6.0):.1f}"
 
-    def _fault_bad_air(self, lasts: float) -> str:
+    def _fault_bad_air(self, duration_s: float) -> str:
         self.deployment.loss, self.deployment.latency = 0.25, (0.001, 0.06)
 
         def well() -> None:
             self.deployment.loss, self.deployment.latency = 0.0, (0.0005, 0.003)
 
-        self._later(lasts, well)
-        return f"25 % of datagrams lost and 1 to 60 ms latency on all links, duration (s): {lasts:.1f}"
+        self._undo_later(duration_s, well)
+        return f"25 % of datagrams lost and 1 to 60 ms latency on all links, duration (s): {duration_s:.1f}"
--- a/sumachook/simulation/invariant_checker.py
+++ b/sumachook/simulation/invariant_checker.py
@@ -5,17 +5,17 @@
 from datetime import timedelta
 from typing import Any
 
-from sumachook.simulation.model import EVENTS
+from sumachook.simulation.model import EVENTS_PER_RUN
 from sumachook.simulation.probe import KNOWN, UNKNOWN
 from sumachook.simulation.reachability import Path
 
 SECOND = timedelta(seconds=1)
-LEAVING_WITHIN = SECOND * 3.6  # three seconds, and up to half a second between two reads of the server list
-OBEY_WITHIN = SECOND * 2
-SETTLED = SECOND * 3
-RATIO, STOCK = 0.2, 4.0  # retries per first attempt, and the credit that an edge may save up (docs/design/inference.md)
+MAX_LEAVING_DELAY = SECOND * 3.6  # three seconds, and up to half a second between two reads of the server list
+MAX_APPLY_DELAY = SECOND * 2
+SETTLING_TIME = SECOND * 3
+RETRY_RATIO, SAVED_RETRIES = 0.2, 4.0  # per call, and the credit an edge may save up (docs/design/inference.md)
 WINDOWS = (1, 3, 10, 30, 60)
-LAST_MOMENT, CARRIED_WITHIN = SECOND / 2, SECOND * 2.5
+MIN_STORE_TIME, MIN_RELAY_TIME = SECOND / 2, SECOND * 2.5
 
 
 class InvariantChecker:
@@ -88,7 +88,7 @@
                 yield f"{call.tag} got text from several servers: {servers}"
             if places != list(range(len(places))):
                 yield f"{call.tag} got pieces out of order or incomplete: {places}"
-            if call.outcome == "ok" and (len(places) != EVENTS or call.finish != "stop"):
+            if call.outcome == "ok" and (len(places) != EVENTS_PER_RUN or call.finish_reason != "stop"):
                 yield f"{call.tag} looks complete with {len(places)} pieces"
 
     def _leaving(self) -> Iterator[str]:
@@ -102,8 +102,10 @@
                 late = [
                     (when, edge)
                     for when, edge in self.deployment.arrivals.get(server, ())
-                    if at + LEAVING_WITHIN < when < (until or when + SECOND)
-                    and self.deployment.reachability.was_unbroken(Path.SERVER_LIST, edge, when - LEAVING_WITHIN, when)
+                    if at + MAX_LEAVING_DELAY < when < (until or when + SECOND)
+                    and self.deployment.reachability.was_unbroken(
+                        Path.SERVER_LIST, edge, when - MAX_LEAVING_DELAY, when
+                    )
                 ]
                 if late:
                     last_at, last_edge = late[-1]
@@ -116,7 +118,7 @@
         """
         probe, seen = self.deployment.probe, set()
         for edge, at, key, status, incarnation, wanted, since in sorted(
-            probe.notes if probe else (), key=lambda note: note[1]
+            probe.answers if probe else (), key=lambda answer: answer[1]
         ):
             if status not in (KNOWN, UNKNOWN):
                 continue  # the edge serves no requests at the moment
@@ -124,8 +126,8 @@
                 seen.add((edge, incarnation, key, wanted, since))
             elif (edge, incarnation, key, wanted, since) in seen:
                 yield f"{edge} reverted a change by {at}: key {key} gives {status} again, acknowledged at {since}"
-            elif at >= since + OBEY_WITHIN and self.deployment.reachability.was_unbroken(
-                Path.ORDER_AND_ANSWER, edge, since - SETTLED, at + SECOND / 10
+            elif at >= since + MAX_APPLY_DELAY and self.deployment.reachability.was_unbroken(
+                Path.ORDER_AND_ANSWER, edge, since - SETTLING_TIME, at + SECOND / 10
             ):
                 yield f"{edge} has not applied a change by {at}: key {key} gives {status}, acknowledged at {since}"
 
@@ -138,7 +140,7 @@
         found = []
         for path, doc, sent_at, acked_at, status in self.deployment.orders:
             if path == "/operator/evacuate" and status == 200:
-                again = [
+                restored_at = [
                     other[2]
                     for other in self.deployment.orders
                     if other[0] == "/operator/restore" and other[1]["area"] == doc["area"] and other[2] >= acked_at
@@ -147,7 +149,7 @@
                     (
                         doc["area"],
                         max(sent_at + SECOND * 5, acked_at + SECOND * 3),
-                        min(again, default=self.deployment.now),
+                        min(restored_at, default=self.deployment.now),
                     )
                 )
         return found
@@ -184,12 +186,12 @@
         Such an edge may serve the clients that are cut off with it (docs/design/changefeed.md).
         """
         inside = edge in self.deployment.boxes and self.deployment.boxes[edge].zone == zone
-        return inside and not self.deployment.reachability.was_unbroken(Path.ORDER, edge, at - SETTLED, at)
+        return inside and not self.deployment.reachability.was_unbroken(Path.ORDER, edge, at - SETTLING_TIME, at)
 
     def resends(self) -> Any:
         """Returns (first attempts, retries) of all edges together, counted on the network."""
-        again = sum(is_again for _, is_again, _ in self.deployment.attempts)
-        return len(self.deployment.attempts) - again, again
+        retries = sum(is_again for _, is_again, _ in self.deployment.attempts)
+        return len(self.deployment.attempts) - retries, retries
 
     def _resends(self) -> Iterator[str]:
         """Rule 7: in every window, retries are at most a fifth of the calls plus the credit saved up by all edges.
@@ -199,20 +201,20 @@
         Calls that were queued before the window are covered by the saved credit.
         """
         kinds = {call.kind for call in self.calls}
-        yield from self._resends_of(kinds, STOCK)
+        yield from self._resends_of(kinds, SAVED_RETRIES)
         for kind in sorted(kinds):
-            yield from self._resends_of({kind}, STOCK / 2)
+            yield from self._resends_of({kind}, SAVED_RETRIES / 2)
 
-    def _resends_of(self, kinds: set[str], stock: float) -> Iterator[str]:
+    def _resends_of(self, kinds: set[str], saved: float) -> Iterator[str]:
         edges = sum(box.role == "edge" for box in self.deployment.boxes.values())
-        again = [at for at, is_again, kind in self.deployment.attempts if is_again and kind in kinds]
+        retries_at = [at for at, is_again, kind in self.deployment.attempts if is_again and kind in kinds]
         made = sorted(call.sent_at for call in self.calls if call.kind in kinds)
         for window in WINDOWS:
-            for place, start in enumerate(again):
+            for place, start in enumerate(retries_at):
                 end = start + SECOND * window
-                resent = bisect_left(again, end) - place
+                resent = bisect_left(retries_at, end) - place
                 real = bisect_left(made, end) - bisect_left(made, start - SECOND)
-                if resent > RATIO * real + stock * edges + 1e-6:
+                if resent > RETRY_RATIO * real + saved * edges + 1e-6:
                     yield f"{resent} retries in {window} s from {start}, with {real} calls of kinds {sorted(kinds)}"
                     return
 
@@ -249,17 +251,20 @@
             return False
         if call.outcome == "ok":
             return bool(call.ended_at - call.sent_at > call.patience)
-        return not self.was_last_moment(call)
+        return not self.could_not_be_recorded(call)
 
-    def was_last_moment(self, call: Any) -> bool:
-        """Returns whether the call's edge died before any disk had a record of the call and could not store one."""
+    def could_not_be_recorded(self, call: Any) -> bool:
+        """Returns whether the call's edge died before any disk had a record of the call, and could not store one."""
         died_at = [at for name, at in self.deployment.deaths if name == call.edge and at >= call.sent_at]
-        if not died_at or any(call.tag in box.disk.opened for box in self.deployment.boxes.values()):
+        if not died_at or any(call.tag in box.disk.synced_tags for box in self.deployment.boxes.values()):
             return False
         knew_at = call.sent_at if call.fault_class != "not-ready" else self._ready_after(call)
         span = (call.edge, min(knew_at, *died_at), min(died_at))
-        could = self.deployment.reachability.was_ever_unbroken_for
-        return not (could(LAST_MOMENT, Path.STORE_RECORDS, *span) or could(CARRIED_WITHIN, Path.RELAY_RECORDS, *span))
+        was_reachable_for = self.deployment.reachability.was_ever_unbroken_for
+        return not (
+            was_reachable_for(MIN_STORE_TIME, Path.STORE_RECORDS, *span)
+            or was_reachable_for(MIN_RELAY_TIME, Path.RELAY_RECORDS, *span)
+        )
 
     def _ready_after(self, call: Any) -> Any:
         """Returns when the call's edge, not ready at the time, first served a later call.
--- a/sumachook/simulation/model.py
+++ b/sumachook/simulation/model.py
@@ -11,19 +11,19 @@
 from sumachook.host.events import ClientDisconnected, HttpRequestReceived, StopRequested, Tick
 
 JSON = {"Content-Type": "application/json"}
-EVENTS = 8
-KEEP_AFTER = timedelta(seconds=5)
-STEP, WARMING = timedelta(seconds=1.5), timedelta(seconds=4.5)
-SERVER = "all models"
+EVENTS_PER_RUN = 8
+KEEP_DISCONNECTED = timedelta(seconds=5)
+WARMING_STEP, WARMING_PERIOD = timedelta(seconds=1.5), timedelta(seconds=4.5)
+ALL_MODELS = "all models"
 
 
-def most_while_warming(age: timedelta) -> int:
+def max_while_warming(age: timedelta) -> int:
     """Returns the bound of rule 8 on requests at a model or server that has been warming for `age`.
 
     Edges allow two at first, doubled every 1.5 s (docs/design/inference.md). The bound is twice that, since edges may
     disagree on which other edges exist.
     """
-    return 4 << int(age / STEP)
+    return 4 << int(age / WARMING_STEP)
 
 
 class Record:
@@ -74,28 +74,35 @@
         "request",
         "cid",
         "model",
-        "asked",
+        "requested_model",
         "events",
-        "said",
-        "count",
+        "generated",
+        "token_count",
         "started_at",
-        "step_every",
-        "gone_at",
+        "event_interval",
+        "disconnected_at",
         "is_done",
-        "flushed",
+        "sent_count",
         "has_head",
         "tag",
     )
 
     events: list[Any]
-    started_at: timedelta  # set, with `step_every`, when the run begins
-    step_every: timedelta
-    gone_at: timedelta | None
-
-    def __init__(self, request: Any, cid: Any, model: Any, asked: Any, count: int, tag: str) -> None:
-        self.tag, self.request, self.cid, self.model, self.asked, self.count = tag, request, cid, model, asked, count
-        self.events, self.said, self.gone_at, self.is_done = [], 0, None, False
-        self.flushed, self.has_head = 0, False
+    started_at: timedelta  # set, with `event_interval`, when the run begins
+    event_interval: timedelta
+    disconnected_at: timedelta | None
+
+    def __init__(self, request: Any, cid: Any, model: Any, requested_model: Any, token_count: int, tag: str) -> None:
+        self.tag, self.request, self.cid, self.model, self.requested_model, self.token_count = (
+            tag,
+            request,
+            cid,
+            model,
+            requested_model,
+            token_count,
+        )
+        self.events, self.generated, self.disconnected_at, self.is_done = [], 0, None, False
+        self.sent_count, self.has_head = 0, False
 
 
 class ModelServer:
@@ -172,7 +179,7 @@
             case Tick():
                 return self._tick(now)
             case ClientDisconnected(call_id):
-                return self._gone(call_id, now)
+                return self._handle_disconnect(call_id, now)
             case HttpRequestReceived(call_id, method, path, headers, body):
                 return self._http(call_id, method, path, headers, body, now)
             case StopRequested():
@@ -245,39 +252,39 @@
     # prompts -------------------------------------------------------------------------
 
     def _prompt(self, cid: Any, headers: Any, body: dict[str, Any], now: timedelta) -> list[Any]:
-        asked, request = body["model"], headers.get("x-request-id", "")
-        model = self.adapters.get(asked, asked)
-        if self.held.get(asked) != "loaded" or self.held.get(model) != "loaded":
-            return [_reply(cid, 404, {"error": {"message": f"model {asked} is not loaded"}})]
+        requested_model, request = body["model"], headers.get("x-request-id", "")
+        model = self.adapters.get(requested_model, requested_model)
+        if self.held.get(requested_model) != "loaded" or self.held.get(model) != "loaded":
+            return [_reply(cid, 404, {"error": {"message": f"model {requested_model} is not loaded"}})]
         if self.is_busy or len(self.active) + len(self.waiting) >= self.slots * 3:
             return [Reply(cid, 429, {**JSON, "Retry-After": "1"}, b'{"error":{"message":"busy"}}')]
-        count = min(body.get("max_tokens", 64), 12 + crc32(request.encode()) % 60)
+        token_count = min(body.get("max_tokens", 64), 12 + crc32(request.encode()) % 60)
         tag = str(body["messages"][-1].get("content"))
-        run = Run(request, cid, model, asked, count, tag)
+        run = Run(request, cid, model, requested_model, token_count, tag)
         self.record.runs[tag] = self.record.runs.get(tag, 0) + 1
         self.by_request[request] = run
         self.waiting.append(run)
-        in_hand = [other for other in [*self.active.values(), *self.waiting] if other.gone_at is None]
+        in_hand = [other for other in [*self.active.values(), *self.waiting] if other.disconnected_at is None]
         self._note_warming(model, self.ready_at.get(model), sum(other.model == model for other in in_hand), now)
-        self._note_warming(SERVER, self.cold_at, len(in_hand), now)
+        self._note_warming(ALL_MODELS, self.cold_at, len(in_hand), now)
         self._begin(now)
         return []
 
     def _note_warming(self, what: str, since: Any, busy: int, now: timedelta) -> None:
-        age = now - since if since is not None else WARMING
-        if age >= WARMING:
+        age = now - since if since is not None else WARMING_PERIOD
+        if age >= WARMING_PERIOD:
             return
-        if age < STEP:
+        if age < WARMING_STEP:
             self.record.warm_peak[what] = max(self.record.warm_peak.get(what, 0), busy)
-        if busy > most_while_warming(age):
-            self.record.floods.append((what, now.total_seconds(), age.total_seconds(), busy, most_while_warming(age)))
+        if busy > max_while_warming(age):
+            self.record.floods.append((what, now.total_seconds(), age.total_seconds(), busy, max_while_warming(age)))
 
     def _begin(self, now: timedelta) -> None:
         while self.waiting and len(self.active) < self.slots:
             run = self.waiting.pop(0)
-            run.started_at, run.step_every = (
+            run.started_at, run.event_interval = (
                 now + self.prefill,
-                timedelta(seconds=run.count / self.rates[run.model] / EVENTS),
+                timedelta(seconds=run.token_count / self.rates[run.model] / EVENTS_PER_RUN),
             )
             self.active[run.request] = run
 
@@ -298,65 +305,65 @@
         if self.is_dark:
             return []  # events are kept back, since a stream cannot skip any
         for run in list(self.active.values()):
-            out += self._speak(run, now)
+            out += self._generate_events(run, now)
             if run.is_done:
                 del self.active[run.request]
         self._begin(now)
         for request, run in list(self.by_request.items()):
-            if run.gone_at is not None and now - run.gone_at > KEEP_AFTER:
+            if run.disconnected_at is not None and now - run.disconnected_at > KEEP_DISCONNECTED:
                 del self.by_request[request]
                 self.active.pop(request, None)
                 if run in self.waiting:
                     self.waiting.remove(run)
         return out
 
-    def _speak(self, run: Run, now: timedelta) -> list[Any]:
-        if run.gone_at is not None and not run.said:
+    def _generate_events(self, run: Run, now: timedelta) -> list[Any]:
+        if run.disconnected_at is not None and not run.generated:
             run.is_done = True
             return []
-        while run.said <= EVENTS and now >= run.started_at + run.step_every * run.said:
-            if run.said < EVENTS:
-                choice = {"index": 0, "delta": {"content": f"{run.tag}/{self.name}/{run.said} "}}
-                run.events.append({"choices": [choice], "model": run.asked})
+        while run.generated <= EVENTS_PER_RUN and now >= run.started_at + run.event_interval * run.generated:
+            if run.generated < EVENTS_PER_RUN:
+                choice = {"index": 0, "delta": {"content": f"{run.tag}/{self.name}/{run.generated} "}}
+                run.events.append({"choices": [choice], "model": run.requested_model})
             else:
                 run.events.append(
                     {
                         "choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}],
-                        "usage": {"completion_tokens": run.count},
+                        "usage": {"completion_tokens": run.token_count},
                     }
                 )
-            run.said += 1
+            run.generated += 1
         return self._flush(run, now)
 
     def _flush(self, run: Run, now: timedelta) -> list[Any]:
         """Returns effects that send the client the remaining events; a disconnected client may resume later."""
-        if run.gone_at is not None:
-            run.is_done = run.said > EVENTS
+        if run.disconnected_at is not None:
+            run.is_done = run.generated > EVENTS_PER_RUN
             return []
         out: list[Any] = []
         if run.events and not run.has_head:
             run.has_head = True
             out.append(BeginResponse(run.cid, 200, {"Content-Type": "text/event-stream"}))
-        for number in range(run.flushed, len(run.events)):
+        for number in range(run.sent_count, len(run.events)):
             event_id = f"{run.request}:{number}" if self.has_ids else None
             data = msgspec.json.encode(run.events[number]).decode()
             out.append(SendChunk(run.cid, send(Event(data=data, id=event_id))))
-        run.flushed = max(run.flushed, len(run.events))
+        run.sent_count = max(run.sent_count, len(run.events))
         if (
-            self.ends_after is not None and run.flushed >= self.ends_after
+            self.ends_after is not None and run.sent_count >= self.ends_after
         ):  # a clean end of the response without a finish reason
-            run.is_done, run.gone_at = True, now
+            run.is_done, run.disconnected_at = True, now
             word = [SendChunk(run.cid, send(Event(data="[DONE]")))] if self.says_done else []
             return [*out, *word, EndResponse(run.cid)]
-        if run.said > EVENTS:
+        if run.generated > EVENTS_PER_RUN:
             out += [SendChunk(run.cid, send(Event(data="[DONE]"))), EndResponse(run.cid)]
-            run.is_done, run.gone_at = True, now
+            run.is_done, run.disconnected_at = True, now
         return out
 
-    def _gone(self, cid: Any, now: timedelta) -> list[Any]:
+    def _handle_disconnect(self, cid: Any, now: timedelta) -> list[Any]:
         for run in self.by_request.values():
-            if run.cid == cid and run.gone_at is None:
-                run.gone_at = now
+            if run.cid == cid and run.disconnected_at is None:
+                run.disconnected_at = now
         return []
 
     def _resume(self, cid: Any, request: Any, headers: Any, now: timedelta) -> list[Any]:
@@ -364,7 +371,7 @@
         last = headers.get("last-event-id", "")
         if not self.has_ids or run is None or not last.startswith(request + ":"):
             return [_reply(cid, 404, {"error": {"message": "nothing to resume"}})]
-        run.cid, run.flushed, run.has_head, run.gone_at = (
+        run.cid, run.sent_count, run.has_head, run.disconnected_at = (
             cid,
             int(last.rpartition(":")[2]) + 1 + self.skips,
             False,
--- a/sumachook/simulation/probe.py
+++ b/sumachook/simulation/probe.py
@@ -6,8 +6,8 @@
 from sumachook.host.effects import Fetch
 from sumachook.host.events import CallEvent, Event, ResponseReceived, Tick
 
-EVERY = timedelta(seconds=0.5)
-WAIT = timedelta(seconds=1)
+PROBE_INTERVAL = timedelta(seconds=0.5)
+PROBE_TIMEOUT = timedelta(seconds=1)
 KNOWN, UNKNOWN = 403, 401
 
 
@@ -15,19 +15,19 @@
     """Requests a record from each edge every 0.5 s with keys of callers without lookup permission.
 
     An edge that knows the key answers 403, any other 401; neither starts a request of its own. `present` and `absent`
-    map each key to the time of the acknowledgement that promised it. `notes` lists (edge, time, key, status,
+    map each key to the time of the acknowledgement that promised it. `answers` lists (edge, time, key, status,
     incarnation of the edge, promised status, time of the promise). See docs/design/simulation.md.
     """
 
-    __slots__ = ("deployment", "present", "absent", "notes", "next_at", "number", "waiting")
+    __slots__ = ("deployment", "present", "absent", "answers", "next_at", "number", "waiting")
 
     present: dict[str, timedelta]
     absent: dict[str, timedelta]
-    notes: list[Any]
+    answers: list[Any]
     waiting: dict[Any, Any]
 
     def __init__(self, deployment: Any) -> None:
-        self.deployment, self.present, self.absent, self.notes = deployment, {}, {}, []
+        self.deployment, self.present, self.absent, self.answers = deployment, {}, {}, []
         self.next_at, self.number, self.waiting = deployment.now, 0, {}
 
     def promise(self, present: Any = (), absent: Any = (), now: timedelta = timedelta(0)) -> None:
@@ -47,11 +47,11 @@
         if isinstance(event, CallEvent):
             if isinstance(event, ResponseReceived) and event.call_id in self.waiting:
                 edge, asked_at, key, incarnation, wanted, since = self.waiting.pop(event.call_id)
-                self.notes.append((edge, asked_at, key, event.status, incarnation, wanted, since))
+                self.answers.append((edge, asked_at, key, event.status, incarnation, wanted, since))
             return []
         if not isinstance(event, Tick) or now < self.next_at:
             return []
-        self.next_at, out = now + EVERY, []
+        self.next_at, out = now + PROBE_INTERVAL, []
         wanted = [(key, KNOWN, at) for key, at in self.present.items()] + [
             (key, UNKNOWN, at) for key, at in self.absent.items()
         ]
@@ -61,5 +61,7 @@
                 self.waiting[("probe", self.number)] = (box.name, now, key, box.incarnation, status, since)
                 headers = {"Authorization": f"Bearer {key}"}
                 url = f"http://{box.http_address}/records/probe"
-                out.append(Fetch(("probe", self.number), "GET", url, headers, b"", WAIT, WAIT, "whole"))
+                out.append(
+                    Fetch(("probe", self.number), "GET", url, headers, b"", PROBE_TIMEOUT, PROBE_TIMEOUT, "whole")
+                )
         return out
--- a/sumachook/simulation/quota_invariant_checker.py
+++ b/sumachook/simulation/quota_invariant_checker.py
@@ -8,8 +8,8 @@
 SECOND = timedelta(seconds=1)
 WINDOWS = (1, 3, 10)
 LEASE = 0.4  # seconds (docs/design/quotas.md)
-LEAST_BUSY = 6.0  # requests per second; below that rate no router borrows ahead of demand
-MEMORY = 10.0  # seconds for which demand above the floor counts against a tenant
+MIN_BORROWING_RATE = 6.0  # requests per second; below that rate no router borrows ahead of demand
+EXCESS_MEMORY = 10.0  # seconds for which demand above the floor counts against a tenant
 
 
 class Run(NamedTuple):
@@ -40,7 +40,7 @@
 
 
 class QuotaInvariantChecker:
-    """Lists violations of one tenant's ceiling (`over`) and floor (`short`), by the rules of docs/design/quotas.md."""
+    """Lists violations of one tenant's ceiling and floor by the rules of docs/design/quotas.md."""
 
     __slots__ = ("bounds",)
 
@@ -59,7 +59,7 @@
         most = bounds.ceiling[place] * (window + 2 * LEASE) + bounds.burst[place] + changes * bounds.floor_burst[place]
         return most + (sides * (bounds.floor[place] * window + bounds.floor_burst[place]) if is_disturbed else 0.0)
 
-    def over(self, runs: Any, span: Any = None, **state: Any) -> Iterator[str]:
+    def ceiling_violations(self, runs: Any, span: Any = None, **state: Any) -> Iterator[str]:
         """Yields windows in which more than the bound ran; with `span` (start, end), only runs in it are checked."""
         runs = sorted(run for run in runs if span is None or span[0] <= run.at < span[1])
         times = [run.at for run in runs]
@@ -76,7 +76,7 @@
                         yield f"{counts[place]:.0f} {what} in {window} s from {start}, at most {most:.1f}"
                         return
 
-    def short(self, asks: Any, stranded: float = 0.0, span: Any = None) -> Iterator[str]:
+    def floor_violations(self, asks: Any, stranded: float = 0.0, span: Any = None) -> Iterator[str]:
         """Yields calls that were refused although the tenant's demand was within its floor (docs/design/quotas.md).
 
         `stranded` is the number of requests that may lie unused at routers in fractions below one, one for each
@@ -86,15 +86,15 @@
             if level >= 1.0 and ask.is_refused and (span is None or span[0] <= ask.at < span[1]):
                 yield f"a call at {ask.at} was refused while {level:.1f} requests of the floor were left"
 
-    def inside(self, asks: Any, stranded: float = 0.0) -> int:
-        """Counts the calls that were within the floor, which `short` would report if they had been refused."""
+    def count_within_floor(self, asks: Any, stranded: float = 0.0) -> int:
+        """Counts the calls within the floor, which `floor_violations` would report if they were refused."""
         return sum(level >= 1.0 for _, level in self._levels(asks, stranded))
 
     def _levels(self, asks: Any, stranded: float) -> Iterator[Any]:
         """Yields each call with the level of the floor's token bucket just before it."""
         rate, depth = self.bounds.floor[0], self.bounds.floor_burst[0]
-        depth -= stranded + (2 * LEASE * rate if rate > LEAST_BUSY else 0.0)
-        least = -max(MEMORY * rate, self.bounds.burst[0])
+        depth -= stranded + (2 * LEASE * rate if rate > MIN_BORROWING_RATE else 0.0)
+        least = -max(EXCESS_MEMORY * rate, self.bounds.burst[0])
         level, last = depth, None
         for ask in sorted(asks):
             level = min(depth, level + rate * ((ask.at - last) / SECOND if last is not None else 0.0))
--- a/sumachook/simulation/report.py
+++ b/sumachook/simulation/report.py
@@ -43,7 +43,9 @@
     times: dict[Any, Any] = {}
     for call in calls:
         if call.outcome == "ok":
-            times.setdefault(call.group, []).append(((call.first_at or call.ended_at) - call.sent_at).total_seconds())
+            times.setdefault(call.group, []).append(
+                ((call.first_token_at or call.ended_at) - call.sent_at).total_seconds()
+            )
     table = [f"{'class':<12}{'outcome':<10}{'fault':<22}{'calls':>7}"]
     table += [
         f"{group:<12}{outcome:<10}{fault:<22}{count:>7}" for (group, outcome, fault), count in sorted(rows.items())
--- a/sumachook/simulation/simulated_files.py
+++ b/sumachook/simulation/simulated_files.py
@@ -9,7 +9,7 @@
 
 from sumachook.storage.file_system import FileSystem
 
-LOSE_ALL = 0.25  # probability that a power failure loses every unsynced change
+LOSE_ALL_PROBABILITY = 0.25  # probability that a power failure loses every unsynced change
 
 
 class ProcessEndedError(Exception):
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self.durable, self.current = b"", bytearray()
-        self.changes: list[tuple[Any, ...]] = []  # ("write", place, bytes) or ("length", length)
+        self.changes: list[tuple[Any, ...]] = []  # ("write", position, bytes) or ("length", length)
 
     def write(self, raw: bytes) -> None:
         """Appends bytes, which are not durable before the next sync."""
@@ -32,7 +32,7 @@
     def change(self, *change: Any) -> None:
         """Applies a change to the content and records it as unsynced until the next sync."""
         self.changes.append(change)
-        _carry_out(self.current, change)
+        _apply_change(self.current, change)
 
     def sync(self) -> None:
         """Makes all changes of the content durable."""
@@ -46,7 +46,7 @@
             if fate == "torn" and change[0] == "write":
                 change = _torn(change, random)
             if fate != "absent":
-                _carry_out(content, change)
+                _apply_change(content, change)
         self.current = content
         self.sync()
 
@@ -138,7 +138,7 @@
 
     def lose_power(self) -> None:
         """Keeps or loses each unsynced change independently; with a probability of 0.25 loses all of them."""
-        loses_all = self.random.random() < LOSE_ALL
+        loses_all = self.random.random() < LOSE_ALL_PROBABILITY
         files = dict(self.durable_names)
         for change in [] if loses_all else self.name_changes:
             if self.random.random() < 0.5:
@@ -177,14 +177,14 @@
         _rename_in(self.files, change)
 
 
-def _carry_out(content: bytearray, change: tuple[Any, ...]) -> None:
+def _apply_change(content: bytearray, change: tuple[Any, ...]) -> None:
     if change[0] == "length":
         del content[change[1] :]
         content.extend(bytes(change[1] - len(content)))
         return
-    _, place, raw = change
-    content.extend(bytes(max(0, place - len(content))))
-    content[place : place + len(raw)] = raw
+    _, position, raw = change
+    content.extend(bytes(max(0, position - len(content))))
+    content[position : position + len(raw)] = raw
 
 
 def _torn(change: tuple[Any, ...], random: Random) -> tuple[Any, ...]:
@@ -192,14 +192,14 @@
 
     Zeros stand for a file whose length was updated but not its data.
     """
-    _, place, raw = change
+    _, position, raw = change
     first, last = sorted((random.randint(0, len(raw)), random.randint(0, len(raw))))
     kept = random.choice(("head", "end", "zeros"))
     if kept == "head":
-        return ("write", place, raw[:last])
+        return ("write", position, raw[:last])
     if kept == "end":
-        return ("write", place + first, raw[first:])
-    return ("write", place, raw[:first] + bytes(last - first) + raw[last:])
+        return ("write", position + first, raw[first:])
+    return ("write", position, raw[:first] + bytes(last - first) + raw[last:])
 
 
 def _rename_in(files: dict[str, Any], change: dict[str, Any]) -> None:
--- a/tests/deployment_fixtures.py
+++ b/tests/deployment_fixtures.py
@@ -95,9 +95,9 @@
 
 def quiet(deployment):
     """Callers that call only when told to, by `ask`."""
-    callers = deployment.call_in(1.0, [])
+    callers = deployment.start_callers(1.0, [])
     callers.groups = deployment.spec.traffic
-    callers.due = {each["name"]: timedelta(days=9) for each in deployment.spec.traffic}
+    callers.next_request_at = {each["name"]: timedelta(days=9) for each in deployment.spec.traffic}
     return callers
 
 
--- a/tests/inference/test_requests.py
+++ b/tests/inference/test_requests.py
@@ -93,10 +93,10 @@
     _earn(deployment)
     primary, _ = _pair(deployment, "refund-03")
     call = ask(deployment, callers, "refunds", model="refund-03")
-    assert deployment.run_until(lambda: call.first_at is not None, 3)
+    assert deployment.run_until(lambda: call.first_token_at is not None, 3)
     deployment.kill(primary)
     deployment.run(6)
-    assert call.outcome == "cut" and call.finish is None and call.fault_class == "cut" and call.run == "yes"
+    assert call.outcome == "cut" and call.finish_reason is None and call.fault_class == "cut" and call.run == "yes"
     assert invariant_checker(deployment, callers).faults() == []
 
 
@@ -124,7 +124,7 @@
     callers = quiet(deployment)
     _earn(deployment)
     call = ask(deployment, callers, "refunds", model="refund-04")
-    assert deployment.run_until(lambda: call.first_at is not None, 3)
+    assert deployment.run_until(lambda: call.first_token_at is not None, 3)
     edge = deployment.boxes[call.edge]
     exchange = next(
         item for item in deployment.exchanges.values() if item.client is edge and item.client_call_id[0] == "prompt"
@@ -146,7 +146,7 @@
     for server in deployment.machines("model"):
         server.rates["refund-04"] = 9.0
     call = ask(deployment, callers, "refunds", model="refund-04")
-    assert deployment.run_until(lambda: call.first_at is not None, 3)
+    assert deployment.run_until(lambda: call.first_token_at is not None, 3)
     for server in deployment.machines("model"):
         server.skips = 1
     edge = deployment.boxes[call.edge]
@@ -256,12 +256,12 @@
     crowded = {server for place in (1, 2, 3) for server in pairs[f"audit-0{place}"]}
     beside = [model for model, pair in pairs.items() if not model.startswith("audit") and set(pair) - {""} <= crowded]
     assert beside  # shop prompts that have nowhere to go but where the audits are
-    callers = deployment.call_in(1.0, [group(deployment, "stamps"), group(deployment, "claims", models=beside)])
+    callers = deployment.start_callers(1.0, [group(deployment, "stamps"), group(deployment, "claims", models=beside)])
     deployment.run(10)
     calm = max(call.ended_at - call.sent_at for call in outcomes(callers, group="stamps", outcome="ok"))
     for server in deployment.machines("model"):
         server.rates |= {name: 4.0 for name in server.rates if name.startswith("audit")}
-    flood = deployment.call_in(1.0, [group(deployment, "audits", rate=30.0)], "flood")
+    flood = deployment.start_callers(1.0, [group(deployment, "audits", rate=30.0)], "flood")
     deployment.run(20)
     flood.is_on = callers.is_on = False
     deployment.run(3)
@@ -275,7 +275,7 @@
 def test_resends_stay_near_a_fifth_over_all_nodes():
     """Rule 7. Given half the servers refusing connections, resends over all edges stay within a fifth of the first tries."""
     deployment = settled(43, edges=5)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(5)
     for name in ("model-1", "model-2", "model-3", "stamps-1", "stamps-2"):
         deployment.kill(name)
@@ -291,7 +291,7 @@
     """Rule 7. Given records servers that are all busy without end, which opens no breaker, resends still stay near a
     fifth; what finds no credit is told so with a time to come back."""
     deployment = settled(50, edges=5)
-    callers = deployment.call_in(2.0, [group(deployment, "stamps")])
+    callers = deployment.start_callers(2.0, [group(deployment, "stamps")])
     deployment.run(4)
     for name in ("stamps-1", "stamps-2", "stamps-3"):
         deployment.boxes[name].machine.is_busy = True
@@ -323,7 +323,7 @@
     deployment = settled(45)
     callers = quiet(deployment)
     call = ask(deployment, callers, "refunds", model="refund-07")
-    assert deployment.run_until(lambda: call.first_at is not None, 3)
+    assert deployment.run_until(lambda: call.first_token_at is not None, 3)
     request = next(
         request for edge in deployment.machines("edge") for request in edge.inference_pipeline.table.requests.values()
     )
@@ -350,7 +350,7 @@
 def test_stop_drains_and_says_so_first():
     """Given an edge told to stop in mid-stream, its streams end well, new calls are sent elsewhere, and it ends by itself."""
     deployment = settled(47)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(4)
     deployment.stop("edge-1")
     deployment.run(12)
@@ -365,7 +365,7 @@
 def test_edge_that_was_cut_off_serves_again_soon_after():
     """Given an edge isolated for four seconds under lookups, it answers them again within two seconds of the cut's end."""
     deployment = settled(48, "central-java", edges=3)
-    callers = deployment.call_in(1.0, [group(deployment, "status")], edges=["edge-1"])
+    callers = deployment.start_callers(1.0, [group(deployment, "status")], edges=["edge-1"])
     deployment.run(5)
     deployment.cut(["edge-1"], [name for name in deployment.boxes if name not in ("edge-1", "callers", "operator")])
     deployment.run(4)
@@ -382,12 +382,12 @@
     """Rule 7. Given a long calm and then every records server and half the others refusing under a crowd, no window sees more than a fifth and what
     the edges may have saved up; afterwards all is answered again."""
     deployment = settled(83, edges=5)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(45)
     names = [box.name for box in deployment.boxes.values() if box.role == "records"] + ["model-1", "model-3", "model-5"]
     for name in names:
         deployment.boxes[name].machine.is_busy = True
-    crowd = deployment.call_in(5.0, name="crowd")
+    crowd = deployment.start_callers(5.0, name="crowd")
     deployment.run(6)
     crowd.is_on = False
     deployment.run(20)
@@ -406,7 +406,7 @@
     """Given records servers that crash, go dark or slow, one area's or all of them, lookups move on within their patience."""
     for how in ("killed", "dark", "vanished", "all dark"):
         deployment = settled(84, "central-java", edges=4)
-        callers = deployment.call_in(1.0, [group(deployment, "status")])
+        callers = deployment.start_callers(1.0, [group(deployment, "status")])
         deployment.run(4)
         names = ["records-1", "records-2", "records-3"] if how == "all dark" else ["records-1", "records-2"]
         for name in names:
@@ -440,7 +440,7 @@
     asked is answered by the others, with few resends."""
     deployment = settled(88, edges=4)
     model, (primary, _) = next(item for item in leader(deployment).state.pairs.items() if item[1][1])
-    callers = deployment.call_in(2.0, [group(deployment, "stamps"), group(deployment, "refunds", models=[model])])
+    callers = deployment.start_callers(2.0, [group(deployment, "stamps"), group(deployment, "refunds", models=[model])])
     deployment.run(8)
     for name in ("stamps-1", "stamps-2", primary):
         deployment.boxes[name].machine.is_busy = True
--- a/tests/ledger/test_day_logs.py
+++ b/tests/ledger/test_day_logs.py
@@ -22,7 +22,7 @@
     deployment = settled(91, edges=4)
     deployment.start_time = datetime(2026, 3, 3, tzinfo=UTC) - deployment.now - timedelta(seconds=6)
     deployment.run(1)
-    callers = deployment.call_in(3.0)
+    callers = deployment.start_callers(3.0)
     deployment.run(4.6)
     deployment.kill("edge-1")
     deployment.run(8)
@@ -37,7 +37,7 @@
     """Rule 12. Given a core and an edge whose wall clocks jump by a day, then all clocks jumping apart, rows stand in the day that
     it is; also those of an edge that starts with a wrong clock."""
     deployment = settled(92, edges=4)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(2)
     deployment.boxes["core-2"].clock.jump, deployment.boxes["edge-2"].clock.jump = DAY, -DAY
     deployment.run(4)
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -48,7 +48,7 @@
 def test_requests_of_a_killed_edge_are_closed_as_lost_in_that_days_log():
     """Given an edge killed with requests in hand, each is in the day's log as lost and may have run."""
     deployment = settled(52)
-    callers = deployment.call_in(4.0, edges=["edge-1"])
+    callers = deployment.start_callers(4.0, edges=["edge-1"])
     deployment.run(5)
     deployment.kill("edge-1")
     callers.is_on = False
@@ -67,7 +67,7 @@
 def test_records_kept_for_an_absent_replica_are_handed_off_once():
     """Given a replica that is away for a while, others keep its records and hand them off; nothing is doubled or missing."""
     deployment = settled(53)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(3)
     deployment.kill("core-3")
     deployment.run(8)
@@ -97,7 +97,7 @@
     bound, record_file.MAX_STORED_RECORDS = record_file.MAX_STORED_RECORDS, 200
     try:
         deployment = settled(54)
-        callers = deployment.call_in(3.0)
+        callers = deployment.start_callers(3.0)
         for step in range(12):
             deployment.run(1.5 + 0.013 * step)
             name = f"core-{step % 3 + 1}"
@@ -122,7 +122,7 @@
     return, and each request that was late or dropped is in that day's log."""
     for seed, name in ((55, "kosice"), (56, "central-java")):
         deployment = settled(seed, name, edges=None)
-        callers = deployment.call_in(1.0)
+        callers = deployment.start_callers(1.0)
         deployment.run(6)
         ours = [box.name for box in deployment.boxes.values() if box.role in ("core", "edge")]
         for node in ours:
@@ -144,7 +144,7 @@
 def test_leader_is_not_needed_for_serving():
     """Given all cores gone, edges go on answering safe calls from their image, only within their own area after three seconds."""
     deployment = settled(57, edges=6)
-    callers = deployment.call_in(1.0)
+    callers = deployment.start_callers(1.0)
     deployment.run(3)
     for place in (1, 2, 3):
         deployment.kill(f"core-{place}")
@@ -168,7 +168,7 @@
 def test_edge_with_a_disk_hands_in_after_its_return_what_it_could_not_before():
     """Given an isolated edge that refuses and serves and is then killed, its requests are in the day's log once it is back."""
     deployment = settled(58, edges=2, data="disk")
-    callers = deployment.call_in(2.0, edges=["edge-1"])
+    callers = deployment.start_callers(2.0, edges=["edge-1"])
     deployment.run(2)
     deployment.cut(["edge-1"], ["core-1", "core-2", "core-3", "edge-2"])
     deployment.run(6)
@@ -200,7 +200,7 @@
     """Rule 12. Given traffic and a crowd, when every node is lost in one instant and none returns, each call that was in hand
     stands in that day's log, on disks alone."""
     deployment = settled(85, edges=5)
-    callers = deployment.call_in(3.0)
+    callers = deployment.start_callers(3.0)
     deployment.run(6)
     for box in list(deployment.boxes.values()):
         if box.role in ("core", "edge"):
@@ -215,7 +215,7 @@
     """Rule 12. Given an edge without a disk that reaches other edges but no core, serves and refuses, and then dies for good, its
     requests are in the day's log."""
     deployment = settled(86, edges=4)
-    callers = deployment.call_in(2.0, edges=["edge-1"])
+    callers = deployment.start_callers(2.0, edges=["edge-1"])
     deployment.run(2)
     deployment.cut(["edge-1"], ["core-1", "core-2", "core-3"])
     deployment.run(6)
--- a/tests/nodes/test_control_plane.py
+++ b/tests/nodes/test_control_plane.py
@@ -377,11 +377,11 @@
 
     for how in ("kill", "freeze", "cut"):
         deployment = settled(74, edges=4)
-        callers = deployment.call_in(1.0)
+        callers = deployment.start_callers(1.0)
         fault_injection = FaultInjection(deployment, callers, 74)
         for step in range(3):
             if step < 2:
-                assert fault_injection._change({"routes": [{"name": f"after-{step}", "target": "refund-01"}]}), how
+                assert fault_injection._apply_part({"routes": [{"name": f"after-{step}", "target": "refund-01"}]}), how
             else:
                 assert (
                     deployment.ask("core-1", "POST", "/operator/evacuate", {"request": "out", "area": "hall-b"})[0]
@@ -405,7 +405,7 @@
         deployment.run(5)
         assert invariant_checker(deployment, callers).faults() == [], how
         assert (
-            sum(note[3] == note[5] for note in deployment.probe.notes) > 100
+            sum(note[3] == note[5] for note in deployment.probe.answers) > 100
             and len(invariant_checker(deployment, callers).evacuations()) == 1
         )
 
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -176,7 +176,7 @@
 def test_what_waits_for_a_hanging_disk_stays_bounded_under_load():
     """Given a core's disk that hangs for ten seconds under traffic, little waits for it, and every late call is in a day's log."""
     deployment = settled(740)
-    callers = deployment.call_in(4.0)
+    callers = deployment.start_callers(4.0)
     deployment.run(2)
     deployment.boxes["core-2"].disk.stalled_until = deployment.now + SECOND * 10
     most = 0
@@ -193,7 +193,7 @@
 def test_no_row_is_acknowledged_by_a_keeper_whose_disk_is_full():
     """Given a keeper that cannot write, the others keep its rows, and it is handed them once it can."""
     deployment = settled(750)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(2)
     _fill(deployment, "core-3", 6)
     deployment.run(6.5)
@@ -216,7 +216,7 @@
     Before, it stopped with exit code 3 and stayed away until somebody moved its folder."""
     deployment = settled(760)
     callers = quiet(deployment)
-    deployment.call_in(3.0, name="more")
+    deployment.start_callers(3.0, name="more")
     deployment.run(4)
     former = deployment.boxes["core-1"].machine.node
     deployment.kill("core-1")
--- a/tests/nodes/test_disks_and_power.py
+++ b/tests/nodes/test_disks_and_power.py
@@ -114,7 +114,7 @@
     """Given callers, then the loss of one disk and of the power of all other machines, edges too, no call runs against the rules, and
     all that are made later than the recovery time after the return are served."""
     deployment = settled(700)
-    callers = deployment.call_in(1.0)
+    callers = deployment.start_callers(1.0)
     deployment.run(3.0)
     bring_back(deployment, lose_all(deployment, wiped))
     back_at = deployment.now
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -46,7 +46,7 @@
     """Rule 4. From three seconds after the platform lists a server as leaving, it gets no new request; its streams
     complete."""
     deployment = settled(23)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(5)
     busiest = max(
         (name for name in deployment.arrivals if "model" in name), key=lambda name: len(deployment.arrivals[name])
@@ -65,7 +65,7 @@
 def test_evacuated_zone_gets_no_requests_after_five_seconds():
     """Rule 6. From five seconds after the evacuation of a zone until its restoration, no request enters it."""
     deployment = settled(24, edges=6)
-    callers = deployment.call_in(1.5)
+    callers = deployment.start_callers(1.5)
     check = invariant_checker(deployment, callers)
     deployment.run(4)
     assert deployment.ask("core-1", "POST", "/operator/evacuate", {"request": "out", "area": "hall-b"})[0] == 200
@@ -90,7 +90,7 @@
     """When all machines of a zone vanish at once, calls elsewhere keep succeeding and each busy model gets two replicas
     again."""
     deployment = settled(25, edges=6)
-    callers = deployment.call_in(1.0, edges=["edge-1", "edge-2", "edge-4", "edge-5"])
+    callers = deployment.start_callers(1.0, edges=["edge-1", "edge-2", "edge-4", "edge-5"])
     deployment.run(3)
     for box in list(deployment.boxes.values()):
         if box.zone == "hall-c":
@@ -182,7 +182,7 @@
     partitioned or cut off from the platform when they are listed as leaving, or if two cores are killed."""
     for place, how in enumerate(("killed", "frozen", "split off", "cut off from the platform", "two killed")):
         deployment = settled(73 + place, edges=3)
-        callers = deployment.call_in(2.0)
+        callers = deployment.start_callers(2.0)
         deployment.run(3)
         lead = next(box.name for box in deployment.boxes.values() if box.machine is leader(deployment))
         rest = [name for name in ("core-1", "core-2", "core-3") if name != lead]
@@ -232,7 +232,7 @@
 def test_empty_server_list_does_not_remove_all_servers():
     """While the platform's server list is empty and then invalid for eight seconds, every call is still answered."""
     deployment = settled(78)
-    callers = deployment.call_in(1.5)
+    callers = deployment.start_callers(1.5)
     platform = deployment.boxes["platform"].machine
     deployment.run(3)
     before, platform.servers = platform.servers, {}
@@ -252,7 +252,7 @@
     deployment = settled(79)
     deployment.boxes["platform"].machine.servers["stamps-1"]["area"] = "nowhere"
     deployment.run(3)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     zones = [zone for zone in deployment.spec.catalogue["areas"] if zone != "hall-c"]
     status, _ = deployment.ask(
         "core-1", "POST", "/operator/apply", {"request": "less", "doc": {"areas": zones}, "part": True}
--- a/tests/placement/test_provisioning.py
+++ b/tests/placement/test_provisioning.py
@@ -34,7 +34,7 @@
     or 409: counting a poll as an order would make the next sequence number wrong."""
     for repeat in (202, 409):
         simulation = ProvisionerSimulation(servers=1)
-        simulation.engines["i-0"].repeat, simulation.engines["i-0"].slowness = repeat, lambda: 1.4
+        simulation.engines["i-0"].repeat_status, simulation.engines["i-0"].load_slowdown = repeat, lambda: 1.4
         simulation.run(timedelta(seconds=1))
         for model in ("m1", "m2"):
             simulation.request(model)
@@ -67,7 +67,7 @@
     )
     simulation.delay = lambda: MS * simulation.random.choice((1, 1, 2, 2, 3, 5, 40, 400))
     for engine in simulation.engines.values():
-        engine.repeat = random.choice((202, 409))
+        engine.repeat_status = random.choice((202, 409))
     for turn in range(100):
         names = [
             f"m{random.randrange(14)}" + random.choice(("", "", f"/a{random.randrange(1, 9)}"))
@@ -177,7 +177,7 @@
     for engine in simulation.engines.values():
 
         def take(method, path, body, now, engine=engine, plain=engine.take):
-            engine._settle(now)
+            engine._finish_order(now)
             if method == "POST" and engine.busy is not None:
                 order = msgspec.json.decode(body)
                 if (order["verb"], order["model"], order.get("adapter", "")) != engine.busy[1:]:
@@ -233,7 +233,7 @@
     """Once the first of equally long loads have completed, each further load needs only a few polls."""
     simulation = ProvisionerSimulation(models=40, servers=3)
     for engine in simulation.engines.values():
-        engine.slowness = lambda: 1.1
+        engine.load_slowdown = lambda: 1.1
     for number in range(36):
         simulation.request(f"m{number}")
         simulation.run(MS * 800)
--- a/tests/policies/test_policies.py
+++ b/tests/policies/test_policies.py
@@ -14,7 +14,7 @@
 def test_policies_are_swapped_under_traffic_and_each_request_keeps_its_own():
     """Given traffic with faults, a retry policy that allows nothing stops resends of later requests; swapped back, they go on."""
     deployment = settled(81, edges=3)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(6)
     assert _policies(deployment, "none", retry="attempt < 1")[0] == 200
     deployment.run(1)
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -13,8 +13,8 @@
     """What the witness says of one tenant."""
     invariant_checker = offices.invariant_checker(name)
     return [
-        *invariant_checker.over(offices.runs(name), **state),
-        *invariant_checker.short(offices.asked(name, but), stranded, span),
+        *invariant_checker.ceiling_violations(offices.runs(name), **state),
+        *invariant_checker.floor_violations(offices.asked(name, but), stranded, span),
     ]
 
 
--- a/tests/quotas/test_quotas_in_deployment.py
+++ b/tests/quotas/test_quotas_in_deployment.py
@@ -14,7 +14,7 @@
 from sumachook.host.effects import Send
 from sumachook.host.events import HttpRequestReceived, MessageReceived
 from sumachook.simulation.deployment import Deployment
-from sumachook.simulation.deployment_quotas import DeploymentShares
+from sumachook.simulation.deployment_quotas import DeploymentQuotas
 from sumachook.transport.node_message import wire_kind
 from tests.deployment_fixtures import ask, box_of, group, invariant_checker, is_held, leader, quiet, settled, spec
 
@@ -46,7 +46,7 @@
     deployment = settled(seed, name, edges, **more)
     answer = configure(deployment, TENANTS[name])
     assert answer and answer[0] == 200, answer
-    return deployment, DeploymentShares(deployment, TENANTS[name])
+    return deployment, DeploymentQuotas(deployment, TENANTS[name])
 
 
 def accountant(deployment):
@@ -58,7 +58,7 @@
     """Given ten times its allowance of lookups over three edges, what is let in stays within the bound; each refusal is a 429 at once, with run no and a time
     to come back, reached no server, and stands in the day's log with tenant, allowance and use."""
     deployment, shares = shared(1)
-    callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=600.0)])
+    callers = deployment.start_callers(1.0, [group(deployment, "stamps", rate=600.0)])
     deployment.run(8)
     callers.is_on = False
     deployment.run(3)
@@ -69,7 +69,7 @@
     )
     assert max(call.ended_at - call.sent_at for call in refused) < SECOND / 20
     assert (
-        list(shares.invariant_checker("status").over(shares.runs("status"))) == []
+        list(shares.invariant_checker("status").ceiling_violations(shares.runs("status"))) == []
         and len(shares.runs("status")) > 60 * 8 * 0.9
     )
     rows = {
@@ -95,7 +95,7 @@
     """Given a flood of one tenant and a little of another, any core shows what is allowed, used, lent and refused by tenant and router, and edges and the
     lender have it among their figures."""
     deployment, _ = shared(2)
-    deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims")])
+    deployment.start_callers(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims")])
     deployment.run(6)
     for core in ("core-1", "core-2", "core-3"):
         status, doc = deployment.ask(core, "GET", "/show/allowances")
@@ -123,18 +123,23 @@
     for is_flooded in (False, True):
         deployment, shares = shared(3, name, 4)
         light = [each for each in deployment.spec.traffic if each["name"] != flooding]
-        callers = deployment.call_in(1.0, light)
+        callers = deployment.start_callers(1.0, light)
         if is_flooded:
-            deployment.call_in(1.0, [group(deployment, flooding, rate=10.0)], "flood")
+            deployment.start_callers(1.0, [group(deployment, flooding, rate=10.0)], "flood")
         deployment.run(25)
         found = {}
         for each in light:
             calls = [call for call in callers.calls if call.group == each["name"] and call.outcome != "pending"]
             assert not any(call.fault_class == "allowance" for call in calls)
-            waits = sorted((call.first_at or call.ended_at) - call.sent_at for call in calls if call.outcome == "ok")
+            waits = sorted(
+                (call.first_token_at or call.ended_at) - call.sent_at for call in calls if call.outcome == "ok"
+            )
             found[each["name"]] = (waits[len(waits) // 2], waits[int(len(waits) * 0.99)])
         times.append(found)
-        assert all(list(shares.invariant_checker(tenant).over(shares.runs(tenant))) == [] for tenant in shares.tenants)
+        assert all(
+            list(shares.invariant_checker(tenant).ceiling_violations(shares.runs(tenant))) == []
+            for tenant in shares.tenants
+        )
     for each, (median, late) in times[0].items():
         slack = LOOKUP_SLACK if each in ("stamps", "status") else PROMPT_SLACK
         assert times[1][each][0] <= median + slack and times[1][each][1] <= late * 1.25 + slack, (each, times)
@@ -143,7 +148,7 @@
 def test_the_accountant_is_lost_and_nobody_inside_a_floor_notices():
     """Given the core killed that lends, lookups at half of their floor go on without a refusal, until another lends and after."""
     deployment, shares = shared(4, edges=4)
-    callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
+    callers = deployment.start_callers(1.0, [group(deployment, "stamps", rate=24.0)])
     deployment.run(4)
     lost = box_of(deployment, accountant(deployment)).name
     deployment.kill(lost)
@@ -151,14 +156,17 @@
     deployment.run(5)
     calls = [call for call in shares.calls("status") if call.outcome != "pending"]
     assert len(calls) > 150 and not any(call.fault_class == "allowance" for call in calls)
-    assert list(shares.invariant_checker("status").over(shares.runs("status"), changes=1, is_disturbed=True)) == []
+    assert (
+        list(shares.invariant_checker("status").ceiling_violations(shares.runs("status"), changes=1, is_disturbed=True))
+        == []
+    )
     assert callers.calls
 
 
 def test_a_lender_that_stood_still_answers_nothing_that_lay_in_its_buffer():
     """Given the core that lends frozen until another has its duty, what edges asked meanwhile gets no answer when it wakes, before its first pulse."""
     deployment, _ = shared(8)
-    deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
+    deployment.start_callers(1.0, [group(deployment, "stamps", rate=24.0)])
     deployment.run(2)
     old = accountant(deployment)
     name = box_of(deployment, old).name
@@ -197,7 +205,9 @@
 def test_edges_restart_one_by_one_under_a_flood_and_a_promise_is_kept():
     """Given a flood while edges leave in order and start again one by one, nothing told as not run has run, and what ran stays within the bound."""
     deployment, shares = shared(5, edges=4)
-    callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims", rate=20.0)])
+    callers = deployment.start_callers(
+        1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims", rate=20.0)]
+    )
     deployment.run(2)
     for name in ("edge-1", "edge-2", "edge-3", "edge-4"):
         deployment.stop(name)
@@ -207,14 +217,14 @@
     callers.is_on = False
     deployment.run(15)
     for tenant in ("status", "shops"):
-        assert list(shares.invariant_checker(tenant).over(shares.runs(tenant))) == []
+        assert list(shares.invariant_checker(tenant).ceiling_violations(shares.runs(tenant))) == []
     assert invariant_checker(deployment, callers).faults() == []
 
 
 def test_an_allowance_is_changed_while_traffic_flows_and_wrong_ones_change_nothing():
     """Given a flood, a halved allowance is what is let in from the acknowledgement on; one with faults is refused by path and changes nothing."""
     deployment, shares = shared(6)
-    deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0)])
+    deployment.start_callers(1.0, [group(deployment, "stamps", rate=300.0)])
     deployment.run(4)
     status, answer = configure(deployment, [{"name": "status", "requestsPerS": -1.0, "callers": ["nobody"]}], "wrong")
     assert status != 200 and {fault["path"] for fault in answer["faults"]} == {
@@ -273,7 +283,7 @@
     assert used and all(in_use <= max(1, limit // 2) for in_use, limit in used.values()), used
     clerk = ask(deployment, callers, "refunds", edge="edge-1", model=model)
     deployment.run(60)
-    assert clerk.outcome == "ok" and clerk.first_at - clerk.sent_at < SECOND / 3
+    assert clerk.outcome == "ok" and clerk.first_token_at - clerk.sent_at < SECOND / 3
     assert (
         not any(call.fault_class == "allowance" for call in claims)
         and sum(call.outcome == "ok" for call in claims) >= 30
--- a/tests/simulation/test_quota_invariant_checker.py
+++ b/tests/simulation/test_quota_invariant_checker.py
@@ -10,17 +10,17 @@
 def test_more_than_the_bound_and_refusals_inside_the_floor_are_seen():
     """Given 10 a second with a second saved up: 28 within a second are within the bound, 60 are not; nor are 130 in ten seconds."""
     invariant_checker = QuotaInvariantChecker(_bounds())
-    assert list(invariant_checker.over([Run(SECOND * place / 100) for place in range(28)])) == []
-    assert "in 1 s" in next(invariant_checker.over([Run(SECOND * place / 100) for place in range(60)]))
-    assert "in 10 s" in next(invariant_checker.over([Run(SECOND * place / 13) for place in range(200)]))
+    assert list(invariant_checker.ceiling_violations([Run(SECOND * place / 100) for place in range(28)])) == []
+    assert "in 1 s" in next(invariant_checker.ceiling_violations([Run(SECOND * place / 100) for place in range(60)]))
+    assert "in 10 s" in next(invariant_checker.ceiling_violations([Run(SECOND * place / 13) for place in range(200)]))
     steady = [Ask(SECOND * place / 4, False) for place in range(80)]
     assert (
-        list(invariant_checker.short(steady)) == []
-        and len(list(invariant_checker.short([*steady, Ask(SECOND * 9.9, True)]))) == 1
+        list(invariant_checker.floor_violations(steady)) == []
+        and len(list(invariant_checker.floor_violations([*steady, Ask(SECOND * 9.9, True)]))) == 1
     )
     assert (
         list(
-            invariant_checker.short(
+            invariant_checker.floor_violations(
                 [Ask(SECOND * place / 20, place > 8 and place % 2 > 0) for place in range(400)], 1.0
             )
         )
@@ -33,5 +33,7 @@
     invariant_checker = QuotaInvariantChecker(
         Bounds((float("inf"), 100.0), (float("inf"), 50.0), (float("inf"), 100.0), (float("inf"), 50.0))
     )
-    assert list(invariant_checker.over([Run(SECOND * place, 90.0, 400.0) for place in range(20)])) == []
-    assert "tokens in 3 s" in next(invariant_checker.over([Run(SECOND * place, 300.0, 300.0) for place in range(20)]))
+    assert list(invariant_checker.ceiling_violations([Run(SECOND * place, 90.0, 400.0) for place in range(20)])) == []
+    assert "tokens in 3 s" in next(
+        invariant_checker.ceiling_violations([Run(SECOND * place, 300.0, 300.0) for place in range(20)])
+    )
