--- a/tests/simulation/test_deployment.py
+++ b/tests/simulation/test_deployment.py
@@ -1,4 +1,4 @@
-"""A city that has been up for long: its servers hold their models, and a fleet that joins it serves at once."""
+"""Deployments whose servers already have their models loaded when the fleet starts."""
 
 import pytest
 
@@ -7,8 +7,8 @@
 
 
 @pytest.mark.parametrize("name", ["kosice", "central-java"])
-def test_a_fleet_that_joins_servers_which_hold_their_models_is_up_in_seconds_and_loads_nothing(name):
-    """Given servers that hold what the plan puts there, all pairs are held within three seconds of the catalogue, by no load."""
+def test_new_fleet_adopts_loaded_models_within_seconds_without_loads(name):
+    """Servers have the planned models loaded; within 3 s of the catalogue all replicas are in place, with no load ordered."""
     deployment = found(91, name, edges=None)
     for server, items in initial_placement(deployment.spec).items():
         deployment.boxes[server].machine.held = dict.fromkeys(items, "loaded")
@@ -20,8 +20,8 @@
 
 
 @pytest.mark.parametrize("name", ["kosice", "central-java"])
-def test_what_servers_hold_at_first_keeps_to_their_room_and_places(name):
-    """Given the holdings of a city, no server holds more than its memory or adapter places, and every model is somewhere."""
+def test_initial_placement_respects_memory_and_adapter_places(name):
+    """The initial placement exceeds no server's memory or adapter places, and puts every model on some server."""
     deployment = found(92, name)
     sizes = {item["name"]: item["memory"] for item in deployment.spec.catalogue["models"]}
     adapters = {item["name"]: item for item in deployment.spec.catalogue["adapters"]}
--- a/tests/simulation/test_fault_injection.py
+++ b/tests/simulation/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Seeded storms: the rules under faults combined, and that all comes back."""
+"""Seeded random faults over a whole deployment: invariants hold and the deployment recovers."""
 
 import pytest
 
@@ -6,10 +6,11 @@
 
 
 @pytest.mark.parametrize("seed", [100, 114, 118, 121])
-def test_storm_breaks_no_rule_and_passes(seed):
-    """Given a whole city under random faults, no rule is broken at any time, and after the calm everything is as it was; every
-    third storm ends with all nodes lost, and the disks have the last word.
+def test_random_faults_break_no_invariant_and_deployment_recovers(seed):
+    """Random faults break no invariant, and after the recovery period everything is as before; in every third seed the run
+    ends with the loss of all nodes, and only what is on the disks is checked.
 
-    100 and 121 once showed slips, 114 a view that stood for ever and acknowledged nothing, 118 calls in no log.
+    Seeds 100 and 121 once showed edges that reverted a change, 114 a view that lasted but acknowledged nothing, 118 calls
+    missing in every log.
     """
     assert play(seed)[4] == []
--- a/tests/simulation/test_fleet_links.py
+++ b/tests/simulation/test_fleet_links.py
@@ -1,4 +1,7 @@
-"""Links of the in-memory fleet that deliver late what a cut held, as TCP does (docs/design/simulation.md)."""
+"""Links of the in-memory fleet that hold messages during a cut and deliver them late, as TCP does.
+
+docs/design/simulation.md describes them.
+"""
 
 from datetime import timedelta
 
@@ -10,16 +13,16 @@
 
 
 class Recorder:
-    """A machine that keeps the numbers it hears, each with the time at which it took them."""
+    """State machine that records each number it receives with the time of receipt."""
 
-    __slots__ = ("heard",)
+    __slots__ = ("received",)
 
     def __init__(self):
-        self.heard = []
+        self.received = []
 
     def take(self, message, now):
         if isinstance(message, MessageReceived):
-            self.heard.append((message.message.number, now.total_seconds()))
+            self.received.append((message.message.number, now.total_seconds()))
         return []
 
 
@@ -36,11 +39,11 @@
 
 
 def _numbers(fleet, name="b"):
-    return [number for number, _ in fleet.boxes[name].machine.heard]
+    return [number for number, _ in fleet.boxes[name].machine.received]
 
 
-def test_what_a_cut_held_comes_at_its_end_in_order_and_before_what_was_sent_later():
-    """Given a cut that holds, what was sent during it arrives when it heals, in order, before what is sent after the heal."""
+def test_held_messages_arrive_in_order_on_heal_before_later_ones():
+    """Messages sent during a holding cut arrive in order when it heals, before those sent after the heal."""
     fleet = _pair()
     fleet.cut(["a"], ["b"], holds=True)
     for number in (1, 2, 3):
@@ -52,11 +55,11 @@
     _send(fleet, 4)
     fleet.run(0.1)
     assert _numbers(fleet) == [1, 2, 3, 4]
-    assert all(at >= healed_at for _, at in fleet.boxes["b"].machine.heard)
+    assert all(at >= healed_at for _, at in fleet.boxes["b"].machine.received)
 
 
-def test_what_was_under_way_at_the_heal_does_not_overtake_what_was_held():
-    """Given a message on the wire when the link heals, it arrives after the held ones."""
+def test_message_in_flight_at_heal_does_not_overtake_held_ones():
+    """A message in flight when the link heals arrives after the held ones."""
     fleet = _pair()
     fleet.latency = (0.05, 0.05)
     fleet.cut(["a"], ["b"], holds=True)
@@ -69,8 +72,8 @@
     assert _numbers(fleet) == [1, 2, 3]
 
 
-def test_what_was_held_for_too_long_is_lost():
-    """Given a cut longer than a sender keeps its connection, only the later messages arrive."""
+def test_messages_held_longer_than_connection_timeout_are_lost():
+    """After a cut longer than 1.5 s, for which a sender keeps its connection, only the later messages arrive."""
     fleet = _pair()
     fleet.cut(["a"], ["b"], holds=True)
     _send(fleet, 1)
@@ -82,8 +85,8 @@
     assert _numbers(fleet) == [2]
 
 
-def test_a_cut_one_way_holds_one_way_and_datagrams_are_lost():
-    """Given a cut from a to b only, a hears b at once, and of what a sends the datagrams are lost."""
+def test_one_way_cut_holds_messages_one_way_and_loses_datagrams():
+    """With only the link from a to b cut, b reaches a at once; messages from a are held, its datagrams are lost."""
     fleet = _pair()
     fleet.cut(["a"], ["b"], one_way=True, holds=True)
     _send(fleet, 1)
@@ -96,8 +99,8 @@
     assert _numbers(fleet) == [1]
 
 
-def test_a_connection_whose_receiver_ended_loses_what_was_held():
-    """Given a receiver that is killed and started during the cut, what its predecessor should have had does not reach it."""
+def test_held_messages_are_lost_when_receiver_restarts():
+    """A receiver restarted during the cut does not get messages that were sent to its previous process."""
     fleet = _pair()
     fleet.cut(["a"], ["b"], holds=True)
     _send(fleet, 1)
@@ -111,8 +114,8 @@
     assert _numbers(fleet) == [2]
 
 
-def test_a_sender_without_power_sends_nothing_more_and_a_killed_one_does():
-    """Given senders that end during the cut, the system of the killed one still delivers, that of one without power does not."""
+def test_held_messages_survive_kill_of_sender_but_not_its_power_loss():
+    """After a sender is killed during the cut, its operating system still delivers; after a power loss it does not."""
     for end, arrived in ((Fleet.kill, [1]), (Fleet.lose_power, [])):
         fleet = _pair()
         fleet.cut(["a"], ["b"], holds=True)
@@ -124,8 +127,8 @@
         assert _numbers(fleet) == arrived
 
 
-def test_a_frozen_receiver_takes_what_was_held_when_it_wakes():
-    """Given a link that heals while its receiver is frozen, the held messages lie in its buffer until it wakes."""
+def test_frozen_receiver_gets_held_messages_when_it_resumes():
+    """When a link heals while its receiver is frozen, the held messages are buffered until the receiver resumes."""
     fleet = _pair()
     fleet.cut(["a"], ["b"], holds=True)
     _send(fleet, 1)
@@ -138,8 +141,8 @@
     assert _numbers(fleet) == [1]
 
 
-def test_a_second_cut_at_the_moment_of_the_heal_holds_on():
-    """Given links cut again before anything came through, all arrives at the second heal, if it is not too old by then."""
+def test_second_cut_at_time_of_heal_keeps_messages_held():
+    """If links are cut again before any delivery, all messages not too old by then arrive at the second heal."""
     fleet = _pair()
     fleet.cut(["a"], ["b"], holds=True)
     _send(fleet, 1)
@@ -154,8 +157,8 @@
     assert _numbers(fleet) == [1, 2]
 
 
-def test_writes_that_survive_the_loss_of_power_are_the_oldest():
-    """Given three writes under way, losing power may keep any number of the first ones."""
+def test_power_loss_keeps_given_number_of_oldest_writes():
+    """With three unfinished writes, a power loss told to keep two keeps the first two."""
     fleet = _pair()
     fleet.boxes["a"].disk.stalled_until = fleet.now + timedelta(seconds=5)
     for number in (1, 2, 3):
@@ -164,8 +167,8 @@
     assert fleet.boxes["a"].disk.files == {"log": [(1,), (2,)]}
 
 
-def test_a_view_stands_again_after_cuts_that_deliver_late():
-    """Given a leader cut off with late delivery, its cores agree again after the heal."""
+def test_cores_agree_again_after_cuts_with_late_delivery():
+    """After a leader was cut off and its messages arrive late, a leader with three members is back within 15 s of the heal."""
     deployment = found(31, edges=0)
     deployment.run(1)
     links = cut_late(deployment, box_of(deployment, leader(deployment)).name)
--- a/tests/simulation/test_model_server.py
+++ b/tests/simulation/test_model_server.py
@@ -1,4 +1,4 @@
-"""The fake model server: fencing tokens, memory and streams that are resumed."""
+"""The fake model server: fencing tokens, memory limit and resumed streams."""
 
 from datetime import timedelta
 
@@ -19,8 +19,8 @@
     return ModelServer(listed, catalogue, **more)
 
 
-def test_old_fences_and_too_much_memory_are_refused_and_noted():
-    """Given a load, one under a lower fencing token and one beyond memory are refused, and the latter is noted."""
+def test_load_under_old_fencing_token_or_beyond_memory_is_refused():
+    """After a load, one under a lower fencing token gets 409 and one beyond the memory 507; the latter is recorded."""
     server, now = _server(), timedelta(seconds=1)
 
     def load(fence, model):
@@ -36,21 +36,21 @@
     assert len(server.record.broken) == 1
 
 
-def test_stream_is_resumed_where_it_stopped():
-    """Given a stream whose client went away, a resume goes on behind the last event to its end."""
+def test_stream_resumes_after_last_event_received():
+    """After its client disconnects, a stream resumed with the last event id continues after it to the end, in one run."""
     server, now, step = _server(held=("m",)), timedelta(seconds=1), timedelta(seconds=0.05)
     body = b'{"model":"m","max_tokens":40,"messages":[{"content":"t"}]}'
     server.take(HttpRequestReceived(1, "POST", "/v1/chat/completions", {"x-request-id": "r"}, body), now)
-    said = []
-    while not any(isinstance(effect, SendChunk) for effect in said):
+    effects = []
+    while not any(isinstance(effect, SendChunk) for effect in effects):
         now += step
-        said += server.take(Tick(), now)
+        effects += server.take(Tick(), now)
     server.take(ClientDisconnected(1), now)
-    last = sum(isinstance(effect, SendChunk) for effect in said) - 1
+    last = sum(isinstance(effect, SendChunk) for effect in effects) - 1
     resume = HttpRequestReceived(2, "GET", "/v1/chat/completions/r", {"last-event-id": f"r:{last}"}, b"")
-    said = server.take(resume, now)
-    while EndResponse(2) not in said:
+    effects = server.take(resume, now)
+    while EndResponse(2) not in effects:
         now += step
-        said += server.take(Tick(), now)
-    chunks = [effect.data for effect in said if isinstance(effect, SendChunk)]
+        effects += server.take(Tick(), now)
+    chunks = [effect.data for effect in effects if isinstance(effect, SendChunk)]
     assert f"id: r:{last + 1}".encode() in chunks[0] and b"[DONE]" in chunks[-1] and server.record.runs == {"t": 1}
--- a/tests/simulation/test_quota_invariant_checker.py
+++ b/tests/simulation/test_quota_invariant_checker.py
@@ -1,4 +1,4 @@
-"""The checker of quotas: what is over a bound and what is refused inside the floor."""
+"""The quota checker: finds runs above the bound and refusals within the floor."""
 
 from sumachook.simulation.quota_invariant_checker import SECOND, Ask, Bounds, QuotaInvariantChecker, Run
 
@@ -7,8 +7,8 @@
     return Bounds((10.0, float("inf")), (5.0, float("inf")), (10.0, float("inf")), (5.0, float("inf")))
 
 
-def test_more_than_the_bound_and_refusals_inside_the_floor_are_seen():
-    """Given 10 a second with a second saved up: 28 within a second are within the bound, 60 are not; nor are 130 in ten seconds."""
+def test_checker_finds_runs_above_bound_and_refusals_within_floor():
+    """Ceiling of 10 requests a second, burst of 10: 28 in a second are within the bound, 60 are not, nor 130 in 10 s."""
     invariant_checker = QuotaInvariantChecker(_bounds())
     assert list(invariant_checker.ceiling_violations([Run(SECOND * place / 100) for place in range(28)])) == []
     assert "in 1 s" in next(invariant_checker.ceiling_violations([Run(SECOND * place / 100) for place in range(60)]))
@@ -28,8 +28,8 @@
     )
 
 
-def test_tokens_are_judged_by_what_came_out():
-    """Given 100 tokens a second and requests that may give 400, those that give 90 are within the bound."""
+def test_token_bound_counts_tokens_generated_not_estimated():
+    """Ceiling of 100 tokens a second: requests estimated at 400 tokens that generate 90 each stay within the bound."""
     invariant_checker = QuotaInvariantChecker(
         Bounds((float("inf"), 100.0), (float("inf"), 50.0), (float("inf"), 100.0), (float("inf"), 50.0))
     )
--- a/tests/simulation/test_reachability.py
+++ b/tests/simulation/test_reachability.py
@@ -1,4 +1,4 @@
-"""What the fleet observes of its own network: which edges could be reached, and when not."""
+"""Records of when edges were reachable in the simulated network, and for which purposes."""
 
 from datetime import timedelta
 
@@ -16,15 +16,15 @@
 
 
 def _fleet():
-    """Two cores, an edge and the platform, none of which does anything."""
+    """Starts two cores, an edge and the platform, all of which ignore every event."""
     fleet = Fleet(1)
     for name, role in (("core-1", "core"), ("core-2", "core"), ("edge-1", "edge"), ("platform", "platform")):
         fleet.add(name, role, lambda box: _SilentMachine(), "a", name, name + ":http")
     return fleet
 
 
-def test_a_cut_and_a_start_anew_are_breaks():
-    """Given a cut between the cores and then a new start of the edge, the paths that each breaks are broken, and only those."""
+def test_cut_and_restart_break_only_affected_paths():
+    """A cut between the cores breaks the path of orders but not of the server list; a restart of the edge breaks the latter too."""
     fleet = _fleet()
     fleet.run(3)
     reachability = fleet.reachability
@@ -42,8 +42,8 @@
     assert not reachability.was_unbroken(Path.SERVER_LIST, "edge-1", SECOND * 4, SECOND * 6)
 
 
-def test_a_freeze_breaks_only_what_the_edge_itself_must_do():
-    """Given an edge that is frozen for a second, orders still reach it, but it neither answers nor stores records."""
+def test_freeze_breaks_only_paths_that_need_edge_to_act():
+    """While an edge is frozen for a second, orders reach it, but it neither answers nor stores records."""
     fleet = _fleet()
     fleet.run(2)
     fleet.freeze("edge-1")
@@ -58,13 +58,13 @@
     assert not fleet.reachability.was_unbroken(Path.RELAY_RECORDS, *while_frozen)
 
 
-def test_a_stretch_without_a_break_is_found_only_where_there_is_one():
-    """Given a cut from the second to the third second, one second before it is a stretch of 0.9 s, and none of 1.5 s."""
+def test_unbroken_period_is_found_only_up_to_its_length():
+    """With a cut from 2 s to 3 s, the span from 1 s to 3 s has an unbroken period of 0.9 s but none of 1.5 s."""
     fleet = _fleet()
     fleet.run(2)
     fleet.cut(["core-1", "core-2"], ["edge-1"])
     fleet.run(1)
     fleet.heal()
-    could = fleet.reachability.was_ever_unbroken_for
-    assert could(SECOND * 0.9, Path.STORE_RECORDS, "edge-1", SECOND, SECOND * 3)
-    assert not could(SECOND * 1.5, Path.STORE_RECORDS, "edge-1", SECOND, SECOND * 3)
+    was_reachable_for = fleet.reachability.was_ever_unbroken_for
+    assert was_reachable_for(SECOND * 0.9, Path.STORE_RECORDS, "edge-1", SECOND, SECOND * 3)
+    assert not was_reachable_for(SECOND * 1.5, Path.STORE_RECORDS, "edge-1", SECOND, SECOND * 3)
