--- a/harness/local_cluster/allowance_trial.py
+++ b/harness/local_cluster/allowance_trial.py
@@ -14,7 +14,7 @@
 from sumachook.configuration.catalogue import merge, read_catalogue
 from sumachook.quotas.terms import QuotaTerms
 from sumachook.runtime.clock import Clock
-from sumachook.simulation.quota_invariant_checker import Ask, Bounds, QuotaInvariantChecker, Run
+from sumachook.simulation.quota_invariant_checker import Bounds, ClientRequest, QuotaInvariantChecker, Run
 
 ALLOWED, SENT = 20.0, 200.0  # requests a second: an office's allowance, and what it sends
 INSIDE = 8.0  # what another office sends, inside its floor
@@ -176,7 +176,7 @@
             )
             short = list(
                 invariant_checker.floor_violations(
-                    [Ask(second * call["at"], call["class"] == "allowance") for call in calls],
+                    [ClientRequest(second * call["at"], call["class"] == "allowance") for call in calls],
                     len(fleet.http_addresses("edge")),
                 )
             )
--- a/sumachook/simulation/deployment_quotas.py
+++ b/sumachook/simulation/deployment_quotas.py
@@ -5,7 +5,7 @@
 
 from sumachook.configuration.catalogue import read_catalogue
 from sumachook.quotas.terms import QuotaTerms
-from sumachook.simulation.quota_invariant_checker import Ask, Bounds, QuotaInvariantChecker, Run
+from sumachook.simulation.quota_invariant_checker import Bounds, ClientRequest, QuotaInvariantChecker, Run
 
 MAX_ADMISSION_DELAY = timedelta(seconds=0.4)  # the longest time from the sending of a call to its admission
 
@@ -45,7 +45,7 @@
 
     def asks(self, name: str, **span: Any) -> list[Any]:
         """Returns all calls of the tenant, run or refused, as input for the quota checker."""
-        return [Ask(call.sent_at, call.fault_class == "allowance") for call in self.calls(name, **span)]
+        return [ClientRequest(call.sent_at, call.fault_class == "allowance") for call in self.calls(name, **span)]
 
     def invariant_checker(self, name: str) -> QuotaInvariantChecker:
         """Returns a checker of the tenant's configured quota, with bursts widened by 0.4 s of its ceiling."""
--- a/sumachook/simulation/fake_engine_server.py
+++ b/sumachook/simulation/fake_engine_server.py
@@ -79,8 +79,8 @@
         self.fence = fence
         if self.busy is not None:
             return self.repeat_status if self.busy[1:] == (verb, model, adapter) else 409
-        holds = model in self.models and (not adapter or adapter in self.models[model])
-        if holds == (verb == "load"):
+        is_loaded = model in self.models and (not adapter or adapter in self.models[model])
+        if is_loaded == (verb == "load"):
             return 200
         if sequence is not None and sequence != self.sequence:
             return 409
--- a/sumachook/simulation/fault_injection.py
+++ b/sumachook/simulation/fault_injection.py
@@ -239,11 +239,11 @@
             return None
         self.deployment.freeze(box.name)
 
-        def wake() -> None:
+        def resume_process() -> None:
             if box.is_frozen:
                 self.deployment.wake(box.name)
 
-        self._undo_later(duration_s, wake)
+        self._undo_later(duration_s, resume_process)
         return f"{box.name} frozen, duration (s): {duration_s:.1f}"
 
     def _cut_links(self, first: Any, second: Any, one_way: bool, duration_s: float) -> None:
@@ -307,10 +307,10 @@
         name = self.random.choice(names)
         platform.servers[name]["leaving"] = True
 
-        def back() -> None:
+        def undo_fault() -> None:
             platform.servers.get(name, {})["leaving"] = False
 
-        self._undo_later(duration_s + 6, back)
+        self._undo_later(duration_s + 6, undo_fault)
         return f"{name} listed as leaving, duration (s): {duration_s + 6:.1f}"
 
     # configuration and orders
@@ -371,11 +371,11 @@
     def _fault_policies(self, duration_s: float) -> str:
         policies = self.random.choice(POLICIES)
 
-        def back() -> None:
+        def undo_fault() -> None:
             if self._apply_part({"policies": POLICIES[-1]}) is None:
-                self._undo_later(1.0, back)
+                self._undo_later(1.0, undo_fault)
 
-        self._undo_later(duration_s + 3, back)
+        self._undo_later(duration_s + 3, undo_fault)
         return f"policies {policies} applied, acknowledged: {self._apply_part({'policies': policies}) is not None}"
 
     def _fault_removal(self, duration_s: float) -> str:
@@ -395,11 +395,11 @@
         }
         answer = self._apply_part(removed)
 
-        def back() -> None:
+        def undo_fault() -> None:
             if self._apply_part({"models": [model], "callers": [caller]}) is None:
-                self._undo_later(1.0, back)
+                self._undo_later(1.0, undo_fault)
 
-        self._undo_later(duration_s, back)
+        self._undo_later(duration_s, undo_fault)
         return (
             f"{model['name']} and {caller['name']} removed for {duration_s:.1f} s, acknowledged: {answer is not None}"
         )
@@ -553,11 +553,11 @@
         for disk in disks:
             disk.delay = delay
 
-        def fast() -> None:
+        def reset_delay() -> None:
             for disk in disks:
                 disk.delay = timedelta(seconds=0.002)
 
-        self._undo_later(duration_s, fast)
+        self._undo_later(duration_s, reset_delay)
         return f"sync time of all core disks (s): {delay.total_seconds():.3f}, duration (s): {duration_s:.1f}"
 
     def _kill_and_restart(self, roles: Any, duration_s: float) -> None:
@@ -611,12 +611,12 @@
         platform.servers.get(box.name, {})["leaving"] = True
         notice = self.random.uniform(3.0, 9.0)
 
-        def back() -> None:
+        def undo_fault() -> None:
             self._revive(box.name)
             platform.servers.get(box.name, {})["leaving"] = False
 
         self._undo_later(notice, lambda: self.deployment.kill(box.name))
-        self._undo_later(notice + duration_s, back)
+        self._undo_later(notice + duration_s, undo_fault)
         return (
             f"{box.name} listed as leaving, killed after {notice:.1f} s; delay of its replacement (s): {duration_s:.1f}"
         )
@@ -636,11 +636,11 @@
             else:
                 setattr(machine, "is_dark" if how == "dark" else "is_busy", True)
 
-        def well() -> None:
+        def recover() -> None:
             for machine in machines:
                 machine.is_dark = machine.is_busy = False
 
-        self._undo_later(duration_s, well)
+        self._undo_later(duration_s, recover)
         return f"half of the servers {how}, duration (s): {duration_s:.1f}"
 
     def _fault_records_gone(self, duration_s: float) -> str:
@@ -668,18 +668,18 @@
             {"name": "model-1", "kind": "cake", "address": "x", "area": "y"},
         ]
 
-        def well() -> None:
+        def recover() -> None:
             platform.extra = []
             platform.servers = {**removed, **platform.servers}
 
-        self._undo_later(min(duration_s, 6.0), well)
+        self._undo_later(min(duration_s, 6.0), recover)
         return f"the platform's server list is {how}, duration (s): {min(duration_s, 6.0):.1f}"
 
     def _fault_bad_air(self, duration_s: float) -> str:
         self.deployment.loss, self.deployment.latency = 0.25, (0.001, 0.06)
 
-        def well() -> None:
+        def recover() -> None:
             self.deployment.loss, self.deployment.latency = 0.0, (0.0005, 0.003)
 
-        self._undo_later(duration_s, well)
+        self._undo_later(duration_s, recover)
         return f"25 % of datagrams lost and 1 to 60 ms latency on all links, duration (s): {duration_s:.1f}"
--- a/sumachook/simulation/fleet.py
+++ b/sumachook/simulation/fleet.py
@@ -400,13 +400,13 @@
 
     def _send(self, box: Box, other: Box, call: Any, *arguments: Any) -> None:
         """Delivers a message after the link's latency, in order between two boxes; a cut link loses or holds it."""
-        self._pass_on(box, other, True, call, arguments)
+        self._schedule_delivery(box, other, True, call, arguments)
 
     def _send_datagram(self, box: Box, other: Box, call: Any, *arguments: Any) -> None:
         """Delivers a datagram as `_send` does a message, except that a cut link never holds it."""
-        self._pass_on(box, other, False, call, arguments)
+        self._schedule_delivery(box, other, False, call, arguments)
 
-    def _pass_on(self, box: Box, other: Box, is_connected: bool, call: Any, arguments: Any) -> None:
+    def _schedule_delivery(self, box: Box, other: Box, is_connected: bool, call: Any, arguments: Any) -> None:
         at = self.now + timedelta(seconds=self.random.uniform(*self.latency))
         key = (box.name, other.name)
         at += self.slow_links.get(key, timedelta(0))
@@ -540,9 +540,9 @@
             self._end_exchange(exchange, events.CallFailed(exchange.client_call_id, CallFailure.REFUSED))
             return
         self._notify_client(exchange.client, exchange.client_incarnation, events.RequestSent(exchange.client_call_id))
-        self._send(exchange.client, exchange.server, self._hand_alive, exchange, request)
+        self._send(exchange.client, exchange.server, self._deliver_if_same_process, exchange, request)
 
-    def _hand_alive(self, exchange: Exchange, event: Event) -> None:
+    def _deliver_if_same_process(self, exchange: Exchange, event: Event) -> None:
         if exchange.server.incarnation == exchange.server_incarnation:
             is_request = isinstance(event, events.HttpRequestReceived)
             if is_request and exchange.client.role == "edge":  # on arrival, also if frozen
@@ -552,7 +552,7 @@
     def _expire(self, exchange: Exchange) -> None:
         if exchange.is_open:
             self._finish(exchange)
-            self._hand_alive(exchange, events.ClientDisconnected(exchange.server_call_id))
+            self._deliver_if_same_process(exchange, events.ClientDisconnected(exchange.server_call_id))
             failed = events.CallFailed(exchange.client_call_id, CallFailure.TIMEOUT)
             self._notify_client(exchange.client, exchange.client_incarnation, failed)
 
@@ -566,7 +566,11 @@
         if exchange is not None:
             self._finish(exchange)
             self._send(
-                box, exchange.server, self._hand_alive, exchange, events.ClientDisconnected(exchange.server_call_id)
+                box,
+                exchange.server,
+                self._deliver_if_same_process,
+                exchange,
+                events.ClientDisconnected(exchange.server_call_id),
             )
 
     def _send_response(self, box: Box, effect: Any) -> None:
@@ -615,7 +619,11 @@
             elif exchange.client is box:
                 self._finish(exchange)
                 self._send(
-                    box, exchange.server, self._hand_alive, exchange, events.ClientDisconnected(exchange.server_call_id)
+                    box,
+                    exchange.server,
+                    self._deliver_if_same_process,
+                    exchange,
+                    events.ClientDisconnected(exchange.server_call_id),
                 )
 
 
--- a/sumachook/simulation/invariant_checker.py
+++ b/sumachook/simulation/invariant_checker.py
@@ -97,8 +97,8 @@
         Only edges that some core could reach during all of that time are checked.
         """
         platform = self.deployment.boxes["platform"].machine
-        for server, load_times in (platform.leavings if platform else {}).items():
-            for at, until in load_times:
+        for server, leaving_periods in (platform.leavings if platform else {}).items():
+            for at, until in leaving_periods:
                 late = [
                     (when, edge)
                     for when, edge in self.deployment.arrivals.get(server, ())
--- a/sumachook/simulation/model.py
+++ b/sumachook/simulation/model.py
@@ -264,9 +264,9 @@
         self.record.runs[tag] = self.record.runs.get(tag, 0) + 1
         self.by_request[request] = run
         self.waiting.append(run)
-        in_hand = [other for other in [*self.active.values(), *self.waiting] if other.disconnected_at is None]
-        self._note_warming(model, self.ready_at.get(model), sum(other.model == model for other in in_hand), now)
-        self._note_warming(ALL_MODELS, self.cold_at, len(in_hand), now)
+        pending_runs = [other for other in [*self.active.values(), *self.waiting] if other.disconnected_at is None]
+        self._note_warming(model, self.ready_at.get(model), sum(other.model == model for other in pending_runs), now)
+        self._note_warming(ALL_MODELS, self.cold_at, len(pending_runs), now)
         self._begin(now)
         return []
 
@@ -353,8 +353,8 @@
             self.ends_after is not None and run.sent_count >= self.ends_after
         ):  # a clean end of the response without a finish reason
             run.is_done, run.disconnected_at = True, now
-            word = [SendChunk(run.cid, send(Event(data="[DONE]")))] if self.says_done else []
-            return [*out, *word, EndResponse(run.cid)]
+            done_event = [SendChunk(run.cid, send(Event(data="[DONE]")))] if self.says_done else []
+            return [*out, *done_event, EndResponse(run.cid)]
         if run.generated > EVENTS_PER_RUN:
             out += [SendChunk(run.cid, send(Event(data="[DONE]"))), EndResponse(run.cid)]
             run.is_done, run.disconnected_at = True, now
--- a/sumachook/simulation/platform.py
+++ b/sumachook/simulation/platform.py
@@ -45,9 +45,9 @@
 
     def _note(self, now: timedelta) -> None:
         for name, server in self.servers.items():
-            load_times = self.leavings.setdefault(name, [])
-            is_open = bool(load_times) and load_times[-1][1] is None
+            leaving_periods = self.leavings.setdefault(name, [])
+            is_open = bool(leaving_periods) and leaving_periods[-1][1] is None
             if server.get("leaving") and not is_open:
-                load_times.append([now, None])
+                leaving_periods.append([now, None])
             elif not server.get("leaving") and is_open:
-                load_times[-1][1] = now
+                leaving_periods[-1][1] = now
--- a/sumachook/simulation/quota_invariant_checker.py
+++ b/sumachook/simulation/quota_invariant_checker.py
@@ -23,7 +23,7 @@
     estimate: float = 0.0
 
 
-class Ask(NamedTuple):
+class ClientRequest(NamedTuple):
     """A request as its client saw it; `is_refused` tells whether the tenant's quota refused it."""
 
     at: timedelta
@@ -63,14 +63,14 @@
         """Yields windows in which more than the bound ran; with `span` (start, end), only runs in it are checked."""
         runs = sorted(run for run in runs if span is None or span[0] <= run.at < span[1])
         times = [run.at for run in runs]
-        sums, in_hand = [0.0], max((run.estimate for run in runs), default=0.0)
+        sums, max_estimate = [0.0], max((run.estimate for run in runs), default=0.0)
         for run in runs:
             sums.append(sums[-1] + run.tokens)
         for window in WINDOWS:
             for first, start in enumerate(times):
                 after = bisect_left(times, start + SECOND * window)
                 counts = (after - first, sums[after] - sums[first])
-                for place, (what, slack) in enumerate((("requests", 1.0), ("tokens", in_hand))):
+                for place, (what, slack) in enumerate((("requests", 1.0), ("tokens", max_estimate))):
                     most = self.bound(window, place, **state) + slack
                     if counts[place] > most + 1e-6:
                         yield f"{counts[place]:.0f} {what} in {window} s from {start}, at most {most:.1f}"
--- a/tests/inference/test_requests.py
+++ b/tests/inference/test_requests.py
@@ -130,7 +130,7 @@
         item for item in deployment.exchanges.values() if item.client is edge and item.client_call_id[0] == "prompt"
     )
     deployment._end_exchange(exchange, CallFailed(exchange.client_call_id, CallFailure.RESET))
-    deployment._hand_alive(exchange, ClientDisconnected(exchange.server_call_id))
+    deployment._deliver_if_same_process(exchange, ClientDisconnected(exchange.server_call_id))
     deployment.run(6)
     assert call.outcome == "ok" and call.is_done
     assert (
@@ -154,7 +154,7 @@
         item for item in deployment.exchanges.values() if item.client is edge and item.client_call_id[0] == "prompt"
     )
     deployment._end_exchange(exchange, CallFailed(exchange.client_call_id, CallFailure.RESET))
-    deployment._hand_alive(exchange, ClientDisconnected(exchange.server_call_id))
+    deployment._deliver_if_same_process(exchange, ClientDisconnected(exchange.server_call_id))
     deployment.run(6)
     assert call.outcome == "cut" and call.fault_class == "cut"
     assert invariant_checker(deployment, callers).faults() == []
--- a/tests/quotas/quota_fixtures.py
+++ b/tests/quotas/quota_fixtures.py
@@ -23,7 +23,7 @@
 from sumachook.quotas.messages import LeaseRequest, UsageReport
 from sumachook.quotas.rate_limiter import RateLimiter
 from sumachook.quotas.terms import QuotaTerms
-from sumachook.simulation.quota_invariant_checker import Ask, Bounds, QuotaInvariantChecker, Run
+from sumachook.simulation.quota_invariant_checker import Bounds, ClientRequest, QuotaInvariantChecker, Run
 from sumachook.transport.codec import Codec, read_frame
 
 SECOND = timedelta(seconds=1)
@@ -343,7 +343,7 @@
         ]
 
     def asked(self, tenant, but=()):
-        return [Ask(call.at, call.is_refused) for call in self.of(tenant) if call.edge not in but]
+        return [ClientRequest(call.at, call.is_refused) for call in self.of(tenant) if call.edge not in but]
 
 
 def _key(call):
--- a/tests/simulation/test_quota_invariant_checker.py
+++ b/tests/simulation/test_quota_invariant_checker.py
@@ -1,6 +1,6 @@
 """The quota checker: finds runs above the bound and refusals within the floor."""
 
-from sumachook.simulation.quota_invariant_checker import SECOND, Ask, Bounds, QuotaInvariantChecker, Run
+from sumachook.simulation.quota_invariant_checker import SECOND, Bounds, ClientRequest, QuotaInvariantChecker, Run
 
 
 def _bounds():
@@ -13,15 +13,15 @@
     assert list(invariant_checker.ceiling_violations([Run(SECOND * place / 100) for place in range(28)])) == []
     assert "in 1 s" in next(invariant_checker.ceiling_violations([Run(SECOND * place / 100) for place in range(60)]))
     assert "in 10 s" in next(invariant_checker.ceiling_violations([Run(SECOND * place / 13) for place in range(200)]))
-    steady = [Ask(SECOND * place / 4, False) for place in range(80)]
+    steady = [ClientRequest(SECOND * place / 4, False) for place in range(80)]
     assert (
         list(invariant_checker.floor_violations(steady)) == []
-        and len(list(invariant_checker.floor_violations([*steady, Ask(SECOND * 9.9, True)]))) == 1
+        and len(list(invariant_checker.floor_violations([*steady, ClientRequest(SECOND * 9.9, True)]))) == 1
     )
     assert (
         list(
             invariant_checker.floor_violations(
-                [Ask(SECOND * place / 20, place > 8 and place % 2 > 0) for place in range(400)], 1.0
+                [ClientRequest(SECOND * place / 20, place > 8 and place % 2 > 0) for place in range(400)], 1.0
             )
         )
         == []
