--- a/sumachook/simulation/callers.py
+++ b/sumachook/simulation/callers.py
@@ -26,7 +26,7 @@
 
 
 class Call:
-    """One request with its outcome as the client saw it."""
+    """A request of a client with the outcome that the client recorded."""
 
     __slots__ = (
         "number",
--- a/sumachook/simulation/fault_injection.py
+++ b/sumachook/simulation/fault_injection.py
@@ -90,7 +90,7 @@
         return self.invariant_checker.faults() + self._unaccounted_calls() + self.unrecovered()
 
     def _kill_all_nodes(self) -> list[str]:
-        """Kills all cores and edges for good and checks the invariants from what is on their disks."""
+        """Kills all cores and edges permanently and checks the invariants from what is on their disks."""
         self._advance(self.random.uniform(0.0, 2.0))
         self._stop_callers()
         nodes = [box.name for box in self.deployment.boxes.values() if box.role in ("edge", "core")]
@@ -98,7 +98,7 @@
         for name in nodes:
             self.deployment.kill(name)
         self.injected_faults.append(
-            (round(self.deployment.now.total_seconds(), 2), "all cores and edges are killed for good")
+            (round(self.deployment.now.total_seconds(), 2), "all cores and edges are killed permanently")
         )
         self.deployment.run(20)
         return self.invariant_checker.faults() + self._unaccounted_calls()
@@ -503,7 +503,7 @@
     # permanent losses, slow disks and power failures
 
     def _choose_core_to_lose(self) -> Any:
-        """Chooses a core to lose for good, or returns None.
+        """Chooses a core to lose permanently, or returns None.
 
         Losses are at least 45 s apart, and only while all cores run and are members, so that the others have all state.
         """
--- a/sumachook/simulation/model.py
+++ b/sumachook/simulation/model.py
@@ -27,7 +27,7 @@
 
 
 class Record:
-    """Record of what one server ran and was ordered; it survives the server's crashes (docs/design/simulation.md).
+    """Record of the runs and orders of one server; it survives the server's crashes (docs/design/simulation.md).
 
     `runs` counts the runs of each call by its tag. `broken` lists orders that no server may ever get, `stale` the
     orders under old fencing tokens. `warm_peak` is the largest number of requests running or queued, of a model or of
@@ -106,7 +106,7 @@
 
 
 class ModelServer:
-    """State machine of a model server that records all it ran and was ordered (docs/design/simulation.md)."""
+    """State machine of a model server that records its runs and orders (docs/design/simulation.md)."""
 
     __slots__ = (
         "name",
--- a/sumachook/simulation/quota_invariant_checker.py
+++ b/sumachook/simulation/quota_invariant_checker.py
@@ -13,7 +13,7 @@
 
 
 class Run(NamedTuple):
-    """A request as the server that ran it saw it.
+    """A request as recorded by the server that ran it.
 
     `tokens` counts the prompt and the generated tokens, `estimate` the prompt and the most that may be generated.
     """
@@ -24,7 +24,7 @@
 
 
 class ClientRequest(NamedTuple):
-    """A request as its client saw it; `is_refused` tells whether the tenant's quota refused it."""
+    """A request as recorded by its client; `is_refused` tells whether the tenant's quota refused it."""
 
     at: timedelta
     is_refused: bool
