--- a/sumachook/simulation/fault_injection.py
+++ b/sumachook/simulation/fault_injection.py
@@ -162,8 +162,8 @@
             found.append("cores have different control states")
         if leaders and leaders[0].state.generation < self.acked_generation:
             found.append(f"generation {self.acked_generation} was acknowledged, now {leaders[0].state.generation}")
-        if leaders and any(not holder for holder, _ in leaders[0].state.duties.values()):
-            found.append(f"a duty has no holder: {leaders[0].state.duties}")
+        if leaders and any(not holder for holder, _ in leaders[0].state.role_holders.values()):
+            found.append(f"a duty has no holder: {leaders[0].state.role_holders}")
         answered = [
             call
             for call in self.callers.calls
