--- a/harness/model_checking/faults.py
+++ b/harness/model_checking/faults.py
@@ -46,7 +46,7 @@
         deployment.slow_links.clear()
         for name in deployment.names:
             box = deployment.boxes[name]
-            box.disk.stalled_until, box.slow, box.disk.delay = (
+            box.disk.stalled_until, box.extra_tick_delay, box.disk.delay = (
                 deployment.now,
                 _duration(0),
                 _duration(NORMAL_DISK_DELAY),
@@ -158,11 +158,11 @@
     def _(self, choice: choices.SlowMachine):
         name = self._begin_fault(choice.machine, choice.seconds)
         if name is not None:
-            self.deployment.boxes[name].slow = _duration(choice.delay)
+            self.deployment.boxes[name].extra_tick_delay = _duration(choice.delay)
             self._later(choice.seconds, self._restore_speed, name)
 
     def _restore_speed(self, name):
-        self.deployment.boxes[name].slow = _duration(0)
+        self.deployment.boxes[name].extra_tick_delay = _duration(0)
 
     @apply.register
     def _(self, choice: choices.ClockStep):
--- a/sumachook/simulation/callers.py
+++ b/sumachook/simulation/callers.py
@@ -1,4 +1,4 @@
-"""A stand-in for the callers of a city."""
+"""Simulated clients that send a deployment's traffic and record every request and its outcome."""
 
 from datetime import timedelta
 from random import Random
@@ -21,12 +21,12 @@
     Tick,
 )
 
-CONNECT = timedelta(seconds=2)
+CONNECT_TIMEOUT = timedelta(seconds=2)
 PENDING, OK, FAULT, CUT, NONE = "pending", "ok", "fault", "cut", "none"
 
 
 class Call:
-    """One request as its caller saw it."""
+    """A request of a client with the outcome that the client recorded."""
 
     __slots__ = (
         "number",
@@ -41,8 +41,8 @@
         "fault_class",
         "request",
         "text",
-        "first_at",
-        "finish",
+        "first_token_at",
+        "finish_reason",
         "is_stream",
         "patience",
         "moves",
@@ -53,15 +53,15 @@
         "has_moved",
         "is_done",
         "caller",
-        "tried",
+        "tried_zones",
     )
 
     ended_at: timedelta | None
     status: int | None
     run: str | None
     fault_class: str | None
-    first_at: timedelta | None
-    finish: str | None
+    first_token_at: timedelta | None
+    finish_reason: str | None
 
     def __init__(
         self,
@@ -74,9 +74,9 @@
         patience: timedelta,
         safe: bool,
         moves: int = 0,
-        tried: tuple[str, ...] = (),
+        tried_zones: tuple[str, ...] = (),
     ) -> None:
-        self.tag, self.caller, self.tried = tag, group["caller"], tried
+        self.tag, self.caller, self.tried_zones = tag, group["caller"], tried_zones
         self.number, self.group, self.edge, self.sent_at, self.model = number, group["name"], edge, now, model
         self.kind, self.is_stream, self.patience, self.safe = group["kind"], group.get("stream", True), patience, safe
         self.ended_at, self.outcome, self.status, self.run, self.fault_class, self.request = (
@@ -87,7 +87,7 @@
             None,
             "",
         )
-        self.text, self.first_at, self.finish, self.moves, self.key, self.has_moved, self.is_done = (
+        self.text, self.first_token_at, self.finish_reason, self.moves, self.key, self.has_moved, self.is_done = (
             "",
             None,
             None,
@@ -99,12 +99,13 @@
 
 
 class Callers:
-    """Takes (message, now); makes traffic by the city's rates and keeps each call (docs/design/simulation.md).
+    """State machine that sends requests at the deployment's traffic rates and keeps each call.
 
-    A caller holds one address in each area. Whose connection is refused, or who is told that the node is leaving,
-    evacuated or not ready, asks an edge of an area not asked yet, at once; nothing else is asked again. A group may
-    have shares of prompts that are `keyed`, and of those that are sent `again` under the same key at another edge, as
-    after a double click.
+    A client has one edge address in each zone. If its connection is refused, or the node answers that it is draining,
+    evacuated or not ready, the client sends the request at once to an edge of a zone not tried yet; it retries in no
+    other case. In a traffic group, `keyed` is the share of prompts with an idempotency key, and `again` the share of
+    those that are sent a second time under the same key to another edge, as after a double click
+    (docs/design/simulation.md).
     """
 
     __slots__ = (
@@ -114,7 +115,7 @@
         "random",
         "calls",
         "open",
-        "due",
+        "next_request_at",
         "is_on",
         "pace",
         "start_at",
@@ -139,7 +140,7 @@
         zones: dict[str, str] | None = None,
     ) -> None:
         self.name = name
-        self.zones = {edge: (zones or {}).get(edge, edge) for edge in edges}  # areas unknown: each edge is its own
+        self.zones = {edge: (zones or {}).get(edge, edge) for edge in edges}  # without zones, each edge is its own zone
         self.edges, self.groups, self.random = dict(edges), traffic, random
         self.callers = {caller["name"]: caller for caller in catalogue["callers"]}
         self.calls, self.open, self.is_on, self.pace, self.start_at, self.stop_after = (
@@ -150,12 +151,12 @@
             now,
             stop_after,
         )
-        self.due = {
+        self.next_request_at = {
             group["name"]: now + timedelta(seconds=random.expovariate(group["rate"] * pace)) for group in traffic
         }
 
     def take(self, event: Event, now: timedelta) -> list[Any]:
-        """The effects of one event."""
+        """Handles an event and returns the resulting effects; the clients exit on a stop request."""
         if isinstance(event, Tick):
             return self._tick(now)
         if isinstance(event, CallEvent):
@@ -169,9 +170,11 @@
             if not self.open:
                 return [Exit(0)]
         for group in self.groups:
-            while self.is_on and now >= self.due[group["name"]]:
-                self.due[group["name"]] += timedelta(seconds=self.random.expovariate(group["rate"] * self.pace))
-                out += self._ask_anew(group, now)
+            while self.is_on and now >= self.next_request_at[group["name"]]:
+                self.next_request_at[group["name"]] += timedelta(
+                    seconds=self.random.expovariate(group["rate"] * self.pace)
+                )
+                out += self._send_new_request(group, now)
         for number, call in list(self.open.items()):
             if now - call.sent_at > call.patience * 1.5 + timedelta(seconds=5):
                 del self.open[number]
@@ -179,7 +182,7 @@
                 out.append(CancelCall(("call", number)))
         return out
 
-    def _ask_anew(self, group: dict[str, Any], now: timedelta) -> list[Any]:
+    def _send_new_request(self, group: dict[str, Any], now: timedelta) -> list[Any]:
         is_keyed = group.get("keyed") and self.random.random() < group["keyed"]
         key = f"{self.name}-{len(self.calls)}" if is_keyed else ""
         out = self.ask(group, now, key=key)
@@ -197,13 +200,16 @@
         model: Any = None,
         key: str = "",
         moves: int = 0,
-        tried: tuple[str, ...] = (),
+        tried_zones: tuple[str, ...] = (),
     ) -> list[Any]:
-        """One request of a group; gives the effect that sends it."""
+        """Records a new call of the traffic group and returns the effect that sends its request.
+
+        Without `edge` or `model` a random one is chosen.
+        """
         caller = self.callers[group["caller"]]
         edge = edge or self.random.choice(sorted(self.edges))
         is_lookup = group["kind"] == "lookup"
-        model = None if is_lookup else model or self._model(group)
+        model = None if is_lookup else model or self._choose_model(group)
         patience = timedelta(seconds=caller.get("lookupPatience", 5.0) if is_lookup else caller["patience"])
         number = len(self.calls)
         tag = f"{self.name} {number}"
@@ -217,7 +223,7 @@
             patience,
             is_lookup or caller.get("safe", False),
             moves,
-            (*tried, self.zones.get(edge, edge)),
+            (*tried_zones, self.zones.get(edge, edge)),
         )
         call.key = key
         self.calls.append(call)
@@ -241,10 +247,10 @@
         mode = "events" if not is_lookup and call.is_stream else "whole"
         limit = patience * 1.5 + timedelta(seconds=5)
         url = f"http://{self.edges[edge]}{path}"
-        return [Fetch(("call", number), method, url, headers, body, CONNECT, limit, mode)]
+        return [Fetch(("call", number), method, url, headers, body, CONNECT_TIMEOUT, limit, mode)]
 
-    def _model(self, group: dict[str, Any]) -> Any:
-        """A few names are asked for much, each of the others now and then: as 1, 1/2, 1/3 and so on."""
+    def _choose_model(self, group: dict[str, Any]) -> Any:
+        """Chooses a model of the group at random, weighted 1, 1/2, 1/3 and so on in their order (Zipf)."""
         names = group["models"]
         return self.random.choices(names, [1 / place for place in range(1, len(names) + 1)])[0]
 
@@ -258,22 +264,22 @@
                 call.status, call.request = status, headers.get("x-request-id", "")
                 return []
             case ServerEventReceived(_, _, data):
-                return self._event(call, data, now)
+                return self._handle_server_event(call, data, now)
             case ResponseReceived(_, status, headers, body):
-                return self._whole(call, status, headers, body, now)
+                return self._handle_whole_response(call, status, headers, body, now)
             case ResponseEnded():
-                return self._end(call, OK if call.is_done else CUT, now)
+                return self._end_call(call, OK if call.is_done else CUT, now)
             case CallFailed(_, failure):
                 return self._handle_failure(call, failure, now)
-        raise TypeError(f"callers take no such event: {event!r}")
+        raise TypeError(f"callers cannot handle the event {event!r}")
 
     def _handle_failure(self, call: Any, failure: str, now: timedelta) -> list[Any]:
         call.fault_class = call.fault_class or failure
         if CallFailure(failure).was_before_first_byte:
-            return self._end(call, NONE, now) + self._move(call, now)
-        return self._end(call, CUT if call.status == 200 else NONE, now)
+            return self._end_call(call, NONE, now) + self._resend_in_another_zone(call, now)
+        return self._end_call(call, CUT if call.status == 200 else NONE, now)
 
-    def _event(self, call: Any, data: str, now: timedelta) -> list[Any]:
+    def _handle_server_event(self, call: Any, data: str, now: timedelta) -> list[Any]:
         if data == "[DONE]":
             call.is_done = True
             return []
@@ -283,44 +289,47 @@
             return []
         choice = (doc.get("choices") or [{}])[0]
         text = choice.get("delta", {}).get("content") or ""
-        if text and call.first_at is None:
-            call.first_at = now
+        if text and call.first_token_at is None:
+            call.first_token_at = now
         call.text += text
-        call.finish = choice.get("finish_reason") or call.finish
+        call.finish_reason = choice.get("finish_reason") or call.finish_reason
         return []
 
-    def _whole(self, call: Any, status: int, headers: Any, body: bytes, now: timedelta) -> list[Any]:
+    def _handle_whole_response(self, call: Any, status: int, headers: Any, body: bytes, now: timedelta) -> list[Any]:
         call.status, call.request = status, headers.get("x-request-id", "")
         if status == 200:
             call.is_done, call.run = True, "yes"
             if call.kind == "prompt":
                 doc = msgspec.json.decode(body)
-                call.text, call.finish = doc["choices"][0]["message"]["content"], doc["choices"][0]["finish_reason"]
+                call.text, call.finish_reason = (
+                    doc["choices"][0]["message"]["content"],
+                    doc["choices"][0]["finish_reason"],
+                )
             else:
                 call.text = msgspec.json.decode(body)["id"]
-            return self._end(call, OK, now)
+            return self._end_call(call, OK, now)
         doc = msgspec.json.decode(body)
         fault = doc.get("fault", {}) if isinstance(doc, dict) else {}
         call.fault_class, call.run, call.request = fault.get("class"), fault.get("run"), fault.get("request", "")
-        out = self._end(call, FAULT, now)
+        out = self._end_call(call, FAULT, now)
         return (
-            out + self._move(call, now)
+            out + self._resend_in_another_zone(call, now)
             if call.fault_class in ("draining", "evacuated", "not-ready") and call.run == "no"
             else out
         )
 
-    def _end(self, call: Any, outcome: str, now: timedelta) -> list[Any]:
+    def _end_call(self, call: Any, outcome: str, now: timedelta) -> list[Any]:
         call.outcome, call.ended_at = outcome, now
         self.open.pop(call.number, None)
         return []
 
-    def _move(self, call: Any, now: timedelta) -> list[Any]:
-        """An edge of an area not asked yet, for a call that surely was not begun."""
-        others = [edge for edge in sorted(self.edges) if self.zones[edge] not in call.tried]
+    def _resend_in_another_zone(self, call: Any, now: timedelta) -> list[Any]:
+        """Resends a request that was certainly not run to an edge in a zone not tried yet, at most twice."""
+        others = [edge for edge in sorted(self.edges) if self.zones[edge] not in call.tried_zones]
         if call.moves >= 2 or not others:
             return []
         group = next((group for group in self.groups if group["name"] == call.group), None)
         if group is None:
             return []
         call.has_moved = True
-        return self.ask(group, now, self.random.choice(others), call.model, call.key, call.moves + 1, call.tried)
+        return self.ask(group, now, self.random.choice(others), call.model, call.key, call.moves + 1, call.tried_zones)
--- a/sumachook/simulation/fleet.py
+++ b/sumachook/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""The in-memory fleet: every machine under one seeded virtual clock."""
+"""The in-memory fleet: runs every simulated process under one seeded virtual clock."""
 
 from collections.abc import Callable
 from datetime import UTC, datetime, timedelta
@@ -19,15 +19,15 @@
 from sumachook.transport.errors import UnreadableFrameError
 
 TICK = timedelta(seconds=0.05)
-START = datetime(2026, 3, 2, 6, 0, tzinfo=UTC)
-MOST_BUFFERED = 2000
+DEFAULT_START_TIME = datetime(2026, 3, 2, 6, 0, tzinfo=UTC)
+MAX_BUFFERED_EVENTS = 2000
 Link = tuple[str, str]  # names of the sending and the receiving box
-HELD_FOR = timedelta(seconds=1.5)  # what a cut held for longer is lost: its sender has given the connection up
-START_AGAIN = timedelta(seconds=0.25)  # between two tries of a process whose disk refuses to be read and settled
+MAX_HOLD_TIME = timedelta(seconds=1.5)  # then the sender has closed the connection and held messages are lost
+DISK_RETRY_DELAY = timedelta(seconds=0.25)  # between attempts of a process to read and repair a disk that refuses it
 
 
 class BoxClock:
-    """One machine's clocks; the wall may jump."""
+    """The monotonic clock and the wall clock of one machine; the wall clock may jump by `jump`."""
 
     __slots__ = ("fleet", "jump")
 
@@ -35,16 +35,16 @@
         self.fleet, self.jump = fleet, timedelta(0)
 
     def mono(self) -> timedelta:
-        """Time since the fleet began."""
+        """Returns the virtual time since the start of the simulation."""
         return self.fleet.now
 
     def wall(self) -> datetime:
-        """The time of day, as this machine has it."""
-        return self.fleet.dawn + self.fleet.now + self.jump
+        """Returns the wall-clock time of this machine, including its jumps."""
+        return self.fleet.start_time + self.fleet.now + self.jump
 
 
 class Box:
-    """A place where one process runs, with its disk, clock and addresses."""
+    """A simulated machine that runs at most one process, with its disk, clock and addresses."""
 
     __slots__ = (
         "name",
@@ -63,11 +63,11 @@
         "is_gone",
         "role",
         "wake",
-        "slow",
+        "extra_tick_delay",
         "records",
     )
 
-    machine: Any  # a state machine, or None where no process runs
+    machine: Any  # the state machine of the running process, or None
     codec: Codec | None
     records: dict[str, Any]
     buffer: list[Event]
@@ -98,12 +98,18 @@
             0,
             False,
         )
-        self.records = {}  # what its process found on the disk at its start
-        self.buffer, self.restart_epochs, self.codec, self.is_gone, self.slow = [], 0, None, False, timedelta(0)
+        self.records = {}  # what the process read from the disk at its start
+        self.buffer, self.restart_epochs, self.codec, self.is_gone, self.extra_tick_delay = (
+            [],
+            0,
+            None,
+            False,
+            timedelta(0),
+        )
 
 
 class HeldMessage(msgspec.Struct, frozen=True):
-    """What a cut link keeps for its end, as TCP does for a connection that stays open."""
+    """A message that a cut link holds until it heals, as TCP does for a connection that stays open."""
 
     sent_at: timedelta
     receiver: Box
@@ -112,18 +118,18 @@
     arguments: tuple[Any, ...]
 
     def is_deliverable(self, now: timedelta) -> bool:
-        """Whether the connection still stands: the same process at the other end, and not given up by the sender."""
-        return self.receiver.incarnation == self.receiver_incarnation and now - self.sent_at <= HELD_FOR
+        """Returns whether the connection is still open: the receiver has not restarted, the sender has not given up."""
+        return self.receiver.incarnation == self.receiver_incarnation and now - self.sent_at <= MAX_HOLD_TIME
 
 
 class Exchange:
-    """One HTTP request between two boxes."""
+    """One HTTP request between two boxes, with the incarnations of client and server at its start."""
 
     __slots__ = (
-        "cid",
+        "server_call_id",
         "client",
         "client_incarnation",
-        "tid",
+        "client_call_id",
         "server",
         "server_incarnation",
         "mode",
@@ -132,12 +138,12 @@
         "is_broken",
     )
 
-    def __init__(self, cid: Any, client: Box, tid: Any, server: Any, mode: str) -> None:
-        self.cid, self.client, self.client_incarnation, self.tid, self.server = (
-            cid,
+    def __init__(self, server_call_id: Any, client: Box, client_call_id: Any, server: Any, mode: str) -> None:
+        self.server_call_id, self.client, self.client_incarnation, self.client_call_id, self.server = (
+            server_call_id,
             client,
             client.incarnation,
-            tid,
+            client_call_id,
             server,
         )
         self.server_incarnation, self.mode, self.parser, self.is_open, self.is_broken = (
@@ -152,7 +158,8 @@
 class Fleet:
     """Runs boxes in virtual time; the same seed gives the same run (docs/design/simulation.md).
 
-    `run(seconds)` goes on; `kill`, `start`, `freeze`, `wake`, `cut`, `heal`, `vanish` and the disks bring faults about.
+    `run(seconds)` advances the time. `kill`, `start`, `freeze`, `wake`, `cut`, `heal`, `vanish` and the disks of the
+    boxes inject faults.
     """
 
     __slots__ = (
@@ -167,16 +174,16 @@
         "loss",
         "latest",
         "exchanges",
-        "by_tid",
+        "exchange_ids",
         "logs",
         "cluster",
         "latency",
         "seed",
-        "tries",
+        "attempts",
         "arrivals",
         "deaths",
         "reachability",
-        "dawn",
+        "start_time",
         "holding",
         "held",
         "slow_links",
@@ -189,9 +196,9 @@
     cuts: set[Link]
     latest: dict[Link, timedelta]
     exchanges: dict[Any, Exchange]
-    by_tid: dict[Any, int]
+    exchange_ids: dict[Any, int]
     logs: list[tuple[Any, ...]]
-    tries: list[tuple[timedelta, bool, str]]
+    attempts: list[tuple[timedelta, bool, str]]
     arrivals: dict[str, list[tuple[timedelta, str]]]
     deaths: list[tuple[str, timedelta]]
     holding: set[Link]
@@ -202,14 +209,14 @@
         self.seed = seed
         self.now, self.random, self.heap, self.count, self.cluster = timedelta(0), Random(seed), [], 0, cluster
         self.boxes, self.by_address, self.by_http_address, self.cuts, self.loss = {}, {}, {}, set(), 0.0
-        self.latest, self.exchanges, self.by_tid, self.logs = {}, {}, {}, []
-        self.latency, self.tries, self.arrivals, self.deaths = (0.0005, 0.003), [], {}, []
-        self.reachability, self.dawn = Reachability(self.now), START
-        self.holding, self.held = set(), {}  # cut links that keep what is sent, and what they keep
-        self.slow_links = {}  # what each adds to the latency
+        self.latest, self.exchanges, self.exchange_ids, self.logs = {}, {}, {}, []
+        self.latency, self.attempts, self.arrivals, self.deaths = (0.0005, 0.003), [], {}, []
+        self.reachability, self.start_time = Reachability(self.now), DEFAULT_START_TIME
+        self.holding, self.held = set(), {}  # cut links that hold what is sent, and the messages held
+        self.slow_links = {}  # added latency of each slow link
         self._later(OBSERVE_EVERY, self._observe)
 
-    # building ----------------------------------------------------------------------
+    # setup ----------------------------------------------------------------------
 
     def add(
         self,
@@ -221,7 +228,10 @@
         http_address: str = "",
         start: bool = True,
     ) -> Box:
-        """`make(box)` gives the machine anew at each start."""
+        """Adds a box and starts its process, unless `start` is false.
+
+        `make(box)` creates the state machine at each start.
+        """
         box = self.boxes[name] = Box(name, role, make, zone, address, http_address, BoxClock(self), self.seed)
         self.by_address[address] = self.by_http_address[http_address] = box
         if start:
@@ -229,7 +239,7 @@
         return box
 
     def start(self, name: str) -> None:
-        """A process begins on the box."""
+        """Starts a new process on the box."""
         box = self.boxes[name]
         box.incarnation += 1
         box.restart_epochs += 1
@@ -237,13 +247,13 @@
         self._load(box, box.incarnation)
 
     def _load(self, box: Box, incarnation: int) -> None:
-        """The process reads its folder, tries until the disk lets it, and begins."""
+        """Opens the data folder, retrying while the disk refuses, then creates the process's state machine."""
         if box.incarnation != incarnation:
             return
         try:
             opened = box.disk.open(self.now)
         except OSError:
-            self._later(START_AGAIN, self._load, box, incarnation)
+            self._later(DISK_RETRY_DELAY, self._load, box, incarnation)
             return
         for damage in opened.damages:
             self.logs.append(
@@ -258,9 +268,9 @@
         self._later(TICK * self.random.random(), self._tick, box, box.incarnation)
 
     def kill(self, name: str, writes_kept: int | None = None) -> None:
-        """The process ends at once; half of the times the power is lost too, and with it what its disk had not synced.
+        """Ends the process at once; with a probability of one half its disk also loses what was not synced.
 
-        With `writes_kept` just so many of the writes on their way stay.
+        With `writes_kept`, exactly that many of the oldest unfinished writes are kept.
         """
         box = self.boxes[name]
         if not self._end(box):
@@ -271,7 +281,7 @@
             box.disk.end_process()
 
     def lose_power(self, name: str, writes_kept: int | None = None) -> None:
-        """The process ends, and what the machine had still to send is lost too."""
+        """Cuts the power: ends the process and also loses unsynced data and messages that its links held."""
         box = self.boxes[name]
         if not self._end(box):
             return
@@ -280,7 +290,10 @@
             del self.held[link]
 
     def _end(self, box: Box) -> bool:
-        """Ends the process, if there is one; one that waits for its disk will not begin."""
+        """Ends the process, if one runs, and returns whether one did.
+
+        A process that still waits for its disk will not start.
+        """
         was_running = box.machine is not None
         box.machine, box.incarnation = None, box.incarnation + 1
         if was_running:
@@ -289,31 +302,31 @@
         return was_running
 
     def vanish(self, name: str) -> None:
-        """The machine is gone: nothing answers, not even a refusal."""
+        """Removes the machine from the network: connections to it time out instead of being refused."""
         self.lose_power(name)
         self.boxes[name].is_gone = True
 
     def stop(self, name: str) -> None:
-        """The platform's short warning."""
-        self._hand(self.boxes[name], events.StopRequested())
+        """Sends the process a stop request, as the platform does shortly before it ends a machine."""
+        self._deliver(self.boxes[name], events.StopRequested())
 
     def freeze(self, name: str) -> None:
-        """The process stands still; what is sent to it lies in its buffers."""
+        """Suspends the process; events for it are buffered, at most 2000."""
         self.boxes[name].is_frozen = True
 
     def wake(self, name: str) -> None:
-        """What lay in its buffers comes first, then its pulse."""
+        """Resumes a frozen process; the buffered events are delivered before its next tick."""
         box = self.boxes[name]
         box.is_frozen, buffer, box.buffer = False, box.buffer, []
         for message in buffer:
-            self._hand(box, message)
+            self._deliver(box, message)
 
     def cut(self, first: Any, second: Any, one_way: bool = False, holds: bool = False) -> Any:
-        """Boxes of `first` cannot reach those of `second`; gives the links that were cut.
+        """Cuts the links from the boxes of `first` to those of `second`, and returns the cut links.
 
-        With `holds` what is sent on connections that stand arrives late, in order, when the link heals, if it is not
-        older than HELD_FOR by then and its receiver still runs; datagrams are lost all the same. Else all that is
-        sent is lost.
+        Unless `one_way`, the reverse links are cut too. With `holds`, messages sent on open connections arrive late
+        and in order when the link heals, if they are not older than MAX_HOLD_TIME by then and the receiver still runs;
+        datagrams are lost. Without `holds`, everything sent is lost.
         """
         links = {(one, other) for one in first for other in second if one != other}
         if not one_way:
@@ -326,7 +339,7 @@
         return links
 
     def heal(self, links: Any = None) -> None:
-        """Ends these cuts, or all; what they held comes first."""
+        """Restores the given cut links, or all; held messages are delivered first."""
         healed = set(self.cuts if links is None else links)
         self.cuts -= healed
         self.holding -= healed
@@ -335,16 +348,16 @@
 
     # time -----------------------------------------------------------------------------
 
-    def _later(self, delay: timedelta, call: Any, *words: Any) -> None:
+    def _later(self, delay: timedelta, call: Any, *arguments: Any) -> None:
         self.count += 1
-        heappush(self.heap, (self.now + delay, self.count, call, words))
+        heappush(self.heap, (self.now + delay, self.count, call, arguments))
 
     def run(self, seconds: float) -> None:
-        """Virtual time goes on by so many seconds."""
+        """Advances virtual time by `seconds`."""
         self.run_until(lambda: False, seconds)
 
     def run_until(self, is_reached: Callable[[], bool], seconds: float) -> bool:
-        """Whether it was reached within the virtual seconds."""
+        """Runs until the condition holds or `seconds` of virtual time pass; returns whether the condition holds."""
         end = self.now + timedelta(seconds=seconds)
         check_at = self.now
         while self.heap and self.heap[0][0] <= end:
@@ -352,8 +365,8 @@
                 if is_reached():
                     return True
                 check_at = self.heap[0][0] + TICK
-            self.now, _, call, words = heappop(self.heap)
-            call(*words)
+            self.now, _, call, arguments = heappop(self.heap)
+            call(*arguments)
         self.now = end
         return is_reached()
 
@@ -366,55 +379,55 @@
             return
         if not box.is_frozen:
             if (change := box.disk.queue.state_change(self.now)) is not None:
-                self._hand(box, change)
-            self._hand(box, events.Tick())
-        self._later(TICK + box.slow, self._tick, box, incarnation)
+                self._deliver(box, change)
+            self._deliver(box, events.Tick())
+        self._later(TICK + box.extra_tick_delay, self._tick, box, incarnation)
 
-    def _hand(self, box: Box, message: Any) -> None:
+    def _deliver(self, box: Box, message: Any) -> None:
         if box.machine is None:
             return
         if box.is_frozen:
-            if len(box.buffer) < MOST_BUFFERED:
+            if len(box.buffer) < MAX_BUFFERED_EVENTS:
                 box.buffer.append(message)
             return
         incarnation = box.incarnation
         for effect in box.machine.take(message, self.now):
             if box.incarnation == incarnation:
-                self._do(box, effect)
+                self._execute(box, effect)
 
-    def _reach(self, box: Box, other: Box) -> bool:
+    def _can_reach(self, box: Box, other: Box) -> bool:
         return (box.name, other.name) not in self.cuts and not other.is_gone
 
-    def _send(self, box: Box, other: Box, call: Any, *words: Any) -> None:
-        """In order between two boxes, after the wire's latency; lost or held where they are cut off."""
-        self._pass_on(box, other, True, call, words)
+    def _send(self, box: Box, other: Box, call: Any, *arguments: Any) -> None:
+        """Delivers a message after the link's latency, in order between two boxes; a cut link loses or holds it."""
+        self._schedule_delivery(box, other, True, call, arguments)
 
-    def _send_datagram(self, box: Box, other: Box, call: Any, *words: Any) -> None:
-        """As `_send`, but never held."""
-        self._pass_on(box, other, False, call, words)
+    def _send_datagram(self, box: Box, other: Box, call: Any, *arguments: Any) -> None:
+        """Delivers a datagram as `_send` does a message, except that a cut link never holds it."""
+        self._schedule_delivery(box, other, False, call, arguments)
 
-    def _pass_on(self, box: Box, other: Box, is_connected: bool, call: Any, words: Any) -> None:
+    def _schedule_delivery(self, box: Box, other: Box, is_connected: bool, call: Any, arguments: Any) -> None:
         at = self.now + timedelta(seconds=self.random.uniform(*self.latency))
         key = (box.name, other.name)
         at += self.slow_links.get(key, timedelta(0))
         at = self.latest[key] = max(at, self.latest.get(key, at))
-        self._later(at - self.now, self._arrive, key, other, is_connected, call, words)
+        self._later(at - self.now, self._arrive, key, other, is_connected, call, arguments)
 
-    def _arrive(self, key: Link, other: Box, is_connected: bool, call: Any, words: Any) -> None:
-        exchange = words[0] if isinstance(words[0], Exchange) else None
+    def _arrive(self, key: Link, other: Box, is_connected: bool, call: Any, arguments: Any) -> None:
+        exchange = arguments[0] if isinstance(arguments[0], Exchange) else None
         is_held = is_connected and not other.is_gone and (key in self.holding if key in self.cuts else key in self.held)
         if is_held:
-            self.held.setdefault(key, []).append(HeldMessage(self.now, other, other.incarnation, call, words))
+            self.held.setdefault(key, []).append(HeldMessage(self.now, other, other.incarnation, call, arguments))
         elif key in self.cuts or other.is_gone:
             if exchange is not None:
-                exchange.is_broken = True  # a connection that lost something says nothing more
+                exchange.is_broken = True  # a connection that lost data delivers nothing more
         elif exchange is None or not exchange.is_broken:
-            call(*words)
+            call(*arguments)
 
     def _release(self, link: Any) -> None:
-        """Delivers what a link held that has healed, but for what was given up meanwhile."""
+        """Delivers the messages that a healed link held, except those whose connection has been closed."""
         if link in self.cuts:
-            return  # cut again before anything came through
+            return  # the link was cut again before its messages were delivered
         for message in self.held.pop(link, ()):
             exchange = message.arguments[0] if isinstance(message.arguments[0], Exchange) else None
             if not message.is_deliverable(self.now):
@@ -425,14 +438,14 @@
 
     # effects --------------------------------------------------------------------------
 
-    def _do(self, box: Box, effect: Any) -> None:
+    def _execute(self, box: Box, effect: Any) -> None:
         match effect:
             case effects.Send(address, message):
-                self._tell(box, address, message, False)
+                self._send_message(box, address, message, False)
             case effects.SendDatagram(address, message):
-                self._tell(box, address, message, True)
+                self._send_message(box, address, message, True)
             case effects.AppendRecords() | effects.RewriteRecords() | effects.AppendDayLog():
-                self._disk(box, effect)
+                self._queue_write(box, effect)
             case effects.Fetch():
                 self._fetch(box, effect)
             case effects.CancelCall(call_id):
@@ -444,41 +457,43 @@
                 | effects.EndResponse()
                 | effects.AbortResponse()
             ):
-                self._answer(box, effect)
+                self._send_response(box, effect)
             case effects.Log(level, component, text, fields):
                 self.logs.append((self.now, box.name, level, component, text, fields))
             case effects.Exit():
                 self.kill(box.name)
 
-    def _tell(self, box: Box, address: str, message: Any, is_cast: bool) -> None:
+    def _send_message(self, box: Box, address: str, message: Any, is_datagram: bool) -> None:
         other = self.by_address.get(address)
-        if other is None or (is_cast and self.random.random() < self.loss):
+        if other is None or (is_datagram and self.random.random() < self.loss):
             return
-        assert box.codec is not None, "a process that runs has a codec"
+        assert box.codec is not None, "a running process has a codec"
         raw = box.codec.pack(message)
-        send = self._send_datagram if is_cast else self._send
-        send(box, other, self._heard, other, raw)
+        send = self._send_datagram if is_datagram else self._send
+        send(box, other, self._receive_message, other, raw)
 
-    def _heard(self, other: Box, raw: bytes) -> None:
+    def _receive_message(self, other: Box, raw: bytes) -> None:
         try:
             frame = read_frame(self.cluster, raw)
         except UnreadableFrameError:
-            self._hand(other, events.UnreadableMessageReceived())
+            self._deliver(other, events.UnreadableMessageReceived())
             return
-        self._hand(other, events.MessageReceived(frame.sender, frame.address, frame.message))
+        self._deliver(other, events.MessageReceived(frame.sender, frame.address, frame.message))
 
-    def _disk(self, box: Box, effect: Any) -> None:
+    def _queue_write(self, box: Box, effect: Any) -> None:
         is_idle = box.disk.queue.is_empty
         box.disk.begin(effect, self.now)
         if is_idle:
             self._later(timedelta(0), self._begin_sync, box, box.incarnation)
 
     def _begin_sync(self, box: Box, incarnation: int) -> None:
-        """One sync for all that waits for one file by now; what comes meanwhile is for the next."""
+        """Starts one sync for all waiting writes of a file; writes that arrive during it wait for the next sync."""
         if box.incarnation != incarnation or box.disk.queue.begin_step(self.now) is None:
             return
         delay = max(
-            box.disk.delay, box.disk.stalled_until - self.now, START_AGAIN if box.disk.queue.error else box.disk.delay
+            box.disk.delay,
+            box.disk.stalled_until - self.now,
+            DISK_RETRY_DELAY if box.disk.queue.error else box.disk.delay,
         )
         self._later(delay, self._synced, box, box.incarnation)
 
@@ -488,33 +503,33 @@
         followups = box.disk.finish(self.now) if self.now >= box.disk.stalled_until else None
         self._begin_sync(box, incarnation)
         if followups is None and (change := box.disk.queue.state_change(self.now)) is not None:
-            self._hand(box, change)
+            self._deliver(box, change)
         for followup in followups or ():
             if box.incarnation == incarnation:
-                self._hand(box, followup)
+                self._deliver(box, followup)
 
     # HTTP ---------------------------------------------------------------------------------
 
     def _fetch(self, box: Box, effect: Any) -> None:
-        tid, method = effect.call_id, effect.method
+        client_call_id, method = effect.call_id, effect.method
         address, _, path = effect.url.removeprefix("http://").partition("/")
         server = self.by_http_address.get(address)
         self.count += 1
-        cid = self.count
-        if box.role == "edge" and (tid[0] == "lookup" or method == "POST"):  # a resume runs nothing and is no resend
-            self.tries.append((self.now, tid[2] > 1, tid[0]))
-        if server is None or not self._reach(box, server) or not self._reach(server, box):
-            failed = events.CallFailed(tid, CallFailure.CONNECT_TIMEOUT)
-            self._later(effect.connect_timeout, self._tell_client, box, box.incarnation, failed)
+        server_call_id = self.count
+        if box.role == "edge" and (client_call_id[0] == "lookup" or method == "POST"):  # a resumed stream is no retry
+            self.attempts.append((self.now, client_call_id[2] > 1, client_call_id[0]))
+        if server is None or not self._can_reach(box, server) or not self._can_reach(server, box):
+            failed = events.CallFailed(client_call_id, CallFailure.CONNECT_TIMEOUT)
+            self._later(effect.connect_timeout, self._notify_client, box, box.incarnation, failed)
             return
         if server.machine is None:
-            failed = events.CallFailed(tid, CallFailure.REFUSED)
-            self._later(timedelta(seconds=0.002), self._tell_client, box, box.incarnation, failed)
+            failed = events.CallFailed(client_call_id, CallFailure.REFUSED)
+            self._later(timedelta(seconds=0.002), self._notify_client, box, box.incarnation, failed)
             return
-        exchange = self.exchanges[cid] = Exchange(cid, box, tid, server, effect.mode)
-        self.by_tid[(box.name, box.incarnation, tid)] = cid
+        exchange = self.exchanges[server_call_id] = Exchange(server_call_id, box, client_call_id, server, effect.mode)
+        self.exchange_ids[(box.name, box.incarnation, client_call_id)] = server_call_id
         headers = {name.lower(): value for name, value in effect.headers.items()}
-        request = events.HttpRequestReceived(cid, method, "/" + path, headers, effect.body)
+        request = events.HttpRequestReceived(server_call_id, method, "/" + path, headers, effect.body)
         self._later(timedelta(seconds=0.001), self._connected, exchange, request)
         self._later(effect.total_timeout, self._expire, exchange)
 
@@ -522,81 +537,95 @@
         if not exchange.is_open:
             return
         if exchange.server.incarnation != exchange.server_incarnation:
-            self._end_exchange(exchange, events.CallFailed(exchange.tid, CallFailure.REFUSED))
+            self._end_exchange(exchange, events.CallFailed(exchange.client_call_id, CallFailure.REFUSED))
             return
-        self._tell_client(exchange.client, exchange.client_incarnation, events.RequestSent(exchange.tid))
-        self._send(exchange.client, exchange.server, self._hand_alive, exchange, request)
+        self._notify_client(exchange.client, exchange.client_incarnation, events.RequestSent(exchange.client_call_id))
+        self._send(exchange.client, exchange.server, self._deliver_if_same_process, exchange, request)
 
-    def _hand_alive(self, exchange: Exchange, event: Event) -> None:
+    def _deliver_if_same_process(self, exchange: Exchange, event: Event) -> None:
         if exchange.server.incarnation == exchange.server_incarnation:
             is_request = isinstance(event, events.HttpRequestReceived)
-            if is_request and exchange.client.role == "edge":  # it came in now, whenever it is taken up
+            if is_request and exchange.client.role == "edge":  # on arrival, also if frozen
                 self.arrivals.setdefault(exchange.server.name, []).append((self.now, exchange.client.name))
-            self._hand(exchange.server, event)
+            self._deliver(exchange.server, event)
 
     def _expire(self, exchange: Exchange) -> None:
         if exchange.is_open:
             self._finish(exchange)
-            self._hand_alive(exchange, events.ClientDisconnected(exchange.cid))
-            failed = events.CallFailed(exchange.tid, CallFailure.TIMEOUT)
-            self._tell_client(exchange.client, exchange.client_incarnation, failed)
+            self._deliver_if_same_process(exchange, events.ClientDisconnected(exchange.server_call_id))
+            failed = events.CallFailed(exchange.client_call_id, CallFailure.TIMEOUT)
+            self._notify_client(exchange.client, exchange.client_incarnation, failed)
 
     def _finish(self, exchange: Exchange) -> None:
         exchange.is_open = False
-        self.exchanges.pop(exchange.cid, None)
-        self.by_tid.pop((exchange.client.name, exchange.client_incarnation, exchange.tid), None)
+        self.exchanges.pop(exchange.server_call_id, None)
+        self.exchange_ids.pop((exchange.client.name, exchange.client_incarnation, exchange.client_call_id), None)
 
-    def _cancel_call(self, box: Box, tid: Any) -> None:
-        exchange = self.exchanges.get(self.by_tid.get((box.name, box.incarnation, tid)))
+    def _cancel_call(self, box: Box, client_call_id: Any) -> None:
+        exchange = self.exchanges.get(self.exchange_ids.get((box.name, box.incarnation, client_call_id)))
         if exchange is not None:
             self._finish(exchange)
-            self._send(box, exchange.server, self._hand_alive, exchange, events.ClientDisconnected(exchange.cid))
+            self._send(
+                box,
+                exchange.server,
+                self._deliver_if_same_process,
+                exchange,
+                events.ClientDisconnected(exchange.server_call_id),
+            )
 
-    def _answer(self, box: Box, effect: Any) -> None:
+    def _send_response(self, box: Box, effect: Any) -> None:
         exchange = self.exchanges.get(effect.call_id)
         if exchange is not None:
-            self._send(box, exchange.client, self._answered, exchange, effect)
+            self._send(box, exchange.client, self._receive_response, exchange, effect)
 
-    def _answered(self, exchange: Exchange, effect: Any) -> None:
+    def _receive_response(self, exchange: Exchange, effect: Any) -> None:
         if not exchange.is_open:
             return
-        tid = exchange.tid
+        client_call_id = exchange.client_call_id
         match effect:
             case effects.Reply(_, status, headers, body):
-                self._end_exchange(exchange, events.ResponseReceived(tid, status, _lower(headers), body))
+                self._end_exchange(
+                    exchange, events.ResponseReceived(client_call_id, status, _lowercase_names(headers), body)
+                )
             case effects.BeginResponse(_, status, headers):
-                head = events.ResponseHeadReceived(tid, status, _lower(headers))
-                self._tell_client(exchange.client, exchange.client_incarnation, head)
+                head = events.ResponseHeadReceived(client_call_id, status, _lowercase_names(headers))
+                self._notify_client(exchange.client, exchange.client_incarnation, head)
             case effects.SendChunk(_, data):
                 for event in exchange.parser.receive_bytes(data):
-                    received = events.ServerEventReceived(tid, event.id, event.data)
-                    self._tell_client(exchange.client, exchange.client_incarnation, received)
+                    received = events.ServerEventReceived(client_call_id, event.id, event.data)
+                    self._notify_client(exchange.client, exchange.client_incarnation, received)
             case effects.EndResponse():
-                self._end_exchange(exchange, events.ResponseEnded(tid))
+                self._end_exchange(exchange, events.ResponseEnded(client_call_id))
             case _:
-                self._end_exchange(exchange, events.CallFailed(tid, CallFailure.RESET))
+                self._end_exchange(exchange, events.CallFailed(client_call_id, CallFailure.RESET))
 
     def _end_exchange(self, exchange: Exchange, event: Event) -> None:
-        """The client is told how its call ended."""
+        """Closes the exchange and delivers its final event to the client."""
         self._finish(exchange)
-        self._tell_client(exchange.client, exchange.client_incarnation, event)
+        self._notify_client(exchange.client, exchange.client_incarnation, event)
 
-    def _tell_client(self, box: Box, incarnation: int, event: Event) -> None:
+    def _notify_client(self, box: Box, incarnation: int, event: Event) -> None:
         if box.incarnation == incarnation:
-            self._hand(box, event)
+            self._deliver(box, event)
 
     def _break_exchanges(self, box: Box) -> None:
         for exchange in list(self.exchanges.values()):
             if exchange.server is box:
                 self._finish(exchange)
-                failed = events.CallFailed(exchange.tid, CallFailure.RESET)
+                failed = events.CallFailed(exchange.client_call_id, CallFailure.RESET)
                 self._send(
-                    box, exchange.client, self._tell_client, exchange.client, exchange.client_incarnation, failed
+                    box, exchange.client, self._notify_client, exchange.client, exchange.client_incarnation, failed
                 )
             elif exchange.client is box:
                 self._finish(exchange)
-                self._send(box, exchange.server, self._hand_alive, exchange, events.ClientDisconnected(exchange.cid))
+                self._send(
+                    box,
+                    exchange.server,
+                    self._deliver_if_same_process,
+                    exchange,
+                    events.ClientDisconnected(exchange.server_call_id),
+                )
 
 
-def _lower(headers: Any) -> dict[str, Any]:
+def _lowercase_names(headers: Any) -> dict[str, Any]:
     return {name.lower(): value for name, value in headers.items()}
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -300,7 +300,7 @@
     for step in range(20):
         deployment.run(0.1 + 0.0137 * (step % 7))
         before = leader(deployment).state.number
-        deployment._hand(box_of(deployment, other), ProposeChange(("evacuate", f"step-{step}", "hall-a")))
+        deployment._deliver(box_of(deployment, other), ProposeChange(("evacuate", f"step-{step}", "hall-a")))
         deployment.run(0.018)
         assert all(core.state.number > before for core in deployment.machines("core")), step
 
@@ -486,7 +486,7 @@
         deployment.run(1)
         assert _apply(deployment, f"without-{step}", at=next(name for name in CORES if name != isolated))
         for name in CORES:
-            deployment._hand(deployment.boxes[name], ReadRequested(f"{name}/{step}"))
+            deployment._deliver(deployment.boxes[name], ReadRequested(f"{name}/{step}"))
     deployment.heal(links)
     deployment.run(0.6)
     readable = {token for token, is_readable in answers.items() if is_readable}
@@ -628,13 +628,13 @@
 
 def _longest_message(deployment):
     """Records the length of the longest message between nodes from now on, in a list with one item."""
-    longest, receive = [0], deployment._heard
+    longest, receive = [0], deployment._receive_message
 
     def heard(other, raw):
         longest[0] = max(longest[0], len(raw))
         receive(other, raw)
 
-    deployment._heard = heard
+    deployment._receive_message = heard
     return longest
 
 
--- a/tests/deployment_fixtures.py
+++ b/tests/deployment_fixtures.py
@@ -97,16 +97,16 @@
 
 def quiet(deployment):
     """Creates callers that send requests only through `ask`."""
-    callers = deployment.call_in(1.0, [])
+    callers = deployment.start_callers(1.0, [])
     callers.groups = deployment.spec.traffic
-    callers.due = {each["name"]: timedelta(days=9) for each in deployment.spec.traffic}
+    callers.next_request_at = {each["name"]: timedelta(days=9) for each in deployment.spec.traffic}
     return callers
 
 
 def ask(deployment, callers, name, max_tokens=64, **more):
     """Sends one request of a traffic group now and returns the call."""
     for effect in callers.ask(group(deployment, name, max_tokens=max_tokens), deployment.now, **more):
-        deployment._do(deployment.boxes["callers"], effect)
+        deployment._execute(deployment.boxes["callers"], effect)
     return callers.calls[-1]
 
 
--- a/tests/inference/test_requests.py
+++ b/tests/inference/test_requests.py
@@ -99,10 +99,10 @@
     _fill_retry_budgets(deployment)
     primary, _ = _replicas_of(deployment, "refund-03")
     call = ask(deployment, callers, "refunds", model="refund-03")
-    assert deployment.run_until(lambda: call.first_at is not None, 3)
+    assert deployment.run_until(lambda: call.first_token_at is not None, 3)
     deployment.kill(primary)
     deployment.run(6)
-    assert call.outcome == "cut" and call.finish is None and call.fault_class == "cut" and call.run == "yes"
+    assert call.outcome == "cut" and call.finish_reason is None and call.fault_class == "cut" and call.run == "yes"
     assert invariant_checker(deployment, callers).faults() == []
 
 
@@ -131,11 +131,13 @@
     callers = quiet(deployment)
     _fill_retry_budgets(deployment)
     call = ask(deployment, callers, "refunds", model="refund-04")
-    assert deployment.run_until(lambda: call.first_at is not None, 3)
+    assert deployment.run_until(lambda: call.first_token_at is not None, 3)
     edge = deployment.boxes[call.edge]
-    exchange = next(item for item in deployment.exchanges.values() if item.client is edge and item.tid[0] == "prompt")
-    deployment._end_exchange(exchange, CallFailed(exchange.tid, CallFailure.RESET))
-    deployment._hand_alive(exchange, ClientDisconnected(exchange.cid))
+    exchange = next(
+        item for item in deployment.exchanges.values() if item.client is edge and item.client_call_id[0] == "prompt"
+    )
+    deployment._end_exchange(exchange, CallFailed(exchange.client_call_id, CallFailure.RESET))
+    deployment._deliver_if_same_process(exchange, ClientDisconnected(exchange.server_call_id))
     deployment.run(6)
     assert call.outcome == "ok" and call.is_done
     assert (
@@ -151,13 +153,15 @@
     for server in deployment.machines("model"):
         server.rates["refund-04"] = 9.0
     call = ask(deployment, callers, "refunds", model="refund-04")
-    assert deployment.run_until(lambda: call.first_at is not None, 3)
+    assert deployment.run_until(lambda: call.first_token_at is not None, 3)
     for server in deployment.machines("model"):
         server.skips = 1
     edge = deployment.boxes[call.edge]
-    exchange = next(item for item in deployment.exchanges.values() if item.client is edge and item.tid[0] == "prompt")
-    deployment._end_exchange(exchange, CallFailed(exchange.tid, CallFailure.RESET))
-    deployment._hand_alive(exchange, ClientDisconnected(exchange.cid))
+    exchange = next(
+        item for item in deployment.exchanges.values() if item.client is edge and item.client_call_id[0] == "prompt"
+    )
+    deployment._end_exchange(exchange, CallFailed(exchange.client_call_id, CallFailure.RESET))
+    deployment._deliver_if_same_process(exchange, ClientDisconnected(exchange.server_call_id))
     deployment.run(6)
     assert call.outcome == "cut" and call.fault_class == "cut"
     assert invariant_checker(deployment, callers).faults() == []
@@ -167,11 +171,11 @@
     """Requests for an unconfigured model are refused at once with one log line in all, and no server is tried."""
     deployment = settled(37)
     callers = quiet(deployment)
-    before = len(deployment.tries)
+    before = len(deployment.attempts)
     calls = [ask(deployment, callers, "refunds", model="nobody-knows", edge="edge-1") for _ in range(5)]
     deployment.run(1)
     assert {(call.status, call.fault_class, call.run) for call in calls} == {(404, "no-model", "no")}
-    assert len(deployment.tries) == before
+    assert len(deployment.attempts) == before
     assert len([line for line in deployment.logs if "not configured" in line[4]]) == 1
 
 
@@ -204,7 +208,7 @@
         ("GET", "/elsewhere", key, b"", 404),
         ("GET", "/records/1", {"Authorization": "Bearer wrong-key"}, b"", 401),
     ]
-    before, edge = len(deployment.tries), deployment.boxes["edge-1"].machine
+    before, edge = len(deployment.attempts), deployment.boxes["edge-1"].machine
     for method, path, headers, body, status in cases:
         headers = {name.lower(): value for name, value in headers.items()}
         (answer,) = [
@@ -213,7 +217,7 @@
             if isinstance(effect, Reply)
         ]
         assert answer.status == status and json.loads(answer.body)["fault"]["reason"], (method, path, answer)
-    assert http_address and len(deployment.tries) == before
+    assert http_address and len(deployment.attempts) == before
 
 
 def test_prompts_with_one_idempotency_key_run_once_over_all_edges():
@@ -267,12 +271,14 @@
         model for model, pair in pairs.items() if not model.startswith("audit") and set(pair) - {""} <= audit_servers
     ]
     assert shared_models  # models whose only servers also run the audit prompts
-    callers = deployment.call_in(1.0, [group(deployment, "stamps"), group(deployment, "claims", models=shared_models)])
+    callers = deployment.start_callers(
+        1.0, [group(deployment, "stamps"), group(deployment, "claims", models=shared_models)]
+    )
     deployment.run(10)
     baseline = max(call.ended_at - call.sent_at for call in outcomes(callers, group="stamps", outcome="ok"))
     for server in deployment.machines("model"):
         server.rates |= {name: 4.0 for name in server.rates if name.startswith("audit")}
-    flood = deployment.call_in(1.0, [group(deployment, "audits", rate=30.0)], "flood")
+    flood = deployment.start_callers(1.0, [group(deployment, "audits", rate=30.0)], "flood")
     deployment.run(20)
     flood.is_on = callers.is_on = False
     deployment.run(3)
@@ -288,7 +294,7 @@
     (rule 7).
     """
     deployment = settled(43, edges=5)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(5)
     for name in ("model-1", "model-2", "model-3", "stamps-1", "stamps-2"):
         deployment.kill(name)
@@ -305,7 +311,7 @@
     the first attempts; requests without credit fail as overloaded or at their deadline (rule 7).
     """
     deployment = settled(50, edges=5)
-    callers = deployment.call_in(2.0, [group(deployment, "stamps")])
+    callers = deployment.start_callers(2.0, [group(deployment, "stamps")])
     deployment.run(4)
     for name in ("stamps-1", "stamps-2", "stamps-3"):
         deployment.boxes[name].machine.is_busy = True
@@ -339,7 +345,7 @@
     deployment = settled(45)
     callers = quiet(deployment)
     call = ask(deployment, callers, "refunds", model="refund-07")
-    assert deployment.run_until(lambda: call.first_at is not None, 3)
+    assert deployment.run_until(lambda: call.first_token_at is not None, 3)
     request = next(
         request for edge in deployment.machines("edge") for request in edge.inference_pipeline.table.requests.values()
     )
@@ -368,7 +374,7 @@
     fails as possibly run.
     """
     deployment = settled(47)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(4)
     deployment.stop("edge-1")
     deployment.run(12)
@@ -385,7 +391,7 @@
     seconds after the network is restored. Breakers that opened meanwhile must not delay it.
     """
     deployment = settled(48, "central-java", edges=3)
-    callers = deployment.call_in(1.0, [group(deployment, "status")], edges=["edge-1"])
+    callers = deployment.start_callers(1.0, [group(deployment, "status")], edges=["edge-1"])
     deployment.run(5)
     deployment.cut(["edge-1"], [name for name in deployment.boxes if name not in ("edge-1", "callers", "operator")])
     deployment.run(4)
@@ -404,12 +410,12 @@
     window. All requests succeed again afterwards (rule 7).
     """
     deployment = settled(83, edges=5)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(45)
     names = [box.name for box in deployment.boxes.values() if box.role == "records"] + ["model-1", "model-3", "model-5"]
     for name in names:
         deployment.boxes[name].machine.is_busy = True
-    crowd = deployment.call_in(5.0, name="crowd")
+    crowd = deployment.start_callers(5.0, name="crowd")
     deployment.run(6)
     crowd.is_on = False
     deployment.run(20)
@@ -430,7 +436,7 @@
     """
     for how in ("killed", "dark", "vanished", "all dark"):
         deployment = settled(84, "central-java", edges=4)
-        callers = deployment.call_in(1.0, [group(deployment, "status")])
+        callers = deployment.start_callers(1.0, [group(deployment, "status")])
         deployment.run(4)
         names = ["records-1", "records-2", "records-3"] if how == "all dark" else ["records-1", "records-2"]
         for name in names:
@@ -465,7 +471,7 @@
     """
     deployment = settled(88, edges=4)
     model, (primary, _) = next(item for item in leader(deployment).state.pairs.items() if item[1][1])
-    callers = deployment.call_in(2.0, [group(deployment, "stamps"), group(deployment, "refunds", models=[model])])
+    callers = deployment.start_callers(2.0, [group(deployment, "stamps"), group(deployment, "refunds", models=[model])])
     deployment.run(8)
     for name in ("stamps-1", "stamps-2", primary):
         deployment.boxes[name].machine.is_busy = True
--- a/tests/ledger/test_day_logs.py
+++ b/tests/ledger/test_day_logs.py
@@ -20,9 +20,9 @@
     """Rule 12: an edge is killed just before midnight during traffic. Each dropped call must be in the log of the day on which
     it arrived, although it is closed as lost on the next day."""
     deployment = settled(91, edges=4)
-    deployment.dawn = datetime(2026, 3, 3, tzinfo=UTC) - deployment.now - timedelta(seconds=6)
+    deployment.start_time = datetime(2026, 3, 3, tzinfo=UTC) - deployment.now - timedelta(seconds=6)
     deployment.run(1)
-    callers = deployment.call_in(3.0)
+    callers = deployment.start_callers(3.0)
     deployment.run(4.6)
     deployment.kill("edge-1")
     deployment.run(8)
@@ -37,7 +37,7 @@
     """Rule 12: the wall clocks of a core and of an edge jump by a day, an edge starts with a wrong clock, and then all clocks
     jump to different times. All records must stay in the log of the true day."""
     deployment = settled(92, edges=4)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(2)
     deployment.boxes["core-2"].clock.jump, deployment.boxes["edge-2"].clock.jump = DAY, -DAY
     deployment.run(4)
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -49,7 +49,7 @@
 def test_open_requests_of_a_killed_edge_are_closed_as_lost_in_the_day_log():
     """An edge is killed with requests in flight: each must be in the day log as lost, with the run status "maybe"."""
     deployment = settled(52)
-    callers = deployment.call_in(4.0, edges=["edge-1"])
+    callers = deployment.start_callers(4.0, edges=["edge-1"])
     deployment.run(5)
     deployment.kill("edge-1")
     callers.is_on = False
@@ -69,7 +69,7 @@
     """A replica is down for 8 s: other replicas store its records and hand them off when it returns. No record may be
     duplicated or missing."""
     deployment = settled(53)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(3)
     deployment.kill("core-3")
     deployment.run(8)
@@ -99,7 +99,7 @@
     bound, record_file.MAX_STORED_RECORDS = record_file.MAX_STORED_RECORDS, 200
     try:
         deployment = settled(54)
-        callers = deployment.call_in(3.0)
+        callers = deployment.start_callers(3.0)
         for step in range(12):
             deployment.run(1.5 + 0.013 * step)
             name = f"core-{step % 3 + 1}"
@@ -124,7 +124,7 @@
     and each request that was late or dropped must be in the day log."""
     for seed, name in ((55, "kosice"), (56, "central-java")):
         deployment = settled(seed, name, edges=None)
-        callers = deployment.call_in(1.0)
+        callers = deployment.start_callers(1.0)
         deployment.run(6)
         ours = [box.name for box in deployment.boxes.values() if box.role in ("core", "edge")]
         for node in ours:
@@ -147,7 +147,7 @@
     """With all cores down, edges must still answer safe calls from their snapshot of the control state; after three seconds
     they use servers of their own area only."""
     deployment = settled(57, edges=6)
-    callers = deployment.call_in(1.0)
+    callers = deployment.start_callers(1.0)
     deployment.run(3)
     for place in (1, 2, 3):
         deployment.kill(f"core-{place}")
@@ -172,7 +172,7 @@
     """A partitioned edge refuses and serves requests and is then killed. Its requests must be in the day log once it has
     restarted and can reach the cores."""
     deployment = settled(58, edges=2, data="disk")
-    callers = deployment.call_in(2.0, edges=["edge-1"])
+    callers = deployment.start_callers(2.0, edges=["edge-1"])
     deployment.run(2)
     deployment.cut(["edge-1"], ["core-1", "core-2", "core-3", "edge-2"])
     deployment.run(6)
@@ -205,7 +205,7 @@
     """Rule 12: under heavy traffic all nodes are lost at once and none returns. Each call that was in flight must be found in
     the day logs on the disks."""
     deployment = settled(85, edges=5)
-    callers = deployment.call_in(3.0)
+    callers = deployment.start_callers(3.0)
     deployment.run(6)
     for box in list(deployment.boxes.values()):
         if box.role in ("core", "edge"):
@@ -220,7 +220,7 @@
     """Rule 12: an edge without a disk reaches other edges but no core, serves and refuses requests, and then fails
     permanently. Its requests must still be in the day log."""
     deployment = settled(86, edges=4)
-    callers = deployment.call_in(2.0, edges=["edge-1"])
+    callers = deployment.start_callers(2.0, edges=["edge-1"])
     deployment.run(2)
     deployment.cut(["edge-1"], ["core-1", "core-2", "core-3"])
     deployment.run(6)
--- a/tests/nodes/test_control_plane.py
+++ b/tests/nodes/test_control_plane.py
@@ -387,11 +387,11 @@
 
     for how in ("kill", "freeze", "cut"):
         deployment = settled(74, edges=4)
-        callers = deployment.call_in(1.0)
+        callers = deployment.start_callers(1.0)
         fault_injection = FaultInjection(deployment, callers, 74)
         for step in range(3):
             if step < 2:
-                assert fault_injection._change({"routes": [{"name": f"after-{step}", "target": "refund-01"}]}), how
+                assert fault_injection._apply_part({"routes": [{"name": f"after-{step}", "target": "refund-01"}]}), how
             else:
                 assert (
                     deployment.ask("core-1", "POST", "/operator/evacuate", {"request": "out", "area": "hall-b"})[0]
@@ -415,7 +415,7 @@
         deployment.run(5)
         assert invariant_checker(deployment, callers).faults() == [], how
         assert (
-            sum(note[3] == note[5] for note in deployment.probe.notes) > 100
+            sum(note[3] == note[5] for note in deployment.probe.answers) > 100
             and len(invariant_checker(deployment, callers).evacuations()) == 1
         )
 
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -181,7 +181,7 @@
     """A core's disk hangs for ten seconds under traffic: its write queue stays short, and every late request appears in
     a day log."""
     deployment = settled(740)
-    callers = deployment.call_in(4.0)
+    callers = deployment.start_callers(4.0)
     deployment.run(2)
     deployment.boxes["core-2"].disk.stalled_until = deployment.now + SECOND * 10
     max_waiting = 0
@@ -198,7 +198,7 @@
 def test_ledger_records_of_a_core_with_a_full_disk_are_handed_off():
     """While a core cannot write, the other cores store its ledger records and hand them over once it can."""
     deployment = settled(750)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(2)
     _refuse_writes(deployment, "core-3", 6)
     deployment.run(6.5)
@@ -221,7 +221,7 @@
     Before, it stopped with exit code 3 and stayed away until somebody moved its folder."""
     deployment = settled(760)
     callers = quiet(deployment)
-    deployment.call_in(3.0, name="more")
+    deployment.start_callers(3.0, name="more")
     deployment.run(4)
     former = deployment.boxes["core-1"].machine.node
     deployment.kill("core-1")
@@ -294,7 +294,7 @@
             "doc": {"routes": [{"name": f"under-way-{step}", "target": "refund-01"}]},
         }
         operator.ask(f"http://{http_address}/operator/apply", "POST", doc)
-        deployment._hand(deployment.boxes["operator"], HostTick())
+        deployment._deliver(deployment.boxes["operator"], HostTick())
         deployment.run(0.0007 * step)
         for name in CORES:
             deployment.kill(name)
--- a/tests/nodes/test_disks_and_power.py
+++ b/tests/nodes/test_disks_and_power.py
@@ -46,7 +46,7 @@
     operator = deployment.operator()
     number = operator.ask(f"http://{deployment.boxes[core].http_address}/operator/{kind}", "POST", document, False)
     for effect in operator.take(None, deployment.now):
-        deployment._do(deployment.boxes["operator"], effect)
+        deployment._execute(deployment.boxes["operator"], effect)
     return number
 
 
@@ -114,7 +114,7 @@
     """Under traffic, one disk is lost and all other machines, edges too, lose power: no request violates an invariant,
     and all sent later than the recovery time after the restart are served."""
     deployment = settled(700)
-    callers = deployment.call_in(1.0)
+    callers = deployment.start_callers(1.0)
     deployment.run(3.0)
     restart(deployment, cut_power_and_wipe(deployment, wiped))
     restarted_at = deployment.now
--- a/tests/policies/test_policies.py
+++ b/tests/policies/test_policies.py
@@ -16,7 +16,7 @@
     the policy is removed.
     """
     deployment = settled(81, edges=3)
-    callers = deployment.call_in(2.0)
+    callers = deployment.start_callers(2.0)
     deployment.run(6)
     assert _policies(deployment, "none", retry="attempt < 1")[0] == 200
     deployment.run(1)
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -13,8 +13,8 @@
     """Returns the violations that the invariant checker finds for one tenant."""
     invariant_checker = simulator.invariant_checker(name)
     return [
-        *invariant_checker.over(simulator.runs(name), **state),
-        *invariant_checker.short(simulator.asked(name, but), stranded, span),
+        *invariant_checker.ceiling_violations(simulator.runs(name), **state),
+        *invariant_checker.floor_violations(simulator.asked(name, but), stranded, span),
     ]
 
 
--- a/tests/quotas/test_quotas_in_deployment.py
+++ b/tests/quotas/test_quotas_in_deployment.py
@@ -14,7 +14,7 @@
 from sumachook.host.effects import Send
 from sumachook.host.events import HttpRequestReceived, MessageReceived
 from sumachook.simulation.deployment import Deployment
-from sumachook.simulation.deployment_quotas import DeploymentShares
+from sumachook.simulation.deployment_quotas import DeploymentQuotas
 from sumachook.transport.node_message import wire_kind
 from tests.deployment_fixtures import ask, box_of, group, invariant_checker, is_held, leader, quiet, settled, spec
 
@@ -46,7 +46,7 @@
     deployment = settled(seed, name, edges, **more)
     answer = configure(deployment, TENANTS[name])
     assert answer and answer[0] == 200, answer
-    return deployment, DeploymentShares(deployment, TENANTS[name])
+    return deployment, DeploymentQuotas(deployment, TENANTS[name])
 
 
 def find_accountant(deployment):
@@ -58,7 +58,7 @@
     """Given ten times the quota of lookups over three edges, the admitted ones stay within the bound. Each denial is an
     immediate 429 with run "no" and a retry delay, reaches no server, and is logged with tenant, quota and usage."""
     deployment, shares = deployment_with_quotas(1)
-    callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=600.0)])
+    callers = deployment.start_callers(1.0, [group(deployment, "stamps", rate=600.0)])
     deployment.run(8)
     callers.is_on = False
     deployment.run(3)
@@ -69,7 +69,7 @@
     )
     assert max(call.ended_at - call.sent_at for call in refused) < SECOND / 20
     assert (
-        list(shares.invariant_checker("status").over(shares.runs("status"))) == []
+        list(shares.invariant_checker("status").ceiling_violations(shares.runs("status"))) == []
         and len(shares.runs("status")) > 60 * 8 * 0.9
     )
     rows = {
@@ -95,7 +95,7 @@
     """Given an overload of one tenant and little load of another, any core shows limits, usage, leases and denials by
     tenant and edge; edges and the issuer export them as metrics."""
     deployment, _ = deployment_with_quotas(2)
-    deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims")])
+    deployment.start_callers(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims")])
     deployment.run(6)
     for core in ("core-1", "core-2", "core-3"):
         status, doc = deployment.ask(core, "GET", "/show/allowances")
@@ -123,18 +123,23 @@
     for is_flooded in (False, True):
         deployment, shares = deployment_with_quotas(3, name, 4)
         light = [each for each in deployment.spec.traffic if each["name"] != flooding]
-        callers = deployment.call_in(1.0, light)
+        callers = deployment.start_callers(1.0, light)
         if is_flooded:
-            deployment.call_in(1.0, [group(deployment, flooding, rate=10.0)], "flood")
+            deployment.start_callers(1.0, [group(deployment, flooding, rate=10.0)], "flood")
         deployment.run(25)
         found = {}
         for each in light:
             calls = [call for call in callers.calls if call.group == each["name"] and call.outcome != "pending"]
             assert not any(call.fault_class == "allowance" for call in calls)
-            waits = sorted((call.first_at or call.ended_at) - call.sent_at for call in calls if call.outcome == "ok")
+            waits = sorted(
+                (call.first_token_at or call.ended_at) - call.sent_at for call in calls if call.outcome == "ok"
+            )
             found[each["name"]] = (waits[len(waits) // 2], waits[int(len(waits) * 0.99)])
         times.append(found)
-        assert all(list(shares.invariant_checker(tenant).over(shares.runs(tenant))) == [] for tenant in shares.tenants)
+        assert all(
+            list(shares.invariant_checker(tenant).ceiling_violations(shares.runs(tenant))) == []
+            for tenant in shares.tenants
+        )
     for each, (median, late) in times[0].items():
         slack = LOOKUP_SLACK if each in ("stamps", "status") else PROMPT_SLACK
         assert times[1][each][0] <= median + slack and times[1][each][1] <= late * 1.25 + slack, (each, times)
@@ -144,7 +149,7 @@
     """Given that the issuing core is killed, lookups at half of their floor are never denied, before and after another
     core takes over the accounting duty."""
     deployment, shares = deployment_with_quotas(4, edges=4)
-    callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
+    callers = deployment.start_callers(1.0, [group(deployment, "stamps", rate=24.0)])
     deployment.run(4)
     lost = box_of(deployment, find_accountant(deployment)).name
     deployment.kill(lost)
@@ -152,7 +157,10 @@
     deployment.run(5)
     calls = [call for call in shares.calls("status") if call.outcome != "pending"]
     assert len(calls) > 150 and not any(call.fault_class == "allowance" for call in calls)
-    assert list(shares.invariant_checker("status").over(shares.runs("status"), changes=1, is_disturbed=True)) == []
+    assert (
+        list(shares.invariant_checker("status").ceiling_violations(shares.runs("status"), changes=1, is_disturbed=True))
+        == []
+    )
     assert callers.calls
 
 
@@ -160,7 +168,7 @@
     """Given an issuing core that is frozen until another holds its duty, it answers none of the buffered lease requests on
     resuming, even before its first tick."""
     deployment, _ = deployment_with_quotas(8)
-    deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
+    deployment.start_callers(1.0, [group(deployment, "stamps", rate=24.0)])
     deployment.run(2)
     old = find_accountant(deployment)
     name = box_of(deployment, old).name
@@ -201,7 +209,9 @@
     """Given an overload while edges shut down and restart one by one, no request reported as not run has run, and the
     requests that ran stay within the bound."""
     deployment, shares = deployment_with_quotas(5, edges=4)
-    callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims", rate=20.0)])
+    callers = deployment.start_callers(
+        1.0, [group(deployment, "stamps", rate=300.0), group(deployment, "claims", rate=20.0)]
+    )
     deployment.run(2)
     for name in ("edge-1", "edge-2", "edge-3", "edge-4"):
         deployment.stop(name)
@@ -211,7 +221,7 @@
     callers.is_on = False
     deployment.run(15)
     for tenant in ("status", "shops"):
-        assert list(shares.invariant_checker(tenant).over(shares.runs(tenant))) == []
+        assert list(shares.invariant_checker(tenant).ceiling_violations(shares.runs(tenant))) == []
     assert invariant_checker(deployment, callers).faults() == []
 
 
@@ -219,7 +229,7 @@
     """Given an overload, a lower quota limits the admitted rate from its acknowledgement on; an invalid quota is refused
     with the paths of its issues and changes nothing."""
     deployment, shares = deployment_with_quotas(6)
-    deployment.call_in(1.0, [group(deployment, "stamps", rate=300.0)])
+    deployment.start_callers(1.0, [group(deployment, "stamps", rate=300.0)])
     deployment.run(4)
     status, answer = configure(deployment, [{"name": "status", "requestsPerS": -1.0, "callers": ["nobody"]}], "wrong")
     assert status != 200 and {fault["path"] for fault in answer["faults"]} == {
@@ -279,7 +289,7 @@
     assert used and all(in_use <= max(1, limit // 2) for in_use, limit in used.values()), used
     clerk = ask(deployment, callers, "refunds", edge="edge-1", model=model)
     deployment.run(60)
-    assert clerk.outcome == "ok" and clerk.first_at - clerk.sent_at < SECOND / 3
+    assert clerk.outcome == "ok" and clerk.first_token_at - clerk.sent_at < SECOND / 3
     assert (
         not any(call.fault_class == "allowance" for call in claims)
         and sum(call.outcome == "ok" for call in claims) >= 30
