--- a/sumachook/configuration/tenancy.py
+++ b/sumachook/configuration/tenancy.py
@@ -1,4 +1,4 @@
-"""What tenants refer to, and whether their floors fit into the capacity."""
+"""Validation rules for tenants: ownership of callers, routes and keys, and floors within the capacity."""
 
 from collections.abc import Iterator
 
@@ -6,22 +6,22 @@
 from sumachook.configuration.issue import ConfigurationIssue
 from sumachook.configuration.tenant import CEILING, FLOOR
 
-FIGURES = ("requestsPerS", "tokensPerS")
-OWNED_PARTS = (
+RATE_FIELDS = ("requestsPerS", "tokensPerS")
+OWNED_LISTS = (
     ("callers", "caller"),
     ("httpRoutes", "route"),
-)  # the lists that tenants own items of, and what one is called
+)  # lists whose items tenants own, and the noun for an item in error messages
 
 
 def tenancy_issues(document: Document) -> Iterator[ConfigurationIssue]:
-    """Each issue between tenants and the rest of an operator's document, as far as it can be read.
+    """Yields the issues of tenants in a document; parts with a wrong structure are skipped.
 
     >>> tenants = [{"name": "t", "callers": ["a", "b"], "requestsPerS": 4}]
     >>> list(tenancy_issues({"callers": [{"name": "a"}], "tenants": tenants}))
     [ConfigurationIssue(path='tenants[0].callers[1]', reason="no caller 'b'")]
     """
     tenants = items_of(document, "tenants")
-    for part, noun in OWNED_PARTS:
+    for part, noun in OWNED_LISTS:
         yield from _ownership_issues(tenants, part, noun, names_of(document, part))
     yield from _key_issues(tenants)
     yield from _rate_issues(tenants)
@@ -29,7 +29,7 @@
 
 
 def _ownership_issues(tenants: Items, part: str, noun: str, names: set[str]) -> Iterator[ConfigurationIssue]:
-    """What a tenant owns exists, and is owned by no other."""
+    """Yields issues of owned items: items that do not exist or belong to an earlier tenant."""
     owners: dict[str, int] = {}
     for index, tenant in tenants:
         listed = tenant.get(part, ())
@@ -45,7 +45,7 @@
 
 
 def _key_issues(tenants: Items) -> Iterator[ConfigurationIssue]:
-    """No key is of two tenants; a reason never shows one."""
+    """Yields an issue for each API key that an earlier tenant has; the reason never contains the key."""
     holders: dict[str, int] = {}
     for index, tenant in tenants:
         listed = tenant.get("keys", ())
@@ -55,9 +55,9 @@
 
 
 def _rate_issues(tenants: Items) -> Iterator[ConfigurationIssue]:
-    """A tenant has a rate, unless it is known by keys alone, and its floor is not above its ceiling."""
+    """Yields issues of rates: a tenant without `keys` and without any rate, or a floor above the ceiling."""
     for index, tenant in tenants:
-        if "keys" not in tenant and all(tenant.get(figure) is None for figure in FIGURES):
+        if "keys" not in tenant and all(tenant.get(rate_field) is None for rate_field in RATE_FIELDS):
             yield ConfigurationIssue(f"tenants[{index}]", "requestsPerS or tokensPerS is needed")
         floor, ceiling = tenant.get("floor", FLOOR), tenant.get("ceiling", CEILING)
         if is_number(floor) and is_number(ceiling) and floor > ceiling:
@@ -65,16 +65,16 @@
 
 
 def _capacity_issues(document: Document, tenants: Items) -> Iterator[ConfigurationIssue]:
-    """All floors together fit into what the operator states as the capacity."""
+    """Yields an issue for each rate whose floors, summed over all tenants, exceed the configured capacity."""
     capacity = document.get("capacity")
     if not isinstance(capacity, dict):
         return
-    for figure in FIGURES:
+    for rate_field in RATE_FIELDS:
         floors = [
-            tenant[figure] * tenant.get("floor", FLOOR)
+            tenant[rate_field] * tenant.get("floor", FLOOR)
             for _, tenant in tenants
-            if is_number(tenant.get(figure)) and is_number(tenant.get("floor", FLOOR))
+            if is_number(tenant.get(rate_field)) and is_number(tenant.get("floor", FLOOR))
         ]
-        if is_number(capacity.get(figure)) and sum(floors) > capacity[figure]:
-            reason = f"the tenants' floors sum to {sum(floors):g}, it is {capacity[figure]:g}"
-            yield ConfigurationIssue(f"capacity.{figure}", reason)
+        if is_number(capacity.get(rate_field)) and sum(floors) > capacity[rate_field]:
+            reason = f"the tenants' floors sum to {sum(floors):g}, it is {capacity[rate_field]:g}"
+            yield ConfigurationIssue(f"capacity.{rate_field}", reason)
