--- a/harness/mutations/answers.py
+++ b/harness/mutations/answers.py
@@ -19,7 +19,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer without an id is taken on a connection that was used before",
+        "a response without an id is accepted on a reused connection",
         "if not has_id and (response.request_id or request.is_reused):",
         "if not has_id and response.request_id:",
         KEPT,
@@ -27,7 +27,7 @@
     ),
     Mutation(
         "MIXED",
-        "a success without an id is taken",
+        "a success without an id is accepted",
         "if not has_id or status < 200:",
         "if status < 200:",
         FORWARD,
@@ -35,7 +35,7 @@
     ),
     Mutation(
         "MIXED",
-        "a change of protocol is passed on",
+        "a 101 response is relayed",
         "if not has_id or status < 200:",
         "if not has_id:",
         FORWARD,
@@ -43,7 +43,7 @@
     ),
     Mutation(
         "MIXED",
-        "a head that cannot be handed on unchanged is",
+        "a response head that cannot be forwarded unchanged is relayed",
         "return has_valid_headers and (answer",
         "return (answer",
         FORWARD,
@@ -51,7 +51,7 @@
     ),
     Mutation(
         "MIXED",
-        "a stream of unknown end is begun",
+        "a response without a detectable end is relayed",
         "(answer.status >= 300 or _has_delimited_body(answer))",
         "True",
         FORWARD,
@@ -59,7 +59,7 @@
     ),
     Mutation(
         "MIXED",
-        "bytes that come while nothing is asked are read as the next answer",
+        "bytes received on an idle connection are read as the next response",
         "if self.is_idle and data:",
         "if False:",
         FETCH,
@@ -67,7 +67,7 @@
     ),
     Mutation(
         "MIXED",
-        "what comes while nothing is asked costs a try",
+        "bytes received on an idle connection cost an attempt",
         "if self.is_idle and data:",
         "if False:",
         KEPT,
@@ -99,7 +99,7 @@
     ),
     Mutation(
         "MIXED",
-        "an answer whose end cannot be told counts as whole",
+        "a response without a detectable end counts as complete",
         "return ResponseEnded(call_id) if _has_delimited_body(answer) else CallFailed(call_id, CallFailure.RESET)",
         "return ResponseEnded(call_id)",
         FORWARD,
@@ -107,7 +107,7 @@
     ),
     Mutation(
         "MIXED",
-        "bodies of servers are unpacked on their way",
+        "response bodies are decompressed while they are relayed",
         "auto_decompress=False",
         "auto_decompress=True",
         FORWARD,
@@ -115,7 +115,7 @@
     ),
     Mutation(
         "MIXED",
-        "what may not run twice goes on a kept connection",
+        "a non-repeatable request reuses any kept connection",
         "return ConnectionReuse.ALWAYS if request.is_repeatable else ConnectionReuse.WHEN_ALIVE",
         "return ConnectionReuse.ALWAYS",
         KEPT,
@@ -123,7 +123,7 @@
     ),
     Mutation(
         "TWICE",
-        "what may not run twice goes on a connection that its server may have forgotten unseen",
+        "a non-repeatable request reuses a connection that the server may have dropped",
         "return idle_seconds <= MAX_SAFE_IDLE_TIME.total_seconds()",
         "return True",
         KEPT,
@@ -131,7 +131,7 @@
     ),
     Mutation(
         "HELD",
-        "a connection is used for longer than its server keeps it",
+        "a connection is reused after the server's keep-alive timeout",
         "return idle_seconds > (default_s if self.keep_alive_s is None else min(default_s, self.keep_alive_s))",
         "return idle_seconds > default_s",
         KEPT,
@@ -163,7 +163,7 @@
     ),
     Mutation(
         "TWICE",
-        "the client library sends again by itself",
+        "aiohttp retries requests by itself",
         "session._retry_connection = False",
         "pass",
         FORWARD,
@@ -187,7 +187,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a mark counts with any status",
+        "the not-run header counts with any status",
         "has_not_run_header and status in REFUSING_STATUSES",
         "has_not_run_header",
         FORWARD,
@@ -195,7 +195,7 @@
     ),
     Mutation(
         "REFUSED",
-        "a failure after the first byte passes for one before it",
+        "a failure after the first byte is reported as a connect failure",
         "if call_id not in self.sent:",
         "if True:",
         FETCH,
@@ -259,7 +259,7 @@
     ),
     Mutation(
         "ORDER",
-        "the connection of a cut stream gets its closing chunk",
+        "an aborted stream ends with the final chunk",
         "            else:\n                self._abort(request)",
         "            else:\n                await answer.write_eof()\n                return answer",
         FORWARD,
--- a/harness/mutations/control_plane.py
+++ b/harness/mutations/control_plane.py
@@ -169,7 +169,7 @@
     ),
     Mutation(
         5,
-        "a node asks nothing of who probes it unknown",
+        "a node sends no join to an unknown node that pings it",
         "if sender not in self.members and now >= self._next_introduction_at:",
         "if False:",
         CONTROL,
@@ -177,7 +177,7 @@
     ),
     Mutation(
         5,
-        "replaced seeds wait for their turn",
+        "replaced seeds are asked only after the seed interval",
         "                self.seeds = tuple(event.addresses)\n                return self._compare_views(now)",
         "                self.seeds = tuple(event.addresses)\n                return []",
         "tests/platform_adapters/test_platform_settings.py",
@@ -185,7 +185,7 @@
     ),
     Mutation(
         5,
-        "a Join is answered with all members whatever the sender knows",
+        "a Join is answered with all members whatever its digest",
         "        updates = self._updates_of(differing_buckets(self._digest(), join.digest))",
         '        updates = self._updates_of(differing_buckets(self._digest(), b""))',
         VIEWS,
@@ -193,7 +193,7 @@
     ),
     Mutation(
         5,
-        "one that leaves is told all members",
+        "a leaving node gets all members as an answer",
         "        if any(update.status in REMOVED_STATUSES for update in join.updates):",
         "        if False:",
         VIEWS,
@@ -201,7 +201,7 @@
     ),
     Mutation(
         5,
-        "only the live members of a difference are told, so that nobody can object",
+        "a view difference omits removed members, so that they cannot refute it",
         "        return tuple(member.to_update() for member in members if bucket_of(member.node) in buckets)",
         "        return tuple(\n            member.to_update()\n            for member in members\n"
         "            if bucket_of(member.node) in buckets and member.status in LIVE_STATUSES\n        )",
@@ -210,7 +210,7 @@
     ),
     Mutation(
         5,
-        "members learned from a list are told on",
+        "new members from a list are gossiped",
         "                self.gossip.remove(update.node)",
         "                pass",
         VIEWS,
@@ -218,7 +218,7 @@
     ),
     Mutation(
         5,
-        "an objection to a list is not told on",
+        "the refutation of a list entry is not gossiped",
         "update.node not in self.members and update.node != self.local_member.node",
         "update.node not in self.members",
         VIEWS,
@@ -226,7 +226,7 @@
     ),
     Mutation(
         5,
-        "older news heard from others counts as told",
+        "outdated updates count as transmissions",
         "            if not _is_older(update, known):\n",
         "            if True:\n",
         VIEWS,
@@ -234,7 +234,7 @@
     ),
     Mutation(
         5,
-        "members that are gone count in the digest",
+        "removed members are part of the digest",
         "        if member.status in LIVE_STATUSES:\n            bucket",
         "        if True:\n            bucket",
         VIEWS,
@@ -242,7 +242,7 @@
     ),
     Mutation(
         5,
-        "pings of strangers are each answered with a Join",
+        "each ping from an unknown node triggers a Join",
         "            self._next_introduction_at = now + self.JOIN_RETRY_INTERVAL\n",
         "",
         VIEWS,
@@ -250,7 +250,7 @@
     ),
     Mutation(
         5,
-        "nothing is compared while there is news",
+        "views are never compared while updates are queued",
         "        if len(self.gossip) and self._comparisons_skipped < self.MAX_COMPARISONS_SKIPPED:",
         "        if len(self.gossip):",
         VIEWS,
--- a/harness/mutations/placement.py
+++ b/harness/mutations/placement.py
@@ -200,7 +200,7 @@
     ),
     Mutation(
         "ONE",
-        "an order that was given up is delivered when a cut heals",
+        "a timed-out order is delivered when a partition heals",
         "opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)",
         "pass",
         "tests/transport/test_http_client.py",
--- a/harness/mutations/routing.py
+++ b/harness/mutations/routing.py
@@ -55,7 +55,7 @@
     ),
     Mutation(
         "ROUTE",
-        "bytes that would be sent in another form are passed",
+        "a target that cannot be forwarded unchanged is forwarded",
         'request.method == "CONNECT"\n        or "#" in request.raw_path\n        or ',
         "False and ",
         FORWARD,
@@ -63,7 +63,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a field that cannot be sent as it came is passed",
+        "a header field that cannot be forwarded unchanged is forwarded",
         "if any(UNSENDABLE.search(value) for value in request.headers.values()):",
         "if False:",
         FORWARD,
@@ -71,7 +71,7 @@
     ),
     Mutation(
         "ROUTE",
-        "a coding of the transfer that is not passed on is lost",
+        "a transfer coding that is not forwarded is dropped",
         '"chunked").lower() != "chunked":',
         '"chunked").lower() == "":',
         FORWARD,
@@ -260,7 +260,7 @@
     ),
     Mutation(
         "HELD",
-        "a path on which nothing is acknowledged ends what can go on nowhere",
+        "missing acknowledgements end a request that cannot be retried",
         "protocol.set_watched(call.reuse is ConnectionReuse.ALWAYS)",
         "protocol.set_watched(True)",
         KEPT,
--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -37,7 +37,7 @@
     ),
     Mutation(
         "LOST",
-        "the sweep closes a connection whose request lies unread",
+        "the sweep closes a connection whose request is unread in the kernel",
         "return ConnectionEnd.IDLE if self.may_be_closed else None",
         "return ConnectionEnd.IDLE",
         CONNECTION_ENDS,
@@ -45,7 +45,7 @@
     ),
     Mutation(
         "LOST",
-        "a shut front closes a connection whose request lies unread",
+        "a closed front closes a connection whose request is unread in the kernel",
         "if connection.may_be_closed]",
         "if connection.is_resting]",
         CONNECTION_ENDS,
@@ -53,7 +53,7 @@
     ),
     Mutation(
         "LOST",
-        "bytes of a request leave its connection resting until the handler begins",
+        "a connection counts as idle until the handler of its request starts",
         "            self._change_state(ConnectionState.READING)\n        super()",
         "            pass\n        super()",
         CONNECTION_ENDS,
@@ -134,7 +134,7 @@
     ),
     Mutation(
         "LOST",
-        "half a head keeps its connection for ever",
+        "an incomplete head keeps its connection open forever",
         "            if not self.is_resting:\n                return ConnectionEnd.SLOW_HEAD\n",
         "            if not self.is_resting:\n                return None\n",
         HTTP_ADDRESS,
@@ -150,7 +150,7 @@
     ),
     Mutation(
         "LOST",
-        "idle time before an answer counts after it",
+        "idle time before a response counts after it",
         "        self.state = state\n        self.first_swept_at = None",
         "        self.state = state",
         HTTP_ADDRESS,
@@ -191,7 +191,7 @@
     ),
     Mutation(
         "LOST",
-        "a call that is cancelled with its client's task tells nothing",
+        "a call that is cancelled with its client's task emits no failure",
         "            if call_id not in self.tasks:\n                raise\n",
         "            raise\n",
         "tests/transport/test_http_client.py",
@@ -199,7 +199,7 @@
     ),
     Mutation(
         "LOST",
-        "a resting connection is closed though a request has begun on it meanwhile",
+        "an idle connection is closed although a request has started on it meanwhile",
         "            if connection.is_resting:\n                connection.end(ConnectionEnd.LEAVING)\n            else:",
         "            if True:\n                connection.end(ConnectionEnd.LEAVING)\n            else:",
         CONNECTION_ENDS,
@@ -207,7 +207,7 @@
     ),
     Mutation(
         "LOST",
-        "a connection rests by the limit at the first sweep",
+        "a connection forgets the idle timeout that its client knows",
         "        self.idle_limit = idle_limit\n        self._change_state",
         "        self.idle_limit = 0.0\n        self._change_state",
         LIMITS,
@@ -223,7 +223,7 @@
     ),
     Mutation(
         "LIMITS",
-        "any head is taken",
+        "a head of any size is accepted",
         "if header_size(request) > self.limits.header_bytes:",
         "if False:",
         LIMITS,
@@ -231,7 +231,7 @@
     ),
     Mutation(
         "LIMITS",
-        "half a body keeps its connection",
+        "a stalled body keeps its connection open",
         "async with asyncio.timeout(self.limits.idle_timeout):",
         "async with asyncio.timeout(None):",
         LIMITS,
@@ -239,7 +239,7 @@
     ),
     Mutation(
         "LIMITS",
-        "half a head is given the idle time",
+        "an incomplete head is closed only after the idle timeout",
         "now - self.request_started_at > limits.header_timeout",
         "False",
         LIMITS,
@@ -247,7 +247,7 @@
     ),
     Mutation(
         "LIMITS",
-        "a shorter limit ends connections that rest already",
+        "a shorter idle timeout applies to connections already idle",
         "max(self.idle_limit, limits.idle_timeout)",
         "limits.idle_timeout",
         LIMITS,
@@ -255,7 +255,7 @@
     ),
     Mutation(
         "LIMITS",
-        "a longer limit comes too late for connections that rest",
+        "a longer idle timeout does not apply to connections already idle",
         "max(self.idle_limit, limits.idle_timeout)",
         "self.idle_limit",
         LIMITS,
@@ -263,7 +263,7 @@
     ),
     Mutation(
         "LIMITS",
-        "the library's own timer ends connections that rest",
+        "aiohttp's keep-alive timer closes idle connections",
         '"keepalive_timeout": NO_KEEP_ALIVE_TIMEOUT',
         '"keepalive_timeout": 15.0',
         LIMITS,
@@ -271,7 +271,7 @@
     ),
     Mutation(
         "LIMITS",
-        "an edge does not tell its front",
+        "an edge does not apply the client limits",
         "return [ApplyClientLimits(catalogue.limits)]",
         "return []",
         LIMITS,
