--- a/harness/experiments/scale/__init__.py
+++ b/harness/experiments/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What each role and mechanism costs as the fleet grows, on nodes with fake traffic (docs/CAPACITY.md)."""
+"""Measures the cost of each role and mechanism against the fleet size, on nodes with fake traffic (docs/CAPACITY.md)."""
--- a/harness/experiments/scale/__main__.py
+++ b/harness/experiments/scale/__main__.py
@@ -1,9 +1,9 @@
-"""python -m harness.scale: what each role and mechanism costs as the fleet grows; writes results and plot, and puts the
-tables on the page.
+"""python -m harness.scale: measures the cost of each role and mechanism against the fleet size; writes the results file
+and the plot, and updates the tables of the page.
 
-Hollow nodes (the real machines, many to a process, over real loopback sockets) beside a few real processes; zones,
-regions, restarts and a start of all at once at the largest size in virtual time. Under 20 processes and about six
-cores; 380 nodes take some ten minutes.
+Most nodes are real state machines with fake traffic, many to a process, over real loopback sockets, beside a few real
+processes. Loss of a zone, separation of regions, restarts and a simultaneous start run at the largest size in virtual
+time. A run needs fewer than 20 processes and about six processor cores; 380 nodes take about ten minutes.
 """
 
 import argparse
@@ -30,7 +30,7 @@
 
 
 def measure(nodes: int) -> dict:
-    """A run in the figures that the page needs."""
+    """Runs the measurement of one size and returns the figures that the page needs."""
     with tempfile.TemporaryDirectory(prefix="sumachook-scale-") as work:
         run = SocketRun(Size(nodes), Path(work)).take()
     phases = run.pop("phases")
@@ -45,13 +45,13 @@
 
 
 def revision() -> str:
-    """The commit that was measured, with a mark where the product's sources differ from it."""
+    """Returns the commit that is measured, marked if the working tree has uncommitted changes to sumachook/."""
     git = lambda *words: subprocess.run(["git", *words], cwd=ROOT, stdout=subprocess.PIPE, text=True).stdout.strip()  # noqa: E731
     return git("rev-parse", "--short", "HEAD") + (" and changes" if git("status", "--porcelain", "sumachook") else "")
 
 
 def earlier(file: Path) -> dict:
-    """What was measured of the same revision before: sizes and stories may be run one after the other."""
+    """Returns the earlier results of the same revision, so that sizes and stories can be run one after the other."""
     found = json.loads(file.read_text()) if file.exists() else {}
     return found if found.get("revision") == revision() else {"revision": revision(), "runs": {}, "failures": []}
 
@@ -62,7 +62,7 @@
 
 
 def fail(nodes: int, story: str) -> dict:
-    """A story of failure in a process of its own."""
+    """Runs a failure story in its own process and returns its results."""
     command = [sys.executable, "-m", "harness.experiments.scale.failures", str(nodes), story]
     return json.loads(
         subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, text=True, timeout=STORY_WITHIN, check=True).stdout
@@ -70,26 +70,28 @@
 
 
 def end_early(*_):
-    """What was started is ended first; a second signal doesn't cut that short."""
+    """Handles SIGTERM: exits so that child processes are ended first; further SIGTERMs are ignored meanwhile."""
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
-    sys.exit("ended before its time")
+    sys.exit("terminated by SIGTERM before the measurement was complete")
 
 
 def main():
     parser = argparse.ArgumentParser(prog="python -m harness.scale", description=__doc__)
-    parser.add_argument("--nodes", default="30,100,380", help="sizes, with commas between (each 20 to 400)")
+    parser.add_argument("--nodes", default="30,100,380", help="fleet sizes, separated by commas (each 20 to 400)")
     parser.add_argument(
         "--failures",
         type=int,
-        help="nodes of the failures in virtual time; as many as the largest size by default; 0: they stay as they are",
+        help="nodes of the failure stories in virtual time (default: the largest size); 0 keeps their earlier results",
     )
-    parser.add_argument("--results", type=Path, default=RESULTS, help="the results file")
-    parser.add_argument("--plot", type=Path, default=PLOT, help="the plot")
-    parser.add_argument("--page", type=Path, default=PAGE, help="the page whose tables are put in")
+    parser.add_argument("--results", type=Path, default=RESULTS, help="path of the results file")
+    parser.add_argument("--plot", type=Path, default=PLOT, help="path of the plot")
+    parser.add_argument("--page", type=Path, default=PAGE, help="path of the page whose tables are updated")
     parser.add_argument(
-        "--stories", action="store_true", help="only the failures anew; the sizes stay as they are in the results file"
+        "--stories", action="store_true", help="run only the failure stories; keep the sizes of the results file"
+    )
+    parser.add_argument(
+        "--again", action="store_true", help="run nothing; generate tables and plot from the results file"
     )
-    parser.add_argument("--again", action="store_true", help="no run: tables and plot from the results file")
     given = parser.parse_args()
     signal.signal(signal.SIGTERM, end_early)
     if not given.again:
--- a/harness/experiments/scale/child.py
+++ b/harness/experiments/scale/child.py
@@ -1,4 +1,4 @@
-"""One process that this run started: commands go in as lines, answers come back as lines."""
+"""A child process of a run, controlled by JSON lines on its standard input and output."""
 
 import json
 import os
@@ -11,7 +11,10 @@
 
 
 class Child:
-    """`tell` and `answer` in turn, so that many are told before the first is awaited; `stop` ends it, by its own id."""
+    """A child process: `tell` sends a command, `answer` reads the reply, `stop` ends the process.
+
+    Commands can be sent to many children before the first reply is awaited.
+    """
 
     __slots__ = ("process", "log")
 
@@ -33,17 +36,20 @@
     def answer(self) -> dict:
         line = self.process.stdout.readline()
         if not line:
-            raise SystemExit(f"a process ended early; see {self.log.name}")
+            raise SystemExit(f"a child process exited before it replied; see {self.log.name}")
         return json.loads(line)
 
     def spent(self) -> dict:
-        """Seconds of processor time and bytes of memory, as the kernel counts them."""
+        """Returns seconds of processor time and bytes of resident memory from /proc."""
         with open(f"/proc/{self.process.pid}/stat") as file:
             fields = file.read().rpartition(")")[2].split()
         return {"process": (int(fields[11]) + int(fields[12])) / TICKS, "resident": int(fields[21]) * PAGE}
 
     def stop(self) -> str:
-        """What it said last."""
+        """Ends the process and returns its remaining output.
+
+        Closes its input and waits 10 s, then sends SIGTERM and waits 5 s, then sends SIGKILL.
+        """
         try:
             said, _ = self.process.communicate(timeout=10)
         except subprocess.TimeoutExpired:
--- a/harness/experiments/scale/edge_with_fake_traffic.py
+++ b/harness/experiments/scale/edge_with_fake_traffic.py
@@ -1,6 +1,4 @@
-"""One edge without HTTP: the real machine over real node sockets; its clients and servers are fakes in the same
-process.
-"""
+"""An edge without HTTP: the real state machine over real node sockets, with fake clients and servers in the same process."""
 
 import asyncio
 
@@ -22,7 +20,7 @@
 
 
 class EdgeWithFakeTraffic:
-    """`run()` serves; `ask(path, name, deadlineMs)` is a client's request, of which the outcome alone is kept."""
+    """Runs an edge; `ask` sends it the request of a fake client and keeps only the outcome."""
 
     __slots__ = ("machine", "clock", "node_transport", "codec", "inbox", "number", "outcomes", "ids")
 
--- a/harness/experiments/scale/failures.py
+++ b/harness/experiments/scale/failures.py
@@ -1,5 +1,5 @@
-"""python -m harness.scale.failures NODES STORY: what a fleet of that size goes through when much of it fails, in
-virtual time; prints JSON.
+"""python -m harness.scale.failures NODES STORY: runs a large failure in a fleet of that size in virtual time; prints the
+recovery times and the traffic as JSON.
 """
 
 import json
@@ -18,8 +18,9 @@
 
 
 class Failures:
-    """`zone_gone`, `regions_apart`, `restarts`, `all_start`: each gives times to convergence (virtual seconds) and the
-    traffic of its spans.
+    """Failure stories: `zone_gone`, `regions_apart`, `restarts` and `all_start`.
+
+    Each records the virtual seconds until its convergence conditions hold and the traffic of its phases.
     """
 
     __slots__ = ("fleet", "version", "found", "rest", "running")
@@ -47,7 +48,10 @@
         return is_known and fleet.placer() is not None
 
     def _settle(self):
-        """A fleet that has been up for long: its view works, its catalogue is everywhere, everybody knows everybody."""
+        """Brings the fleet to the state after a long uptime and measures its traffic at rest.
+
+        Then there is a leader and a placer, and all nodes have the catalogue and know each other.
+        """
         fleet = self.fleet
         assert fleet.seconds_until(lambda: fleet.leader() is not None, SETTLE) is not None
         self._first()
@@ -68,14 +72,17 @@
             self.fleet._do(box, effect)
 
     def _second(self) -> int:
-        """On whole seconds, as traffic is counted."""
+        """Advances to the next whole second, as traffic is counted per second, and returns it."""
         rest = -self.fleet.now.total_seconds() % 1.0
         if rest:
             self.fleet.run(rest)
         return int(self.fleet.now.total_seconds())
 
     def _span(self, name: str, conditions: dict):
-        """Goes on until all conditions hold, five seconds at least; notes since when each held, and the traffic of it."""
+        """Runs until all conditions hold, at least 5 and at most 40 seconds.
+
+        Records since when each condition has held, None if it does not, and the traffic of the phase.
+        """
         fleet, start, since = self.fleet, self._second(), {}
         begun = fleet.now
         while fleet.now - begun < timedelta(seconds=MOST) and (
@@ -90,7 +97,7 @@
         self.found[name] = self._traffic(start) | {"reached": {what: since.get(what) for what in conditions}}
 
     def _traffic(self, start: int) -> dict:
-        """What was sent since then, and in the worst second of it."""
+        """Returns the traffic since `start` and that of the second with the most bytes."""
         fleet, end = self.fleet, self._second()
         peak = max(
             range(start, end),
@@ -105,8 +112,9 @@
     # stories --------------------------------------------------------------------
 
     def zone_gone(self):
-        """All nodes and servers of the zone in which the leader stands vanish; two seconds later they are off the list;
-        later they are back.
+        """Removes all nodes and servers of the leader's zone, and two seconds later its servers from the inventory.
+
+        After convergence, all of them are started again.
         """
         fleet = self.fleet
         zone = next(box.zone for box in fleet.boxes_of("core") if box.machine is fleet.leader())
@@ -148,8 +156,10 @@
         )
 
     def regions_apart(self):
-        """An hour compressed: those gone are forgotten after six seconds in place of ten minutes, and the regions meet
-        again after that; eleven changes, an hour's, are ordered meanwhile.
+        """Partitions the two regions, and heals the partition after dead members have been forgotten.
+
+        Simulates an hour in a shorter time: members are forgotten after six seconds instead of ten minutes, and the
+        eleven changes of an hour are made during the partition.
         """
         fleet = self.fleet
         Membership.FORGET_AFTER = timedelta(seconds=6)
@@ -189,7 +199,7 @@
         )
 
     def all_start(self):
-        """Every node begins at once and knows three seeds; nobody fails."""
+        """Starts all nodes at once, each with three seed addresses; no node fails."""
         fleet = self.fleet
         fleet.seconds_until(lambda: fleet.leader() is not None, SETTLE)
         self._first()
@@ -212,7 +222,7 @@
         self.found["beginning"]["news waiting"] = max(len(box.machine.membership.gossip) for box in fleet.running())
 
     def restarts(self):
-        """A day's 150 restarts in 50 seconds: three edges at a time, each away for a second."""
+        """Makes 150 restarts, those of a day, in 50 seconds: three edges at a time, each down for 0.9 s."""
         fleet = self.fleet
         edges = [box.name for box in fleet.boxes_of("edge")]
         chosen = [edges[place * len(edges) // 150 % len(edges)] for place in range(150)]
--- a/harness/experiments/scale/fake_model_server.py
+++ b/harness/experiments/scale/fake_model_server.py
@@ -1,4 +1,4 @@
-"""A fake engine server in the in-memory fleet."""
+"""Adapts a fake engine server to the in-memory fleet."""
 
 from sumachook.host.effects import Reply
 from sumachook.host.events import HttpRequestReceived
@@ -6,7 +6,7 @@
 
 
 class FakeModelServer:
-    """Takes (message, now): the provisioner's reads and orders over the fleet's HTTP."""
+    """Answers the provisioner's HTTP requests with a fake engine server."""
 
     __slots__ = ("engine",)
 
--- a/harness/experiments/scale/fake_platform.py
+++ b/harness/experiments/scale/fake_platform.py
@@ -1,5 +1,5 @@
-"""python -m harness.scale.stand NODES: the platform's list and all engine servers of a fleet, hollow, in one process on
-loopback.
+"""python -m harness.experiments.scale.fake_platform NODES: fakes of the platform's server inventory and of all engine
+servers of a fleet, in one process on loopback.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class Stand:
-    """Answers by the address that was called; `run()` serves until standard input ends."""
+    """Serves the inventory or an engine server, depending on the local address; `run()` ends with standard input."""
 
     __slots__ = ("list", "engines", "clock")
 
--- a/harness/experiments/scale/footprint.py
+++ b/harness/experiments/scale/footprint.py
@@ -1,4 +1,4 @@
-"""How many bytes a part keeps."""
+"""Estimates the memory that an object holds."""
 
 import gc
 import sys
@@ -8,7 +8,9 @@
 
 
 def footprint(part, seen: set) -> int:
-    """Everything that is reached from `part` and not in `seen`, which grows by it: what two parts share counts once.
+    """Returns the bytes of all objects reachable from `part` whose ids are not in `seen`, and adds their ids to `seen`.
+
+    Objects that are shared by two parts therefore count once.
 
     >>> footprint([1000, 2000], set()) > footprint([1000], set()) > 0
     True
--- a/harness/experiments/scale/host.py
+++ b/harness/experiments/scale/host.py
@@ -1,8 +1,8 @@
-"""python -m harness.scale.host NODES WORK PULSE BOOT NAME...: metered nodes of a fleet in one process: one core in
-full, or many hollow edges.
+"""python -m harness.scale.host NODES WORK PULSE BOOT NAME...: runs metered nodes of a fleet in one process: one full core,
+or many edges with fake traffic.
 
-PULSE: milliseconds between the pulses of an edge; BOOT: of all hollow edges. Takes JSON lines on standard input,
-answers each with a line, ends with its input.
+PULSE is the tick interval of an edge in milliseconds, BOOT the restart epoch of all edges with fake traffic. Reads
+commands as JSON lines on standard input, replies to each with a line and exits when its input ends.
 """
 
 import asyncio
@@ -65,9 +65,9 @@
 class Host:
     """Runs the nodes of this process and the commands: mark, rate, calm, cold, ready, footprint.
 
-    Nodes begin as in a fleet that has been up for long: they know all hollow edges. What a start of all at once costs
-    is another story (failures.py), and many nodes that share a processor would not get through it as those do that have
-    their own.
+    Nodes start as members of a fleet that has been up for long: they know all edges with fake traffic. The cost of a
+    simultaneous start is measured in failures.py, since many nodes that share a processor would not converge as nodes
+    with processors of their own do.
     """
 
     __slots__ = ("site", "meter", "random", "edges", "core", "tasks", "rate", "tick")
@@ -128,7 +128,10 @@
         return {}
 
     def _calm(self):
-        """As after the news of the start has gone round: that takes minutes, and is a cost of its own."""
+        """Clears pending gossip of all nodes; returns the largest number of entries.
+
+        This is the state after the gossip of the start has spread, which takes minutes and is a separate cost.
+        """
         machines = self._machines()
         found = max(len(machine.membership.gossip) for machine in machines)
         for machine in machines:
@@ -153,7 +156,10 @@
         }
 
     def _footprint(self):
-        """Of a core, or of the first edge; what the catalogue and the list of servers take is the state's."""
+        """Returns the bytes of memory per component of the core or of the first edge.
+
+        The catalogue and the server inventory count to the state.
+        """
         machine = self.core.machine if self.core else self.edges[0].machine
         names = PARTS["core" if self.core else "edge"]
         seen, found = {id(machine), id(machine.settings), *(id(getattr(machine, name)) for name in names)}, {}
@@ -165,12 +171,12 @@
     # traffic --------------------------------------------------------------------
 
     async def _traffic(self):
-        """Requests for what stands, at random edges, the first models asked for most."""
+        """Sends requests for loaded models to random edges; the first models are requested most often."""
         names = [name for name in self.site.models if name not in self.site.cold]
         weights = [1 / (place + 3) for place in range(len(names))]
         owed, before = 0.0, time.monotonic()
         while True:
-            now = time.monotonic()  # a turn may come late: what is owed goes by the time that passed
+            now = time.monotonic()  # the loop may wake up late, so the number of due requests follows the elapsed time
             owed, before = min(owed + self.rate * (now - before), self.rate), now
             while owed >= 1.0:
                 owed -= 1.0
--- a/harness/experiments/scale/mechanism.py
+++ b/harness/experiments/scale/mechanism.py
@@ -1,4 +1,4 @@
-"""Which mechanism a kind of message, and a part of a node, belongs to."""
+"""Assigns message kinds to the mechanisms by which costs are reported."""
 
 from sumachook.transport.message_schemas import FIELDS
 
@@ -22,7 +22,7 @@
 
 
 def mechanism_of(kind: str) -> str:
-    """All other kinds are the ordered state's own.
+    """Returns the mechanism of a message kind; kinds that are not listed belong to the ordered changes.
 
     >>> mechanism_of("probe"), mechanism_of("append")
     ('membership', 'ordered changes')
--- a/harness/experiments/scale/meter.py
+++ b/harness/experiments/scale/meter.py
@@ -1,4 +1,4 @@
-"""What this process says, hears and spends, by mechanism."""
+"""Measures the messages sent and received and the processor time of this process, by mechanism."""
 
 import os
 import time
@@ -83,14 +83,14 @@
 )
 PAGE = os.sysconf("SC_PAGE_SIZE")
 RESPONSE_LINE_BYTES = 60
-REQUEST_LINE_BYTES = 90  # about, of what a request has beside method, URL, header values and body
+REQUEST_LINE_BYTES = 90  # approximate size of a request without its method, URL, header values and body
 
 
 class Meter:
-    """Wraps the parts of all nodes of this process; `snapshot()` gives the counts since the start.
+    """Wraps methods of the node components in this process; `snapshot()` returns the counts since the start.
 
-    A part's processor time is its own, without that of parts within it; packing and reading count to the message's
-    mechanism.
+    The processor time of a component excludes that of components it calls; encoding and decoding a message count to the
+    mechanism of the message.
     """
 
     __slots__ = ("sent", "heard", "seconds", "inner")
--- a/harness/experiments/scale/plot.py
+++ b/harness/experiments/scale/plot.py
@@ -1,4 +1,4 @@
-"""The plot of docs/CAPACITY.md."""
+"""Draws the plot of docs/CAPACITY.md."""
 
 from pathlib import Path
 
@@ -10,8 +10,9 @@
 
 
 class Plot:
-    """`take(results, file)`: for each role, by mechanism, what a node sends and spends at the sizes, busy, as stacked
-    areas.
+    """`take(results, file)` draws stacked areas by mechanism against the fleet size.
+
+    For each role, they show the bytes sent and the processor share of a node under full request load.
     """
 
     __slots__ = ()
--- a/harness/experiments/scale/simulated_fleet.py
+++ b/harness/experiments/scale/simulated_fleet.py
@@ -1,6 +1,4 @@
-"""A whole fleet of one size in virtual time: the real machines of every node, over the real codec, among hollow
-servers.
-"""
+"""A fleet of a given size in virtual time: the real state machines of all nodes over the real codec, with fake servers."""
 
 from collections import Counter
 from datetime import timedelta
@@ -26,9 +24,9 @@
 
 
 class SimulatedFleet(Fleet):
-    """A Fleet that counts by role, mechanism and second what is sent: `traffic[second][role, mechanism, unit]`.
+    """A Fleet that counts the messages sent: `traffic[second][role, mechanism, unit]`.
 
-    Servers and the list have no pulse; the witness does not look on: what is asked here is cost and time, not rules
+    Servers and the platform get no ticks and no invariants are checked, since this fleet only measures costs and times
     (docs/design/simulation.md).
     """
 
@@ -87,10 +85,10 @@
         if box.zone != other.zone:
             counts[box.role, mechanism, BETWEEN_ZONES] += len(raw)
         self.longest[kind] = max(self.longest[kind], len(raw))
-        if not is_cast or len(raw) <= MOST_DATAGRAM:  # as the node port does
+        if not is_cast or len(raw) <= MOST_DATAGRAM:  # larger datagrams are dropped, as by the node transport
             self._send(box, other, self._heard, other, raw)
 
-    # what is asked of it ----------------------------------------------------------
+    # queries and changes ----------------------------------------------------------
 
     def boxes_of(self, role: str, zone=None) -> list:
         return [box for box in self.boxes.values() if box.role == role and zone in (None, box.zone)]
@@ -122,7 +120,10 @@
         )
 
     def acquaint(self):
-        """Everybody knows everybody, and has no news to tell: as in a fleet that has been up for some minutes."""
+        """Sets the member list of every node to all running nodes and clears pending gossip.
+
+        This is the state of a fleet that has been up for some minutes.
+        """
         updates = {box.machine.node: box.machine.membership.local_member.to_update() for box in self.running()}
         for box in self.running():
             membership = box.machine.membership
@@ -132,7 +133,10 @@
             membership.gossip.clear()
 
     def unaware(self, groups=None) -> int:
-        """How many running nodes do not hold just the running nodes of their own group as live, in their present lives."""
+        """Counts the running nodes whose live members are not exactly the running nodes of their own group.
+
+        A member counts as known only with its current restart epoch.
+        """
         count = 0
         for group in groups or [[box.name for box in self.running()]]:
             boxes = [self.boxes[name] for name in group if self.boxes[name].machine is not None]
@@ -148,7 +152,7 @@
         return count
 
     def untrusting(self, names=None) -> int:
-        """Edges that do not hold their state for fresh."""
+        """Counts the running edges, all or those in `names`, that do not consider their state fresh."""
         return sum(
             box.machine.follower.trust(self.now) != "fresh"
             for box in self.boxes_of("edge")
@@ -159,7 +163,7 @@
         return sum(box.machine.state.version < version for box in self.running())
 
     def seconds_until(self, is_reached, most: float):
-        """Virtual seconds, in quarters, or None."""
+        """Returns the virtual seconds, in steps of 0.25, until the condition holds, or None after `most` seconds."""
         begun = self.now
         while not is_reached():
             if self.now - begun >= timedelta(seconds=most):
@@ -168,14 +172,14 @@
         return (self.now - begun).total_seconds()
 
     def spent(self, start: int, end: int) -> dict:
-        """{"role mechanism unit": count} of the seconds from `start` up to `end`."""
+        """Returns {"role mechanism unit": count} of the seconds from `start` to before `end`."""
         whole = Counter()
         for second in range(start, end):
             whole.update(self.traffic.get(second, {}))
         return {" ".join(key): count for key, count in sorted(whole.items())}
 
     def change(self, version: int):
-        """An operator's change at the leader, applied or not yet."""
+        """Proposes an operator's change at the leader, if there is one; returns before the change is committed."""
         leader = self.leader()
         if leader is not None:
             doc = {"version": version, "httpRoutes": [self.site.route(100 + version)]}
--- a/harness/experiments/scale/site.py
+++ b/harness/experiments/scale/site.py
@@ -1,4 +1,4 @@
-"""The documents of a fleet of one size: catalogue, servers, nodes' params."""
+"""The documents of a fleet of a given size: catalogue, server inventory and node settings."""
 
 from harness.experiments.scale.size import CORES, ZONES, Size
 from sumachook.membership.member import MemberStatus, MemberUpdate
@@ -6,11 +6,11 @@
 CLUSTER, SERVICE, HOST = "scale", "llm", "scale.example"
 PLATFORM = "127.79.0.1:8142"
 PLACES_A_SERVER, ADAPTER_PLACES, COLD_SHARE, ROUTES = 4, 8, 0.2, 60
-REAL_EDGES = 2  # processes of their own, beside the hollow ones
+REAL_EDGES = 2  # edges that run as real processes beside those with fake traffic
 
 
 class Site:
-    """`catalogue(version)`, `servers`, `holds`, `settings(name)`; all addresses are loopback's."""
+    """The catalogue, servers, models held by each server, nodes and settings of a fleet on loopback addresses."""
 
     __slots__ = ("size", "models", "cold", "servers", "holds", "nodes")
 
@@ -118,7 +118,7 @@
         return doc | {"founding": seeds if name in founders else [], "data": data or f"data/{name}"}
 
     def known(self, restart_epoch: int) -> dict:
-        """{name: member update} of the hollow edges, in the life that begins with this run."""
+        """Returns {name: member update} of the edges with fake traffic, with this run's restart epoch."""
         found = {}
         for name in self.edges[REAL_EDGES:]:
             settings = self.settings(name)
--- a/harness/experiments/scale/size.py
+++ b/harness/experiments/scale/size.py
@@ -1,4 +1,4 @@
-"""How large a fleet is."""
+"""The size of a fleet: nodes, servers, models, adapters and request rate."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A fleet of so many nodes; the rest in the proportions of the size to design for."""
+    """A fleet of `nodes` nodes; all other quantities are in proportion to the target size of 380 nodes."""
 
     nodes: int
     cores: int = CORES
--- a/harness/experiments/scale/slopes.py
+++ b/harness/experiments/scale/slopes.py
@@ -1,11 +1,12 @@
-"""Lines through what was measured at the sizes."""
+"""Linear regression of the measured figures against the fleet size."""
 
 from statistics import linear_regression
 
 
 class Slopes:
-    """`take(runs)`, runs {nodes: summary}: {"role, mechanism": {figure: [at none, a node more]}} of what is at rest and
-    when busy.
+    """`take({nodes: summary})` fits a line to each figure at rest and when busy.
+
+    It returns {"role, mechanism": {"rest" | "busy": {figure: [value at 0 nodes, slope per node]}}}.
 
     >>> run = lambda nodes: {"edge, feed": {"rest": {"sent bytes": 10.0 + 2 * nodes}, "busy": {"sent bytes": 1.0}}}
     >>> Slopes().take({nodes: run(nodes) for nodes in (30, 100)})["edge, feed"]
--- a/harness/experiments/scale/socket_run.py
+++ b/harness/experiments/scale/socket_run.py
@@ -1,4 +1,7 @@
-"""One size on loopback: three cores in full, edges hollow but for two real processes, servers and list hollow."""
+"""A measurement of one fleet size on loopback.
+
+Three full cores, two edges as real processes, all other edges with fake traffic, and fakes of servers and inventory.
+"""
 
 import json
 import time
@@ -18,11 +21,10 @@
 
 
 class SocketRun:
-    """`take()` gives what was measured: a dictionary of phases, each with what cores, metered edges and real edges did
-    in it.
+    """`take()` runs the measurement and returns its phases with the figures of cores, metered edges and real edges.
 
-    The first host's few edges are those that are metered; in a large fleet the others pulse less often, so that none is
-    short of processor time. What they say comes by its own timers, at most one of their pulses late.
+    Only the edges of the first host process are metered. In a large fleet the other edges tick less often, so that no
+    process runs short of processor time; their messages follow timers and are at most one tick late.
     """
 
     __slots__ = ("site", "work", "cores", "hosts", "real", "stand", "versions", "shares")
@@ -39,7 +41,7 @@
         return found | said | {"disk": self._disk()}
 
     def _disk(self) -> dict:
-        """Bytes of all cores' files, by what they are: consensus, ledger, day."""
+        """Returns the bytes of all cores' files by kind: consensus, ledger, day."""
         sizes = {}
         for core in self.site.cores:
             for file in (self.work / core).iterdir():
@@ -48,7 +50,7 @@
         return sizes
 
     def _end(self) -> dict:
-        """Ends what was started; gives the stand's last word: loads, and breaches of room."""
+        """Ends all child processes; returns the fake platform's counts of model loads and memory limit violations."""
         for child in self.real.values():
             child.process.terminate()
         for child in [*self.hosts, *self.cores.values(), *self.real.values()]:
@@ -142,7 +144,10 @@
         return [child.answer() for child in children]
 
     def _settle(self):
-        """Everybody knows everybody, the list, the catalogue and what stands where."""
+        """Waits until all nodes know each other, the inventory, the catalogue and the models of each server.
+
+        Exits with an error after SETTLE_WITHIN seconds.
+        """
         end, size = time.monotonic() + SETTLE_WITHIN, self.site.size
         while time.monotonic() < end:
             found = self._all("ready")
@@ -220,7 +225,11 @@
         return found
 
     def _configure(self, doc, is_part) -> dict:
-        """One order, at one core after the other until it is answered; the seconds until every edge confirmed it."""
+        """Sends a configuration to one core after the other until one accepts it.
+
+        Returns its size and the seconds until all edges confirmed it. Exits with an error if it is refused or after
+        60 attempts.
+        """
         body = json.dumps(
             {"request": f"v{doc['version']}", "doc": doc, "part": is_part, "ifVersion": self.versions}
         ).encode()
@@ -243,12 +252,12 @@
                         "unconfirmed": len(said["unconfirmed"]),
                     }
             except urllib.error.HTTPError as error:
-                if error.code < 500 and error.code != 307:  # a long order is handed on to the leader
+                if error.code < 500 and error.code != 307:  # 307: the core redirects a large request to the leader
                     raise SystemExit(f"a configuration was refused: {error.read()[:400]}") from None
             except OSError:
                 pass
             time.sleep(0.5)
-        raise SystemExit("no core takes a configuration")
+        raise SystemExit("no core accepted the configuration within 60 attempts")
 
 
 def _difference(before, after):
--- a/harness/experiments/scale/summary.py
+++ b/harness/experiments/scale/summary.py
@@ -1,4 +1,4 @@
-"""One run in figures a node: by role and mechanism, at rest, per request, per change."""
+"""Converts the phases of a run to figures per node: by role and mechanism, at rest, per request and per change."""
 
 from statistics import linear_regression
 
@@ -8,17 +8,22 @@
 
 ROLES = ("edge", "core")
 FIGURES = ("sent messages", "sent bytes", "heard messages", "heard bytes", "core share")
-HOST, UDP_HEAD, TCP_HEAD = "host", 28, 52  # bytes of IP and UDP, or IP, TCP and the port's own length, a message
+HOST, UDP_HEAD, TCP_HEAD = (
+    "host",
+    28,
+    52,
+)  # header bytes per message: IP and UDP, or IP, TCP and the length prefix of the node transport
 SPENDERS = (*MECHANISMS, PAIRS, REQUESTS, NODE, HOST)
 
 
 class Summary:
-    """`take(run)` gives {"role, mechanism": {"rest" | "busy" | "request" | "load" | "change" | "whole": {figure:
+    """`take(run)` returns {"role, mechanism": {"rest" | "busy" | "request" | "load" | "change" | "whole": {figure:
     number}}}.
 
-    Rest and busy are a second and node; request is of one request; load, change and whole of one of them: an edge's
-    part, or all cores' together. A core share is a part of one core of the processor; of one request or change it is
-    seconds. Busy is what rest and request give for all requests of the size, whatever of them the hosts got to ask.
+    Rest and busy are per second and node; request, load, change and whole are per single one of them, for one edge or
+    for all cores together. A core share is a fraction of one processor core; per request or change it is seconds of
+    processor time. Busy is calculated from rest and request for the full request rate of the size, even if the hosts
+    sent fewer requests.
     """
 
     __slots__ = ()
@@ -64,8 +69,10 @@
 
 
 def busy(figures: dict, role: str, size: Size) -> dict:
-    """At rest and with all requests of the size: an edge's, or a third of all cores' part of each. A negative slope is
-    noise.
+    """Returns the figures of a node under the full request rate of the size.
+
+    They are its figures at rest plus its part of the cost of all requests: that of one edge, or a third of that of all
+    cores. A negative cost per request is noise and counts as 0.
 
     >>> figures = {"rest": {"sent bytes": 5.0}, "request": {"sent bytes": 3.0}}
     >>> busy(figures, "core", Size(380)), busy({**figures, "request": {"sent bytes": -1.0}}, "edge", Size(380))
@@ -79,7 +86,10 @@
 
 
 def _pace(phase, role) -> dict:
-    """{mechanism: {figure: a second and node}} of one phase; what the process spends outside the parts is the host's."""
+    """Returns {mechanism: {figure: value per second and node}} of one phase.
+
+    Processor time outside the measured components counts to the host process.
+    """
     parts = phase["cores"] if role == "core" else [phase["edges"]]
     nodes, seconds = sum(part["nodes"] for part in parts), phase["seconds"]
     found = {mechanism: dict.fromkeys(FIGURES, 0.0) for mechanism in SPENDERS}
@@ -95,8 +105,9 @@
 
 
 def _asked(phase, role) -> float:
-    """Requests a second: of one edge, or, for a core, of the whole fleet over the number of cores, so that a slope is
-    of all cores.
+    """Returns the requests per second of one edge, or those of the whole fleet divided by the number of cores.
+
+    With the latter, the slope of a core's figures is the cost of a request for all cores together.
     """
     if role == "edge":
         return phase["edges"]["asked"] / phase["edges"]["nodes"] / phase["seconds"]
@@ -104,5 +115,8 @@
 
 
 def with_heads(figures: dict, mechanism: str) -> float:
-    """Bytes sent a second with the heads of the packets; acknowledgements of TCP ride on answers or are not counted."""
+    """Returns the bytes sent per second including packet headers.
+
+    TCP acknowledgements are piggybacked on responses or not counted.
+    """
     return figures["sent bytes"] + figures["sent messages"] * (UDP_HEAD if mechanism in ON_UDP else TCP_HEAD)
--- a/harness/experiments/scale/tables.py
+++ b/harness/experiments/scale/tables.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, made from a results file."""
+"""Generates the tables of docs/CAPACITY.md from a results file."""
 
 import re
 
@@ -36,7 +36,7 @@
     "quota_lease_issuer": "allowances",
     "quota_usage": "allowances: figures",
 }
-FORMER_PARTS = {  # the names of parts in results that were measured before the packages were renamed
+FORMER_PARTS = {  # component names in results that were measured before the packages were renamed
     "rumour": "membership",
     "almanac": "cluster_clock",
     "accord": "consensus",
@@ -56,7 +56,7 @@
 
 
 class Tables:
-    """`take(results)` gives {name: lines}; `put(page, results)` the page with each between its marks."""
+    """`take(results)` returns {table name: lines}; `put(page, results)` replaces the tables between the page's marks."""
 
     __slots__ = ()
     _MARK = re.compile(r"(<!-- table ([a-z ]+) -->\n).*?(<!-- end -->)", re.S)
@@ -140,7 +140,7 @@
         return lines
 
     def _singles(self, runs, what):
-        """What one request, load or change costs an edge and all cores together, in the mechanisms that it is work for."""
+        """Returns the cost of one request, load or change for an edge and for all cores together, by mechanism."""
         sizes = sorted(runs)
         lines = _head(
             "role, mechanism", *(f"{nodes} nodes: messages sent, bytes sent, heard, ms of processor" for nodes in sizes)
@@ -225,8 +225,9 @@
         return lines
 
     def _total(self, figures, role, what):
-        """(bytes sent, with heads, heard, share of a core) a second; busy: with the loads and changes of the size to
-        design for.
+        """Returns (bytes sent, bytes sent with packet headers, bytes received, processor share) per second and node.
+
+        "busy" includes the model loads and changes of the target size.
         """
         nodes = CORES if role == "core" else 1
         rates = (
