--- a/harness/experiments/allowances.py
+++ b/harness/experiments/allowances.py
@@ -22,9 +22,9 @@
 from tests.deployment_fixtures import group, leader, settled
 from tests.quotas.quota_fixtures import SECOND, QuotaSimulator
 
-MOST_SEEDS = 2000
-KNOWN = SECOND * 3
-SETTLE = SECOND  # after the end of a fault: time until all nodes have noticed it
+MAX_SEEDS = 2000
+SHARE_DELAY = SECOND * 3
+NOTICE_DELAY = SECOND  # after the end of a fault: time until all nodes have noticed it
 CITIES = {  # tenants (load below the floor, load far above the ceiling, varying load)
     "kosice": (
         Tenant("status", requests_per_s=30.0, floor=0.8, burst_s=2.0),
@@ -39,55 +39,66 @@
 }
 
 
-class ShareStorm:
+class QuotaFaultRun:
     """A fault injection run over the tenants of one deployment; `run(seconds)` returns the violated quota rules."""
 
-    __slots__ = ("random", "spec", "offices", "tenants", "told", "away", "load_times", "figures", "judged", "wait")
+    __slots__ = (
+        "random",
+        "spec",
+        "simulator",
+        "tenants",
+        "told",
+        "unreachable_since",
+        "outages",
+        "varying_tenants",
+        "checked_calls",
+        "p99_wait_ms",
+    )
 
     def __init__(self, seed: int):
         self.random = Random(seed)
         self.spec = list(CITIES)[seed % 2]
         self.tenants = CITIES[self.spec]
         latency = self.random.choice(((0.0005, 0.003), (0.0005, 0.003), (0.002, 0.03)))
-        self.offices = QuotaSimulator(list(self.tenants), self.random.choice((3, 4, 6, 9)), seed, latency=latency)
-        self.told, self.away, self.load_times, self.figures = (
+        self.simulator = QuotaSimulator(list(self.tenants), self.random.choice((3, 4, 6, 9)), seed, latency=latency)
+        self.told, self.unreachable_since, self.outages, self.varying_tenants = (
             [],
             {},
             [],
             [self.tenants[2]],
-        )  # away: {router: unreachable since}; load_times: (router or None, from, until)
+        )  # unreachable_since: {router: time}; outages: (router or None, from, until)
 
     def run(self, seconds: int) -> list:
-        offices, end = self.offices, self.offices.now + SECOND * seconds
-        calm, flood, moving = self.tenants
-        offices.offer(calm.name, 0.7 * calm.requests_per_s * calm.floor, seconds)
+        simulator, end = self.simulator, self.simulator.now + SECOND * seconds
+        steady, flood, varying = self.tenants
+        simulator.offer(steady.name, 0.7 * steady.requests_per_s * steady.floor, seconds)
         more = {"tokens": 200, "estimate": 600, "takes": 0.4} if flood.tokens_per_s else {}
-        offices.offer(flood.name, 10 * flood.requests_per_s, seconds, **more)
-        while offices.now < end:
+        simulator.offer(flood.name, 10 * flood.requests_per_s, seconds, **more)
+        while simulator.now < end:
             span = self.random.uniform(1.0, 4.0)
-            some = self._some_edges()
-            offices.offer(moving.name, moving.requests_per_s * self.random.choice((0.3, 0.8, 3.0)), span, some)
-            offices.run(span / 2)
+            some = self._random_edges()
+            simulator.offer(varying.name, varying.requests_per_s * self.random.choice((0.3, 0.8, 3.0)), span, some)
+            simulator.run(span / 2)
             getattr(self, "_fault_" + self.random.choice(FAULTS))()
-            offices.run(span / 2)
+            simulator.run(span / 2)
         self._fault_heal()
-        offices.run(12)
-        return self._judge()
+        simulator.run(12)
+        return self._check()
 
-    def _some_edges(self):
-        names = [node.name for node in self.offices.edges]
+    def _random_edges(self):
+        names = [node.name for node in self.simulator.edges]
         return self.random.choice((None, names[:1], names[-1:], names[: len(names) // 2])) if names else None
 
-    def _tell(self, *what):
-        self.told.append((round(self.offices.now / SECOND, 2), *what))
+    def _record_fault(self, *what):
+        self.told.append((round(self.simulator.now / SECOND, 2), *what))
 
-    def _lose(self, name):
-        self.away.setdefault(name, self.offices.now)
+    def _mark_unreachable(self, name):
+        self.unreachable_since.setdefault(name, self.simulator.now)
 
-    def _find(self, names):
+    def _mark_reachable(self, names):
         for name in list(names):
-            if name in self.away:
-                self.load_times.append((name, self.away.pop(name), self.offices.now + SETTLE))
+            if name in self.unreachable_since:
+                self.outages.append((name, self.unreachable_since.pop(name), self.simulator.now + NOTICE_DELAY))
 
     # faults ----------------------------------------------------------------------------
 
@@ -95,140 +106,142 @@
         pass
 
     def _fault_add(self):
-        if len(self.offices.edges) < 12:
-            name = f"edge-{1 + sum(node.startswith('edge') for node in self.offices.nodes)}"
-            self._tell("add", name)
-            self.offices.start(name)
+        if len(self.simulator.edges) < 12:
+            name = f"edge-{1 + sum(node.startswith('edge') for node in self.simulator.nodes)}"
+            self._record_fault("add", name)
+            self.simulator.start(name)
 
     def _fault_restart(self):
-        name = self._edge()
+        name = self._random_edge()
         if name:
-            self._tell("restart", name)
-            was_away = name in self.away  # partitioned before the restart, and still so after it
-            self.offices.kill(name)
-            self._lose(name)
-            self.offices.run(self.random.uniform(0.05, 1.0))
-            self.offices.start(name)
-            self._find([] if was_away else [name])
+            self._record_fault("restart", name)
+            was_unreachable = name in self.unreachable_since  # partitioned before the restart, and still so after it
+            self.simulator.kill(name)
+            self._mark_unreachable(name)
+            self.simulator.run(self.random.uniform(0.05, 1.0))
+            self.simulator.start(name)
+            self._mark_reachable([] if was_unreachable else [name])
 
     def _fault_kill(self):
-        name = self._edge()
-        if name and len(self.offices.edges) > 2:
-            self._tell("kill", name)
-            self.offices.kill(name)
-            self._lose(name)
+        name = self._random_edge()
+        if name and len(self.simulator.edges) > 2:
+            self._record_fault("kill", name)
+            self.simulator.kill(name)
+            self._mark_unreachable(name)
 
     def _fault_freeze(self):
-        name = self._edge()
-        if name and not self.offices.nodes[name].is_frozen:
-            self._tell("freeze", name)
-            self.offices.freeze(name)
-            self._lose(name)
+        name = self._random_edge()
+        if name and not self.simulator.nodes[name].is_frozen:
+            self._record_fault("freeze", name)
+            self.simulator.freeze(name)
+            self._mark_unreachable(name)
 
     def _fault_holder(self):
-        if self.offices.holder:
-            self._tell("kill", self.offices.holder)
-            self.offices.kill(self.offices.holder)
+        if self.simulator.holder:
+            self._record_fault("kill", self.simulator.holder)
+            self.simulator.kill(self.simulator.holder)
 
     def _fault_hand_over(self):
-        if self.offices.holder:
-            self._tell("hand over", self.offices.holder)
-            self.offices.lose_holder(SECOND * 0.3)
+        if self.simulator.holder:
+            self._record_fault("hand over", self.simulator.holder)
+            self.simulator.lose_holder(SECOND * 0.3)
 
     def _fault_frozen_holder(self):
-        name = self.offices.holder
+        name = self.simulator.holder
         if name:
-            self._tell("freeze", name)
-            self.offices.freeze(name)
-            self.offices.lose_holder()
+            self._record_fault("freeze", name)
+            self.simulator.freeze(name)
+            self.simulator.lose_holder()
 
     def _fault_split(self):
-        names = [node.name for node in self.offices.edges]
+        names = [node.name for node in self.simulator.edges]
         side = self.random.sample(names, self.random.randint(1, max(1, len(names) // 2))) if names else []
-        self._tell("cut off", *side)
-        self.offices.cut(side, [name for name in self.offices.nodes if name not in side])
+        self._record_fault("cut off", *side)
+        self.simulator.cut(side, [name for name in self.simulator.nodes if name not in side])
         for name in side:
-            self._lose(name)
+            self._mark_unreachable(name)
 
     def _fault_configure(self):
-        calm, flood, moving = self.tenants
+        steady, flood, varying = self.tenants
         changed = Tenant(
-            moving.name,
-            requests_per_s=moving.requests_per_s * self.random.choice((0.5, 1.0, 2.0)),
-            floor=moving.floor,
-            ceiling=moving.ceiling,
+            varying.name,
+            requests_per_s=varying.requests_per_s * self.random.choice((0.5, 1.0, 2.0)),
+            floor=varying.floor,
+            ceiling=varying.ceiling,
         )
-        self.figures.append(changed)
-        self._tell("configure", changed.requests_per_s)
-        self.offices.configure([calm, flood, changed], spread=self.random.choice((0.05, 1.0)))
+        self.varying_tenants.append(changed)
+        self._record_fault("configure", changed.requests_per_s)
+        self.simulator.configure([steady, flood, changed], spread=self.random.choice((0.05, 1.0)))
 
     def _fault_heal(self):
-        self._tell("heal")
-        self.offices.heal()
-        for name, node in list(self.offices.nodes.items()):
+        self._record_fault("heal")
+        self.simulator.heal()
+        for name, node in list(self.simulator.nodes.items()):
             if node.is_frozen:
-                self.offices.wake(name)
+                self.simulator.wake(name)
             elif not node.is_up:
-                self.offices.start(name)
-        self._find(list(self.away))
+                self.simulator.start(name)
+        self._mark_reachable(list(self.unreachable_since))
 
-    def _edge(self):
-        names = [node.name for node in self.offices.edges]
+    def _random_edge(self):
+        names = [node.name for node in self.simulator.edges]
         return self.random.choice(names) if names else None
 
     # checks against the records of callers and servers -------------------------------------------
 
-    def _judge(self) -> list:
-        offices, found = self.offices, []
-        calm, flood, moving = self.tenants
-        marks = offices.changes
+    def _check(self) -> list:
+        simulator, found = self.simulator, []
+        steady, flood, varying = self.tenants
+        marks = simulator.changes
         changes = max(
             [sum(mark <= other < mark + SECOND * max(WINDOWS) for other in marks) for mark in marks], default=0
         )
-        offices.tenants = [calm, flood, max(self.figures, key=lambda each: each.requests_per_s)]
-        for each in (calm, flood, moving):
-            invariant_checker = offices.invariant_checker(each.name)
+        simulator.tenants = [steady, flood, max(self.varying_tenants, key=lambda each: each.requests_per_s)]
+        for each in (steady, flood, varying):
+            invariant_checker = simulator.invariant_checker(each.name)
             found += [
                 f"{each.name}: {line}"
-                for line in invariant_checker.over(offices.runs(each.name), changes=changes, is_disturbed=True)
+                for line in invariant_checker.over(simulator.runs(each.name), changes=changes, is_disturbed=True)
             ]
         asks = [
             ask
-            for ask, call in zip(offices.asked(calm.name), offices.of(calm.name), strict=False)
-            if not self._is_excused(call)
+            for ask, call in zip(simulator.asked(steady.name), simulator.of(steady.name), strict=False)
+            if not self._is_exempt(call)
+        ]
+        routers = sum(name.startswith("edge") for name in simulator.nodes)
+        self.checked_calls = simulator.invariant_checker(steady.name).inside(asks, routers)
+        found += [f"{steady.name}: {line}" for line in simulator.invariant_checker(steady.name).short(asks, routers)][
+            :3
         ]
-        routers = sum(name.startswith("edge") for name in offices.nodes)
-        self.judged = offices.invariant_checker(calm.name).inside(asks, routers)
-        found += [f"{calm.name}: {line}" for line in offices.invariant_checker(calm.name).short(asks, routers)][:3]
         waits = sorted(
             (call.answered_at - call.at) / SECOND * 1000
-            for call in offices.calls
-            if not self._is_excused(call) and call.answered_at
+            for call in simulator.calls
+            if not self._is_exempt(call) and call.answered_at
         )
-        self.wait = waits[int(len(waits) * 0.99)]
+        self.p99_wait_ms = waits[int(len(waits) * 0.99)]
         found += [
-            f"{call.tenant}: a call at {call.at} had no answer" for call in offices.calls if call.answered_at is None
+            f"{call.tenant}: a call at {call.at} had no answer" for call in simulator.calls if call.answered_at is None
         ][:1]
         return found
 
-    def _is_excused(self, call):
+    def _is_exempt(self, call):
         """Whether the floor is not guaranteed for this call (docs/design/quotas.md).
 
         An unreachable router admits only its own share of the quota. While there is no lease issuer, every router does,
         and the shares of routers that are unreachable or started less than three seconds ago are not usable.
         """
-        for name, since, until in self.load_times:
-            if since - SECOND / 2 <= call.at <= until + KNOWN and (
-                self._was_vacant(since, until) or (name == call.edge and call.at <= until)
+        for name, since, until in self.outages:
+            if since - SECOND / 2 <= call.at <= until + SHARE_DELAY and (
+                self._lacked_issuer(since, until) or (name == call.edge and call.at <= until)
             ):
                 return True
         return False
 
-    def _was_vacant(self, since, until):
-        return any(since - SECOND * 6 <= mark <= until + SECOND * 6 for mark in self.offices.changes)
+    def _lacked_issuer(self, since, until):
+        return any(since - SECOND * 6 <= mark <= until + SECOND * 6 for mark in self.simulator.changes)
 
 
-FAULTS = [name.removeprefix("_fault_") for name in dir(ShareStorm) if name.startswith("_fault_")]
+FAULTS = [name.removeprefix("_fault_") for name in dir(QuotaFaultRun) if name.startswith("_fault_")]
 
 
 def play(seed: int, seconds: int = 60):
@@ -237,22 +250,22 @@
     Returns (seed, deployment, calls by tenant and outcome, calls checked against a floor, 99th percentile of the
     admission wait in ms, violations, injected faults).
     """
-    fault_injection = ShareStorm(seed)
+    fault_injection = QuotaFaultRun(seed)
     found = fault_injection.run(seconds)
     outcomes = Counter(
         (call.tenant, "refused" if call.is_refused else "lost" if call.is_lost else "let in")
-        for call in fault_injection.offices.calls
+        for call in fault_injection.simulator.calls
     )
     found = [
         *found,
-        *find_unchecked({"calls inside a floor": fault_injection.judged, "calls let in": _let_in(outcomes)}),
+        *find_unchecked({"calls inside a floor": fault_injection.checked_calls, "calls let in": _let_in(outcomes)}),
     ]
     return (
         seed,
         fault_injection.spec,
         outcomes,
-        fault_injection.judged,
-        fault_injection.wait,
+        fault_injection.checked_calls,
+        fault_injection.p99_wait_ms,
         found,
         fault_injection.told,
     )
@@ -262,7 +275,7 @@
     return sum(count for (_, outcome), count in outcomes.items() if outcome == "let in")
 
 
-TOWNS = {  # (tenants, {request group that exceeds its quota: calls/s})
+DEPLOYMENT_TENANTS = {  # (tenants, {request group that exceeds its quota: calls/s})
     "kosice": (
         [
             {"name": "status", "callers": ["customs-desk"], "requestsPerS": 60.0, "floor": 0.8, "burstS": 2.0},
@@ -279,7 +292,7 @@
         {"status": 300.0, "dossiers": 5.0},
     ),
 }
-MOST_CHANGES = 3  # changes of the lease issuer in ten seconds
+MAX_ISSUER_CHANGES = 3  # changes of the lease issuer in ten seconds
 
 
 def play_deployment(seed: int, seconds: int = 40):
@@ -287,8 +300,8 @@
 
     No call is checked against a floor, since the faults partition callers, edges and cores at random.
     """
-    spec = list(TOWNS)[seed % 2]
-    tenants, floods = TOWNS[spec]
+    spec = list(DEPLOYMENT_TENANTS)[seed % 2]
+    tenants, floods = DEPLOYMENT_TENANTS[spec]
     deployment = settled(seed, spec, None, voter_away=6.0)
     deployment.ask(
         leader(deployment).node.rsplit("-", 1)[0],
@@ -308,7 +321,7 @@
     found = fault_injection.run(seconds, 15.0, seed % 3 == 2)
     flood.is_on = False
     for name in shares.tenants:
-        lines = shares.invariant_checker(name).over(shares.runs(name), changes=MOST_CHANGES, is_disturbed=True)
+        lines = shares.invariant_checker(name).over(shares.runs(name), changes=MAX_ISSUER_CHANGES, is_disturbed=True)
         found = [*found, *(f"{name}: {line}" for line in lines)]
     outcomes = Counter(
         (name, "refused" if call.fault_class == "allowance" else "let in" if shares.has_run(call) else "lost")
@@ -383,57 +396,57 @@
         "| city | flooding: let in, refused | group | answered | median s | 99 of 100 within s | not answered |\n|---|---|---|---|---|---|---|"
     )
     for (spec, name, each), pair in sorted(sums.items()):
-        (calm, _), (flooded, _) = pair
-        calm.sort()
+        (steady, _), (flooded, _) = pair
+        steady.sort()
         flooded.sort()
         faults = find_unchecked(
-            {f"{each} answered in {spec} without": len(calm), f"{each} answered in {spec} with": len(flooded)}
+            {f"{each} answered in {spec} without": len(steady), f"{each} answered in {spec} with": len(flooded)}
         )
         if faults:
             is_good = False
             print(*faults, sep="\n")
             continue
-        medians, lates = ([times[int(len(times) * part)] for times in (calm, flooded)] for part in (0.5, 0.99))
+        medians, lates = ([times[int(len(times) * part)] for times in (steady, flooded)] for part in (0.5, 0.99))
         slack = (LOOKUP_SLACK if each in ("stamps", "status") else PROMPT_SLACK) / SECOND
         is_good &= medians[1] <= medians[0] + slack and lates[1] <= lates[0] * 1.25 + slack
         print(
-            f"| {spec} | {name}: {floods[spec, name, 'let in']}, {floods[spec, name, 'refused']} | {each} | {len(calm)}, {len(flooded)} | {medians[0]:.3f}, {medians[1]:.3f} "
+            f"| {spec} | {name}: {floods[spec, name, 'let in']}, {floods[spec, name, 'refused']} | {each} | {len(steady)}, {len(flooded)} | {medians[0]:.3f}, {medians[1]:.3f} "
             f"| {lates[0]:.3f}, {lates[1]:.3f} | {pair[0][1]}, {pair[1][1]} |"
         )
     faults = find_unchecked(
         {
-            "calls of a flood let in": _count_floods(floods, "let in"),
-            "calls of a flood refused": _count_floods(floods, "refused"),
+            "calls of a flood let in": _count_flood_calls(floods, "let in"),
+            "calls of a flood refused": _count_flood_calls(floods, "refused"),
         }
     )
     print(*(f"{fault}\n" for fault in faults), sep="", end="")
     return is_good and not faults
 
 
-def _count_floods(floods, what) -> int:
+def _count_flood_calls(floods, what) -> int:
     return sum(count for (_, _, outcome), count in floods.items() if outcome == what)
 
 
-MOST_TURN = SECOND / 2
+MAX_TRANSITION = SECOND / 2
 
 
 def play_turn(seed: int):
     """Returns (routers, time from the overload until the last router refuses, time from its end until the last refusal)."""
     routers = (4, 8, 16)[seed % 3]
-    offices = QuotaSimulator([Tenant("shops", requests_per_s=80.0, burst_s=0.05)], routers, seed)
-    offices.offer("shops", 40.0, 5, is_even=True).run(5)
-    past = offices.now
-    offices.offer("shops", 800.0, 3, is_even=True).run(3)
+    simulator = QuotaSimulator([Tenant("shops", requests_per_s=80.0, burst_s=0.05)], routers, seed)
+    simulator.offer("shops", 40.0, 5, is_even=True).run(5)
+    past = simulator.now
+    simulator.offer("shops", 800.0, 3, is_even=True).run(3)
     firsts = [
-        min(call.answered_at for call in offices.of("shops", past) if call.edge == edge.name and call.is_refused)
-        for edge in offices.edges
+        min(call.answered_at for call in simulator.of("shops", past) if call.edge == edge.name and call.is_refused)
+        for edge in simulator.edges
     ]
-    below = offices.now
-    offices.offer("shops", 40.0, 3, is_even=True).run(3)
+    below = simulator.now
+    simulator.offer("shops", 40.0, 3, is_even=True).run(3)
     return (
         routers,
         max(firsts) - past,
-        max((call.at - below for call in offices.of("shops", below) if call.is_refused), default=SECOND * 0),
+        max((call.at - below for call in simulator.of("shops", below) if call.is_refused), default=SECOND * 0),
     )
 
 
@@ -448,13 +461,13 @@
         print(
             f"| {routers} | {len(ups)} | {ups[len(ups) // 2]:.0f}, {ups[-1]:.0f} | {downs[len(downs) // 2]:.0f}, {downs[-1]:.0f} |"
         )
-    return bool(found) and all(max(up, down) <= MOST_TURN for _, up, down in found)
+    return bool(found) and all(max(up, down) <= MAX_TRANSITION for _, up, down in found)
 
 
 def main():
     parser = argparse.ArgumentParser(prog="python -m harness.allowances", description=__doc__)
     parser.add_argument("first", type=int)
-    parser.add_argument("last", type=int, help=f"last seed; at most {MOST_SEEDS} seeds run")
+    parser.add_argument("last", type=int, help=f"last seed; at most {MAX_SEEDS} seeds run")
     parser.add_argument("--processes", type=int, default=3)
     parser.add_argument(
         "--twins",
@@ -465,7 +478,7 @@
     parser.add_argument("--towns", action="store_true", help="run whole deployments, about twenty seconds each")
     parser.add_argument("--tell", action="store_true", help="for a run with violations, also print the injected faults")
     given = parser.parse_args()
-    seeds = seed_range(parser, given.first, given.last, MOST_SEEDS - 1)
+    seeds = seed_range(parser, given.first, given.last, MAX_SEEDS - 1)
     if given.turns:
         with ProcessPoolExecutor(given.processes) as pool:
             is_good = turns(seeds, pool)
--- a/harness/experiments/scenarios.py
+++ b/harness/experiments/scenarios.py
@@ -14,7 +14,7 @@
 SECOND = timedelta(seconds=1)
 
 
-class Scene:
+class ScenarioRun:
     """A settled deployment with callers; holds the time of the fault (`fault_at`) and the figures measured after it."""
 
     __slots__ = ("deployment", "callers", "invariant_checker", "fault_at", "figures")
@@ -29,97 +29,97 @@
     def names(self, role):
         return [box.name for box in self.deployment.boxes.values() if box.role == role]
 
-    def holder(self, duty="placer"):
-        node = leader(self.deployment).state.role_holders[duty][0]
+    def placer_name(self, lease="placer"):
+        node = leader(self.deployment).state.role_holders[lease][0]
         return next(
             box.name
             for box in self.deployment.boxes.values()
             if box.machine is not None and getattr(box.machine, "node", "") == node
         )
 
-    def order(self, core, what, **doc):
+    def send_order(self, core, action, **doc):
         return self.deployment.ask(
-            core, "POST", f"/operator/{what}", {"request": f"{what}-{self.deployment.now}", **doc}
+            core, "POST", f"/operator/{action}", {"request": f"{action}-{self.deployment.now}", **doc}
         )
 
-    def end(self, calm):
-        self.deployment.run(calm)
+    def end(self, recovery_s):
+        self.deployment.run(recovery_s)
         self.callers.is_on = False
         self.deployment.run(8)
 
 
-def crowd(scene):
+def crowd(run):
     """Load spike: ten times the traffic for ten seconds"""
-    more = scene.deployment.call_in(9.0, name="crowd")
-    scene.deployment.run(10)
+    more = run.deployment.call_in(9.0, name="crowd")
+    run.deployment.run(10)
     more.is_on = False
-    scene.end(20)
+    run.end(20)
     done = Counter(call.outcome for call in more.calls)
-    scene.figures["of the crowd"] = f"{done['ok']} of {len(more.calls)} answered"
+    run.figures["of the crowd"] = f"{done['ok']} of {len(more.calls)} answered"
 
 
-def rare(scene):
+def rare(run):
     """Every model is requested at once after half of the model servers restarted without models"""
-    for name in scene.names("model")[::2]:
-        scene.deployment.kill(name)
-    scene.deployment.run(5)
-    for name in scene.names("model")[::2]:
-        scene.deployment.start(name)
+    for name in run.names("model")[::2]:
+        run.deployment.kill(name)
+    run.deployment.run(5)
+    for name in run.names("model")[::2]:
+        run.deployment.start(name)
     kind = next(
-        each for each in scene.deployment.spec.traffic if each["kind"] == "prompt" and not each.get("stream", True)
+        each for each in run.deployment.spec.traffic if each["kind"] == "prompt" and not each.get("stream", True)
     )
-    before = len(scene.callers.calls)
-    for model in scene.deployment.spec.catalogue["models"]:
-        for effect in scene.callers.ask(kind, scene.deployment.now, model=model["name"]):
-            scene.deployment._do(scene.deployment.boxes["callers"], effect)
-    asked = scene.callers.calls[before:]
-    scene.end(40)
-    scene.figures["rare asked"] = f"{sum(call.outcome == 'ok' for call in asked)} of {len(asked)} answered"
+    before = len(run.callers.calls)
+    for model in run.deployment.spec.catalogue["models"]:
+        for effect in run.callers.ask(kind, run.deployment.now, model=model["name"]):
+            run.deployment._do(run.deployment.boxes["callers"], effect)
+    asked = run.callers.calls[before:]
+    run.end(40)
+    run.figures["rare asked"] = f"{sum(call.outcome == 'ok' for call in asked)} of {len(asked)} answered"
 
 
-def server_crash(scene):
+def server_crash(run):
     """A model server crashes and restarts without models"""
-    scene.deployment.kill("model-1")
-    scene.deployment.run(6)
-    scene.deployment.start("model-1")
-    scene.end(30)
+    run.deployment.kill("model-1")
+    run.deployment.run(6)
+    run.deployment.start("model-1")
+    run.end(30)
 
 
-def server_dark(scene):
+def server_dark(run):
     """A model server accepts connections and never responds"""
-    scene.deployment.boxes["model-2"].machine.is_dark = True
-    scene.end(30)
+    run.deployment.boxes["model-2"].machine.is_dark = True
+    run.end(30)
 
 
-def replacement(scene):
+def replacement(run):
     """Model servers are replaced one by one; the inventory marks each as leaving first"""
-    platform = scene.deployment.boxes["platform"].machine
-    for name in scene.names("model"):
+    platform = run.deployment.boxes["platform"].machine
+    for name in run.names("model"):
         platform.servers[name]["leaving"] = True
-        scene.deployment.run(8)
-        scene.deployment.kill(name)
-        scene.deployment.run(1)
-        scene.deployment.start(name)
+        run.deployment.run(8)
+        run.deployment.kill(name)
+        run.deployment.run(1)
+        run.deployment.start(name)
         platform.servers[name]["leaving"] = False
-        scene.deployment.run(8)
-    scene.end(25)
+        run.deployment.run(8)
+    run.end(25)
 
 
-def emptied(scene):
+def emptied(run):
     """A model server is shut down during streaming, three seconds after its leaving notice"""
-    platform = scene.deployment.boxes["platform"].machine
+    platform = run.deployment.boxes["platform"].machine
     platform.servers["model-1"]["leaving"] = True
-    scene.deployment.run(3)
-    scene.deployment.kill("model-1")
-    scene.end(30)
+    run.deployment.run(3)
+    run.deployment.kill("model-1")
+    run.end(30)
 
 
-def edge_killed(scene):
+def edge_killed(run):
     """An edge is killed and restarted after five seconds"""
-    scene.deployment.kill("edge-1")
-    scene.deployment.run(5)
-    scene.deployment.start("edge-1")
-    scene.end(20)
+    run.deployment.kill("edge-1")
+    run.deployment.run(5)
+    run.deployment.start("edge-1")
+    run.end(20)
 
 
 def _is_voter(deployment, node) -> bool:
@@ -132,280 +132,274 @@
     return all(edge.state.generation >= generation for edge in deployment.machines("edge"))
 
 
-def leader_killed(scene):
+def leader_killed(run):
     """The leader is killed"""
-    scene.deployment.kill(box_of(scene.deployment, leader(scene.deployment)).name)
-    scene.deployment.run_until(lambda: leader(scene.deployment) is not None, 20)
-    scene.figures["next leader after"] = f"{(scene.deployment.now - scene.fault_at) / SECOND:.2f} s"
-    scene.end(20)
+    run.deployment.kill(box_of(run.deployment, leader(run.deployment)).name)
+    run.deployment.run_until(lambda: leader(run.deployment) is not None, 20)
+    run.figures["next leader after"] = f"{(run.deployment.now - run.fault_at) / SECOND:.2f} s"
+    run.end(20)
 
 
-def holder_killed(scene):
+def holder_killed(run):
     """The placer is killed while its model loads are in progress"""
-    scene.deployment.kill("model-1")
-    scene.deployment.run(4)
-    scene.deployment.start("model-1")
-    scene.deployment.run(1.5)
-    scene.fault_at = scene.deployment.now
-    before = leader(scene.deployment).state.role_holders["placer"][1]
-    scene.deployment.kill(scene.holder())
-    scene.deployment.run_until(
-        lambda: (
-            leader(scene.deployment) is not None and leader(scene.deployment).state.role_holders["placer"][1] > before
-        ),
+    run.deployment.kill("model-1")
+    run.deployment.run(4)
+    run.deployment.start("model-1")
+    run.deployment.run(1.5)
+    run.fault_at = run.deployment.now
+    before = leader(run.deployment).state.role_holders["placer"][1]
+    run.deployment.kill(run.placer_name())
+    run.deployment.run_until(
+        lambda: leader(run.deployment) is not None and leader(run.deployment).state.role_holders["placer"][1] > before,
         30,
     )
-    scene.figures["next placer after"] = f"{(scene.deployment.now - scene.fault_at) / SECOND:.2f} s"
-    scene.end(40)
+    run.figures["next placer after"] = f"{(run.deployment.now - run.fault_at) / SECOND:.2f} s"
+    run.end(40)
 
 
-def _freeze(scene, name, seconds=6):
-    scene.deployment.freeze(name)
-    scene.deployment.run(seconds)
-    scene.deployment.wake(name)
-    scene.end(25)
+def _freeze_and_recover(run, name, seconds=6):
+    run.deployment.freeze(name)
+    run.deployment.run(seconds)
+    run.deployment.wake(name)
+    run.end(25)
 
 
-def edge_frozen(scene):
+def edge_frozen(run):
     """An edge process is paused for six seconds; meanwhile an area is evacuated"""
-    scene.deployment.freeze("edge-1")
-    zone = next(
-        zone for zone in scene.deployment.spec.catalogue["areas"] if zone != scene.deployment.boxes["edge-1"].zone
-    )
-    scene.order("core-1", "evacuate", area=zone)
-    scene.deployment.run(6)
-    scene.deployment.wake("edge-1")
-    scene.deployment.run(10)
-    scene.order("core-1", "restore", area=zone)
-    scene.end(15)
+    run.deployment.freeze("edge-1")
+    zone = next(zone for zone in run.deployment.spec.catalogue["areas"] if zone != run.deployment.boxes["edge-1"].zone)
+    run.send_order("core-1", "evacuate", area=zone)
+    run.deployment.run(6)
+    run.deployment.wake("edge-1")
+    run.deployment.run(10)
+    run.send_order("core-1", "restore", area=zone)
+    run.end(15)
 
 
-def leader_frozen(scene):
+def leader_frozen(run):
     """The leader process is paused for six seconds"""
-    _freeze(scene, box_of(scene.deployment, leader(scene.deployment)).name)
+    _freeze_and_recover(run, box_of(run.deployment, leader(run.deployment)).name)
 
 
-def holder_frozen(scene):
+def holder_frozen(run):
     """The placer process is paused for ten seconds while its model loads are in progress"""
-    scene.deployment.kill("model-1")
-    scene.deployment.run(4)
-    scene.deployment.start("model-1")
-    scene.deployment.run(1.5)
-    _freeze(scene, scene.holder(), 10)
-    scene.figures["orders under old fences"] = sum(len(record.stale) for record in scene.deployment.records.values())
+    run.deployment.kill("model-1")
+    run.deployment.run(4)
+    run.deployment.start("model-1")
+    run.deployment.run(1.5)
+    _freeze_and_recover(run, run.placer_name(), 10)
+    run.figures["orders under old fences"] = sum(len(record.stale) for record in run.deployment.records.values())
 
 
-def core_swapped(scene):
+def core_swapped(run):
     """A core is replaced by an empty one at a new address; then a core that is a seed address too"""
     for place in (3, 2):
-        scene.deployment.vanish(f"core-{place}")
+        run.deployment.vanish(f"core-{place}")
         node = {
             "name": f"core-{place + 5}",
             "role": "core",
-            "area": scene.deployment.boxes[f"core-{place}"].zone,
+            "area": run.deployment.boxes[f"core-{place}"].zone,
             "address": f"127.0.0.9:{17300 + place}",
             "door": f"127.0.0.9:{17400 + place}",
         }
-        scene.deployment.add_node(node, founding=[])
-        voter = scene.deployment.boxes[node["name"]].machine.node
-        scene.deployment.run_until(partial(_is_voter, scene.deployment, voter), 40)
-    scene.figures["seated"] = sorted(voter.rpartition("-")[0] for voter in leader(scene.deployment).consensus.members)
-    scene.end(20)
+        run.deployment.add_node(node, founding=[])
+        voter = run.deployment.boxes[node["name"]].machine.node
+        run.deployment.run_until(partial(_is_voter, run.deployment, voter), 40)
+    run.figures["seated"] = sorted(voter.rpartition("-")[0] for voter in leader(run.deployment).consensus.members)
+    run.end(20)
 
 
-def power_after_ack(scene):
+def power_after_ack(run):
     """All cores lose power right after a change is acknowledged"""
-    doc = {"routes": [{"name": "just-acked", "target": scene.deployment.spec.catalogue["models"][0]["name"]}]}
-    answer = scene.order("core-1", "apply", doc=doc, part=True)
-    for name in scene.names("core"):
-        scene.deployment.kill(name)
-    scene.deployment.run(1)
-    for name in scene.names("core"):
-        scene.deployment.start(name)
-    scene.end(25)
-    kept = leader(scene.deployment).state.generation >= answer[1]["generation"]
-    scene.figures["acked change kept"] = kept
-
-
-def disk_after_ack(scene):
+    doc = {"routes": [{"name": "just-acked", "target": run.deployment.spec.catalogue["models"][0]["name"]}]}
+    answer = run.send_order("core-1", "apply", doc=doc, part=True)
+    for name in run.names("core"):
+        run.deployment.kill(name)
+    run.deployment.run(1)
+    for name in run.names("core"):
+        run.deployment.start(name)
+    run.end(25)
+    kept = leader(run.deployment).state.generation >= answer[1]["generation"]
+    run.figures["acked change kept"] = kept
+
+
+def disk_after_ack(run):
     """A core loses its disk right after it acknowledged a change and restarts empty"""
-    doc = {"routes": [{"name": "just-acked", "target": scene.deployment.spec.catalogue["models"][0]["name"]}]}
-    answer = scene.order("core-1", "apply", doc=doc, part=True)
-    scene.deployment.kill("core-1")
-    scene.deployment.boxes["core-1"].disk.wipe()
-    scene.deployment.start("core-1")
-    scene.end(35)
-    scene.figures["acked change kept"] = leader(scene.deployment).state.generation >= answer[1]["generation"]
-    scene.figures["seats in view"] = len(leader(scene.deployment).consensus.members)
+    doc = {"routes": [{"name": "just-acked", "target": run.deployment.spec.catalogue["models"][0]["name"]}]}
+    answer = run.send_order("core-1", "apply", doc=doc, part=True)
+    run.deployment.kill("core-1")
+    run.deployment.boxes["core-1"].disk.wipe()
+    run.deployment.start("core-1")
+    run.end(35)
+    run.figures["acked change kept"] = leader(run.deployment).state.generation >= answer[1]["generation"]
+    run.figures["seats in view"] = len(leader(run.deployment).consensus.members)
 
 
-def slow_disks(scene):
+def slow_disks(run):
     """Every disk sync of the cores takes 80 ms"""
-    for name in scene.names("core"):
-        scene.deployment.boxes[name].disk.delay = timedelta(seconds=0.08)
-    scene.end(25)
+    for name in run.names("core"):
+        run.deployment.boxes[name].disk.delay = timedelta(seconds=0.08)
+    run.end(25)
 
 
-def stalled_disk(scene):
+def stalled_disk(run):
     """Disk writes of the leader stall for ten seconds"""
-    box_of(scene.deployment, leader(scene.deployment)).disk.stalled_until = scene.deployment.now + SECOND * 10
-    scene.end(30)
+    box_of(run.deployment, leader(run.deployment)).disk.stalled_until = run.deployment.now + SECOND * 10
+    run.end(30)
 
 
-def clocks(scene):
+def clocks(run):
     """All wall clocks jump by a day, every other one forward, the rest backward"""
-    for place, box in enumerate(scene.deployment.boxes.values()):
+    for place, box in enumerate(run.deployment.boxes.values()):
         box.clock.jump = timedelta(days=1 if place % 2 else -1)
-    scene.end(25)
+    run.end(25)
 
 
-def core_split(scene):
+def core_split(run):
     """A network partition separates the leader from the other two cores for ten seconds"""
-    name = box_of(scene.deployment, leader(scene.deployment)).name
-    scene.deployment.cut([name], [other for other in scene.names("core") if other != name])
-    scene.deployment.run(10)
-    scene.deployment.heal()
-    scene.end(20)
+    name = box_of(run.deployment, leader(run.deployment)).name
+    run.deployment.cut([name], [other for other in run.names("core") if other != name])
+    run.deployment.run(10)
+    run.deployment.heal()
+    run.end(20)
 
 
-def core_cut_off(scene):
+def core_cut_off(run):
     """A network partition separates all cores from all edges for ten seconds"""
-    scene.deployment.cut(scene.names("core"), scene.names("edge"))
-    scene.deployment.run(10)
-    scene.deployment.heal()
-    scene.end(25)
+    run.deployment.cut(run.names("core"), run.names("edge"))
+    run.deployment.run(10)
+    run.deployment.heal()
+    run.end(25)
 
 
-def one_way(scene):
+def one_way(run):
     """One-way partitions: the leader receives no messages, then its messages are dropped"""
-    name = box_of(scene.deployment, leader(scene.deployment)).name
-    rest = [other for other in scene.names("core") + scene.names("edge") if other != name]
-    scene.deployment.cut(rest, [name], one_way=True)
-    scene.deployment.run(8)
-    scene.deployment.heal()
-    scene.deployment.run(8)
-    name = box_of(scene.deployment, leader(scene.deployment)).name
-    rest = [other for other in scene.names("core") + scene.names("edge") if other != name]
-    scene.deployment.cut([name], rest, one_way=True)
-    scene.deployment.run(8)
-    scene.deployment.heal()
-    scene.end(20)
-
-
-def isolated(scene):
+    name = box_of(run.deployment, leader(run.deployment)).name
+    rest = [other for other in run.names("core") + run.names("edge") if other != name]
+    run.deployment.cut(rest, [name], one_way=True)
+    run.deployment.run(8)
+    run.deployment.heal()
+    run.deployment.run(8)
+    name = box_of(run.deployment, leader(run.deployment)).name
+    rest = [other for other in run.names("core") + run.names("edge") if other != name]
+    run.deployment.cut([name], rest, one_way=True)
+    run.deployment.run(8)
+    run.deployment.heal()
+    run.end(20)
+
+
+def isolated(run):
     """Six nodes are partitioned from all others one after the other, four seconds each"""
     for name in ("edge-1", "core-2", "model-1", "edge-4", "core-3", "model-3"):
-        scene.deployment.cut([name], scene.deployment.inside(name))
-        scene.deployment.run(4)
-        scene.deployment.heal()
-        scene.deployment.run(4)
-    scene.end(25)
+        run.deployment.cut([name], run.deployment.inside(name))
+        run.deployment.run(4)
+        run.deployment.heal()
+        run.deployment.run(4)
+    run.end(25)
 
 
-def config_storm(scene):
+def config_storm(run):
     """100 concurrent partial configuration changes of 20 routes each, sent to two cores in turn"""
-    scene.deployment.ask("core-1", "GET", "/show/duties")
-    operator, target = scene.deployment.boxes["operator"].machine, scene.deployment.spec.catalogue["models"][0]["name"]
+    run.deployment.ask("core-1", "GET", "/show/duties")
+    operator, target = run.deployment.boxes["operator"].machine, run.deployment.spec.catalogue["models"][0]["name"]
     numbers = []
     for place in range(100):
         routes = [{"name": f"storm-{place}-{each}", "target": target} for each in range(20)]
         doc = {"request": f"storm-{place}", "part": True, "doc": {"routes": routes}}
         numbers.append(
             operator.ask(
-                f"http://{scene.deployment.boxes[f'core-{1 + place % 2}'].http_address}/operator/apply", "POST", doc
+                f"http://{run.deployment.boxes[f'core-{1 + place % 2}'].http_address}/operator/apply", "POST", doc
             )
         )
-    scene.end(25)
+    run.end(25)
     answers = Counter(operator.answers.get(number, (None,))[0] for number in numbers)
-    scene.figures["orders answered"] = dict(answers)
-    scene.figures["routes"] = len(leader(scene.deployment).state.catalogue.routes)
+    run.figures["orders answered"] = dict(answers)
+    run.figures["routes"] = len(leader(run.deployment).state.catalogue.routes)
 
 
-def obey(scene):
+def obey(run):
     """Time from the acknowledgement of a change until the last edge applies it, over twenty changes"""
-    target, longest = scene.deployment.spec.catalogue["models"][0]["name"], timedelta(0)
+    target, longest = run.deployment.spec.catalogue["models"][0]["name"], timedelta(0)
     ack = timedelta(0)
     for place in range(20):
-        sent_at = scene.deployment.now
-        answer = scene.order(
+        sent_at = run.deployment.now
+        answer = run.send_order(
             f"core-{1 + place % 3}", "apply", doc={"routes": [{"name": f"obey-{place}", "target": target}]}, part=True
         )
-        acked_at, generation = scene.deployment.now, answer[1]["generation"]
+        acked_at, generation = run.deployment.now, answer[1]["generation"]
         ack = max(ack, acked_at - sent_at)
-        scene.deployment.run_until(partial(_have_all_edges, scene.deployment, generation), 5)
-        longest = max(longest, scene.deployment.now - acked_at)
-    scene.figures["longest order to ack"] = f"{ack / SECOND:.2f} s"
-    scene.figures["longest ack to last node"] = f"{longest / SECOND:.2f} s"
-    scene.end(5)
+        run.deployment.run_until(partial(_have_all_edges, run.deployment, generation), 5)
+        longest = max(longest, run.deployment.now - acked_at)
+    run.figures["longest order to ack"] = f"{ack / SECOND:.2f} s"
+    run.figures["longest ack to last node"] = f"{longest / SECOND:.2f} s"
+    run.end(5)
 
 
-def zone_lost(scene):
+def zone_lost(run):
     """All nodes and servers of an area are lost for good"""
-    zone = scene.deployment.spec.catalogue["areas"][2]
-    for box in list(scene.deployment.boxes.values()):
+    zone = run.deployment.spec.catalogue["areas"][2]
+    for box in list(run.deployment.boxes.values()):
         if box.zone == zone:
-            scene.deployment.vanish(box.name)
-    scene.end(40)
+            run.deployment.vanish(box.name)
+    run.end(40)
 
 
-def evacuated(scene):
+def evacuated(run):
     """An area is evacuated and restored"""
-    zone = scene.deployment.spec.catalogue["areas"][1]
-    scene.order("core-1", "evacuate", area=zone)
-    scene.deployment.run(15)
-    scene.order("core-1", "restore", area=zone)
-    scene.end(25)
+    zone = run.deployment.spec.catalogue["areas"][1]
+    run.send_order("core-1", "evacuate", area=zone)
+    run.deployment.run(15)
+    run.send_order("core-1", "restore", area=zone)
+    run.end(25)
 
 
-def flood(scene):
+def flood(run):
     """Audits or dossiers, the heaviest requests, flood the servers at 25 requests/s for fifteen seconds"""
-    heavy = scene.deployment.spec.traffic[-1]
-    more = scene.deployment.call_in(1.0, [{**heavy, "rate": 25.0}], "flood")
-    scene.deployment.run(15)
+    heavy = run.deployment.spec.traffic[-1]
+    more = run.deployment.call_in(1.0, [{**heavy, "rate": 25.0}], "flood")
+    run.deployment.run(15)
     more.is_on = False
-    scene.end(10)
-    for each in scene.deployment.spec.traffic[:4]:
+    run.end(10)
+    for each in run.deployment.spec.traffic[:4]:
         waits = [
             call.ended_at - call.sent_at
-            for call in scene.callers.calls
-            if call.group == each["name"] and call.outcome == "ok" and call.sent_at > scene.fault_at
+            for call in run.callers.calls
+            if call.group == each["name"] and call.outcome == "ok" and call.sent_at > run.fault_at
         ]
-        scene.figures[f"longest {each['name']}"] = f"{max(waits) / SECOND:.2f} s"
+        run.figures[f"longest {each['name']}"] = f"{max(waits) / SECOND:.2f} s"
 
 
-def _lose_power(scene, roles, wipe=None):
+def _lose_power(run, roles, wipe=None):
     """Cuts the power of all nodes of these roles for three seconds; returns the time at which they restart.
 
     `wipe` names a node whose disk is erased meanwhile.
     """
-    ours = [box.name for box in scene.deployment.boxes.values() if box.role in roles]
+    ours = [box.name for box in run.deployment.boxes.values() if box.role in roles]
     for name in ours:
-        scene.deployment.kill(name)
+        run.deployment.kill(name)
     if wipe:
-        scene.deployment.boxes[wipe].disk.wipe()
-    scene.deployment.run(3)
+        run.deployment.boxes[wipe].disk.wipe()
+    run.deployment.run(3)
     for name in ours:
-        scene.deployment.start(name)
-    return scene.deployment.now
+        run.deployment.start(name)
+    return run.deployment.now
 
 
-def total_loss(scene):
+def total_loss(run):
     """All cores and edges lose power at once and restart three seconds later"""
-    back_at = _lose_power(scene, ("core", "edge"))
-    scene.end(25)
-    bad = [call.sent_at for call in scene.callers.calls if call.sent_at > back_at and call.outcome != "ok"]
-    scene.figures["last call not served, after the return"] = (
-        f"{(max(bad) - back_at) / SECOND:.2f} s" if bad else "none"
-    )
+    back_at = _lose_power(run, ("core", "edge"))
+    run.end(25)
+    bad = [call.sent_at for call in run.callers.calls if call.sent_at > back_at and call.outcome != "ok"]
+    run.figures["last call not served, after the return"] = f"{(max(bad) - back_at) / SECOND:.2f} s" if bad else "none"
 
 
-def _total(scene, roles, wipe=None):
-    back_at = _lose_power(scene, roles, wipe)
-    scene.end(45)
-    calls = [call for call in scene.callers.calls if call.sent_at > back_at and not call.has_moved]
+def _run_power_loss(run, roles, wipe=None):
+    back_at = _lose_power(run, roles, wipe)
+    run.end(45)
+    calls = [call for call in run.callers.calls if call.sent_at > back_at and not call.has_moved]
     for kind in ("lookup", "prompt"):
         bad = [call.sent_at for call in calls if call.kind == kind and call.outcome != "ok"]
-        scene.figures[f"last {kind} not served, after the return"] = (
+        run.figures[f"last {kind} not served, after the return"] = (
             f"{(max(bad) - back_at) / SECOND:.2f} s" if bad else "none"
         )
     slow = [
@@ -414,84 +408,82 @@
         if call.kind == "prompt" and call.outcome == "ok" and call.sent_at - back_at < SECOND * 12
     ]
     waits = [(call.first_at or call.ended_at) - call.sent_at for call in slow]
-    scene.figures["longest first word of a prompt of the first 12 s"] = (
-        f"{max(waits, default=SECOND * 0) / SECOND:.1f} s"
-    )
+    run.figures["longest first word of a prompt of the first 12 s"] = f"{max(waits, default=SECOND * 0) / SECOND:.1f} s"
 
 
-def total_with_servers(scene):
+def total_with_servers(run):
     """All cores, edges and servers lose power at once and restart three seconds later, the model servers without models"""
-    _total(scene, ("core", "edge", "model", "records"))
+    _run_power_loss(run, ("core", "edge", "model", "records"))
 
 
-def total_with_a_disk(scene):
+def total_with_a_disk(run):
     """All cores and edges lose power and one core its disk, under three times the traffic"""
-    more = scene.deployment.call_in(2.0, name="crowd")
-    _total(scene, ("core", "edge"), "core-2")
+    more = run.deployment.call_in(2.0, name="crowd")
+    _run_power_loss(run, ("core", "edge"), "core-2")
     more.is_on = False
 
 
-def _half(scene, how):
+def _fail_half_of_servers(run, how):
     """Fails every other server for 60 s and adds a load spike of four times the traffic for 10 s in that time.
 
     `how` is "killed" or the flag of the fake server that is set.
     """
-    names = [box.name for box in scene.deployment.boxes.values() if box.role in ("model", "records")][::2]
+    names = [box.name for box in run.deployment.boxes.values() if box.role in ("model", "records")][::2]
     for name in names:
-        machine = scene.deployment.boxes[name].machine
+        machine = run.deployment.boxes[name].machine
         if how == "killed":
-            scene.deployment.kill(name)
+            run.deployment.kill(name)
         else:
             setattr(machine, how, True)
-    scene.deployment.run(20)
-    more = scene.deployment.call_in(3.0, name="crowd")
-    scene.deployment.run(10)
+    run.deployment.run(20)
+    more = run.deployment.call_in(3.0, name="crowd")
+    run.deployment.run(10)
     more.is_on = False
-    scene.deployment.run(30)
+    run.deployment.run(30)
     for name in names:
         if how == "killed":
-            scene.deployment.start(name)
+            run.deployment.start(name)
         else:
-            setattr(scene.deployment.boxes[name].machine, how, False)
-    scene.end(20)
+            setattr(run.deployment.boxes[name].machine, how, False)
+    run.end(20)
     done = Counter(call.outcome for call in more.calls if not call.has_moved)
-    scene.figures["of the crowd"] = f"{done['ok']} of {sum(done.values())} answered"
+    run.figures["of the crowd"] = f"{done['ok']} of {sum(done.values())} answered"
 
 
-def half_dark(scene):
+def half_dark(run):
     """Half of the servers accept connections and never respond for a minute, with a load spike meanwhile"""
-    _half(scene, "is_dark")
+    _fail_half_of_servers(run, "is_dark")
 
 
-def half_refusing(scene):
+def half_refusing(run):
     """Half of the servers refuse every request for a minute, with a load spike meanwhile"""
-    _half(scene, "is_busy")
+    _fail_half_of_servers(run, "is_busy")
 
 
-def half_killed(scene):
+def half_killed(run):
     """Half of the servers are down for a minute and restart without models, with a load spike meanwhile"""
-    _half(scene, "killed")
+    _fail_half_of_servers(run, "killed")
 
 
-def records_gone(scene):
+def records_gone(run):
     """All records servers are down for ten seconds"""
-    for name in scene.names("records"):
-        scene.deployment.kill(name)
-    scene.deployment.run(10)
-    for name in scene.names("records"):
-        scene.deployment.start(name)
-    scene.end(20)
+    for name in run.names("records"):
+        run.deployment.kill(name)
+    run.deployment.run(10)
+    for name in run.names("records"):
+        run.deployment.start(name)
+    run.end(20)
 
 
-def notice(scene):
+def notice(run):
     """The inventory marks a model server as leaving at the moment the leader is killed"""
-    platform = scene.deployment.boxes["platform"].machine
+    platform = run.deployment.boxes["platform"].machine
     platform.servers["model-2"]["leaving"] = True
-    scene.deployment.kill(box_of(scene.deployment, leader(scene.deployment)).name)
-    scene.end(20)
-    late = [at for at, _ in scene.deployment.arrivals.get("model-2", ()) if at > scene.fault_at]
-    scene.figures["last sent to it, after the notice"] = (
-        f"{(max(late) - scene.fault_at) / SECOND:.2f} s" if late else "nothing"
+    run.deployment.kill(box_of(run.deployment, leader(run.deployment)).name)
+    run.end(20)
+    late = [at for at, _ in run.deployment.arrivals.get("model-2", ()) if at > run.fault_at]
+    run.figures["last sent to it, after the notice"] = (
+        f"{(max(late) - run.fault_at) / SECOND:.2f} s" if late else "nothing"
     )
 
 
@@ -536,16 +528,16 @@
 
 def play(scenario, spec, seed):
     """Runs one scenario on one deployment and returns the values of its table row."""
-    scene = Scene(spec, seed)
-    scenario(scene)
-    calls = scene.callers.calls
+    run = ScenarioRun(spec, seed)
+    scenario(run)
+    calls = run.callers.calls
     calls = [
         call for call in calls if not call.has_moved
     ]  # a call that moved to another edge is judged by the request it sent there
     bad = [call for call in calls if call.outcome != "ok"]
     classes = Counter(f"{call.outcome}:{call.fault_class}" for call in bad)
-    first, again = scene.invariant_checker.resends()
-    last = max((call.sent_at for call in bad if call.sent_at >= scene.fault_at), default=None)
+    first, again = run.invariant_checker.resends()
+    last = max((call.sent_at for call in bad if call.sent_at >= run.fault_at), default=None)
     return {
         "scenario": scenario.__doc__,
         "city": spec,
@@ -553,10 +545,10 @@
         "ok": len(calls) - len(bad),
         "classes": dict(classes),
         "resends": again / first,
-        "last": (last - scene.fault_at) / SECOND if last else None,
-        "figures": scene.figures,
-        "unlogged": len(scene.invariant_checker.unaccounted()),
-        "broken": [*scene.invariant_checker.faults(), *find_unchecked({"calls answered": len(calls) - len(bad)})],
+        "last": (last - run.fault_at) / SECOND if last else None,
+        "figures": run.figures,
+        "unlogged": len(run.invariant_checker.unaccounted()),
+        "broken": [*run.invariant_checker.faults(), *find_unchecked({"calls answered": len(calls) - len(bad)})],
     }
 
 
--- a/tests/harness/test_vacuous_runs.py
+++ b/tests/harness/test_vacuous_runs.py
@@ -137,8 +137,8 @@
     class Quiet:
         """A storm without calls."""
 
-        spec, judged, wait, told = "kosice", 0, 0.0, ()
-        offices = SimpleNamespace(calls=[])
+        spec, checked_calls, p99_wait_ms, told = "kosice", 0, 0.0, ()
+        simulator = SimpleNamespace(calls=[])
 
         def __init__(self, *_):
             pass
@@ -146,7 +146,7 @@
         def run(self, *_):
             return []
 
-    monkeypatch.setattr(allowances, "ShareStorm", Quiet)
+    monkeypatch.setattr(allowances, "QuotaFaultRun", Quiet)
     assert allowances.play(1)[5] == [
         "nothing was judged: 0 calls inside a floor",
         "nothing was judged: 0 calls let in",
@@ -178,13 +178,13 @@
 
 def test_scenario_in_which_nobody_is_answered_is_broken(monkeypatch):
     """Given a scenario whose witness finds nothing since nobody called, its row says that nothing was judged."""
-    scene = SimpleNamespace(
+    run = SimpleNamespace(
         callers=SimpleNamespace(calls=[]),
         invariant_checker=SimpleNamespace(resends=lambda: (1, 0), unaccounted=list, faults=list),
         fault_at=None,
         figures={},
     )
-    monkeypatch.setattr(scenarios, "Scene", lambda *_: scene)
+    monkeypatch.setattr(scenarios, "ScenarioRun", lambda *_: run)
     assert scenarios.play(lambda _: None, "kosice", 7)["broken"] == ["nothing was judged: 0 calls answered"]
 
 
