--- a/harness/experiments/chaos.py
+++ b/harness/experiments/chaos.py
@@ -2,9 +2,10 @@
 history recorded outside of them.
 
 Invariants: no acknowledged change is lost, none is delivered twice, at most one leader holds a lease, no core reports a
-stale state as fresh, and no read misses a change that was acknowledged before it began. With --seats, machines and disks are also lost for good: phases of frequent faults that keep all disks alternate with phases
-in which the machines lost at once never exceed what N voters tolerate. A lost machine counts as lost until CATCH_UP
-after its replacement starts; by then the view must have all its voters again.
+stale state as fresh, and no read misses a change that was acknowledged before it began. With --seats, machines and
+disks are also lost for good: phases of frequent faults that keep all disks alternate with phases in which the machines
+lost at once never exceed what N voters tolerate. A lost machine counts as lost until CATCH_UP after its replacement
+starts; by then the view must have all its voters again.
 """
 
 import argparse
@@ -25,7 +26,7 @@
 from tests.deployment_fixtures import EXAMPLES, leader
 
 CATCH_UP = timedelta(seconds=4)  # from the start of a replacement until its predecessor no longer counts as lost
-LOOK_EVERY = 0.02
+CHECK_INTERVAL = 0.02
 DENSE, BOUNDED = 10.0, 20.0  # seconds per phase, in alternation
 SMALL_LOG = 12
 DISK_DELAY = timedelta(seconds=0.002)
@@ -40,13 +41,13 @@
         self.deployment, self.delivered, self.faults = None, {}, []
         self.acked, self.asked, self.reads, self.read_number = [], {}, {}, 0
 
-    def note_delivery(self, core, number, entry):
+    def record_delivery(self, core, number, entry):
         if self.delivered.setdefault(number, entry) != entry:
             self.faults.append(f"{core.node} delivers a change that differs from another core's change {number}")
         if number != core.state.number + 1:
             self.faults.append(f"{core.node} delivers change {number} after change {core.state.number}")
 
-    def look(self, random):
+    def check(self, random):
         """Records new acknowledgements and checks leader leases, fresh states and a random read at this time."""
         operator, now = self.deployment.boxes["operator"].machine, self.deployment.now
         for number, name in list(self.asked.items()):
@@ -61,7 +62,9 @@
             self.faults.append(f"{now}: {leaders} hold leader leases at the same time")
         for box in running:
             if box.machine.consensus.is_fresh(now):
-                self._judge(box, [name for at, name in self.acked if now - at >= FRESH_FOR], "reports a fresh state")
+                self._check_state(
+                    box, [name for at, name in self.acked if now - at >= FRESH_FOR], "reports a fresh state"
+                )
         if running and random.random() < 0.2:
             self._begin_read(random.choice(running))
 
@@ -74,21 +77,21 @@
     def end_read(self, core, token, is_readable):
         names = self.reads.pop(token, None)
         if is_readable and names:
-            self._judge_state(core, names, "completes a read")
+            self._check_routes(core, names, "completes a read")
 
-    def _judge(self, box, names, what):
-        self._judge_state(box.machine, names, what)
+    def _check_state(self, box, names, what):
+        self._check_routes(box.machine, names, what)
 
-    def _judge_state(self, core, names, what):
-        known = _routes(core)
-        lacking = [name for name in names if name not in known]
-        if lacking:
+    def _check_routes(self, core, names, what):
+        known = _route_names(core)
+        missing = [name for name in names if name not in known]
+        if missing:
             self.faults.append(
-                f"{self.deployment.now}: {core.node} {what} without the acknowledged changes {lacking[:3]}"
+                f"{self.deployment.now}: {core.node} {what} without the acknowledged changes {missing[:3]}"
             )
 
 
-class Logged(Core):
+class RecordingCore(Core):
     """A core that records its deliveries and completed reads in the history of the run."""
 
     __slots__ = ()
@@ -97,7 +100,7 @@
     def event_handlers(self):
         handlers = super().event_handlers()
         noted = {each: partial(self._end_read, handlers[each]) for each in (Readable, Unreadable)}
-        return handlers | noted | {Deliver: partial(self._note_delivery, handlers[Deliver])}
+        return handlers | noted | {Deliver: partial(self._record_delivery, handlers[Deliver])}
 
     def _end_read(self, handle, effect, now):
         if not str(effect.token).startswith("chaos-"):
@@ -105,12 +108,12 @@
         self.history.end_read(self, effect.token, isinstance(effect, Readable))
         return []
 
-    def _note_delivery(self, handle, effect, now):
-        self.history.note_delivery(self, effect.number, effect.entry)
+    def _record_delivery(self, handle, effect, now):
+        self.history.record_delivery(self, effect.number, effect.entry)
         return handle(effect, now)
 
 
-def _routes(core):
+def _route_names(core):
     return {route.name for route in core.state.catalogue.routes} if core.state.catalogue else set()
 
 
@@ -118,7 +121,7 @@
     return [box for box in deployment.boxes.values() if box.role == "core" and not box.is_gone]
 
 
-class Chaos:
+class ChaosRun:
     """One run: a deployment of cores, the active faults and the callbacks that end them."""
 
     __slots__ = (
@@ -126,28 +129,28 @@
         "random",
         "history",
         "voters",
-        "undo",
+        "pending_ends",
         "lost_until",
-        "whole_by",
-        "order_number",
+        "recover_by",
+        "change_number",
         "leaving",
     )
 
     def __init__(self, seed, voters):
         self.history, self.voters = ChangeHistory(), voters
-        Logged.history, Logged.max_log_entries = self.history, SMALL_LOG if seed % 2 else None
+        RecordingCore.history, RecordingCore.max_log_entries = self.history, SMALL_LOG if seed % 2 else None
         more = {"voter_away": 1.5, "wanted_voters": voters} if voters else {}
         self.deployment, self.random = (
             Deployment(DeploymentSpec(EXAMPLES / "kosice"), seed, edges=0, **more),
             Random(seed),
         )
         self.history.deployment = self.deployment
-        self.undo, self.lost_until, self.whole_by, self.order_number, self.leaving = [], {}, None, 0, set()
+        self.pending_ends, self.lost_until, self.recover_by, self.change_number, self.leaving = [], {}, None, 0, set()
         for box in _cores(self.deployment):
-            self._dress(box)
+            self._restart_recording(box)
         self.deployment.run_until(lambda: leader(self.deployment) is not None, 15)
         for _ in range(voters - 3):
-            self._add()
+            self._add_core()
         answer = self.deployment.ask(
             "core-1", "POST", "/operator/apply", {"request": "first", "doc": self.deployment.spec.catalogue}
         )
@@ -155,15 +158,15 @@
 
     # machines
 
-    def _dress(self, box):
+    def _restart_recording(self, box):
         """Restarts a core with an empty disk as a core that records its deliveries."""
         make = box.make
-        box.make = lambda box: _as_logged(make(box))
+        box.make = lambda box: _as_recording_core(make(box))
         self.deployment.kill(box.name)
         box.disk.wipe()
         self.deployment.start(box.name)
 
-    def _add(self):
+    def _add_core(self):
         number = 1 + sum(box.role == "core" for box in self.deployment.boxes.values())
         node = {
             "name": f"core-{number}",
@@ -174,10 +177,10 @@
         }
         running = [box.address for box in _cores(self.deployment) if box.machine is not None]
         box = self.deployment.add_node(node, founding=[], seeds=self.random.sample(running, min(3, len(running))))
-        self._dress(box)
+        self._restart_recording(box)
         return box
 
-    def is_whole(self) -> bool:
+    def has_full_view(self) -> bool:
         core = leader(self.deployment)
         if core is None:
             return False
@@ -189,17 +192,17 @@
     def run(self, seconds):
         end = self.deployment.now + timedelta(seconds=seconds)
         while self.deployment.now < end:
-            self.deployment.run(LOOK_EVERY)
-            due = [item for item in self.undo if item[0] <= self.deployment.now]
-            self.undo = [item for item in self.undo if item[0] > self.deployment.now]
+            self.deployment.run(CHECK_INTERVAL)
+            due = [item for item in self.pending_ends if item[0] <= self.deployment.now]
+            self.pending_ends = [item for item in self.pending_ends if item[0] > self.deployment.now]
             for _, stop in due:
                 stop()
-            self.history.look(self.random)
+            self.history.check(self.random)
 
-    def order(self):
+    def send_change(self):
         """Sends one more configuration change to a random core."""
-        self.order_number += 1
-        name = f"c{self.order_number}"
+        self.change_number += 1
+        name = f"c{self.change_number}"
         core = self.random.choice(_cores(self.deployment))
         doc = {"request": name, "part": True, "doc": {"routes": [{"name": name, "target": "refund-01"}]}}
         number = self.deployment.operator().ask(f"http://{core.http_address}/operator/apply", "POST", doc)
@@ -207,43 +210,43 @@
 
     # faults
 
-    def trouble(self, box, lasts):
-        """Injects a random fault at a core for `lasts` seconds; its disk is kept."""
+    def inject_fault(self, box, duration):
+        """Injects a random fault at a core for `duration` seconds; its disk is kept."""
         kind = self.random.choice(
             ("kill", "freeze", "cut", "held cut", "one way", "deaf", "stall", "full disk", "slow disk", "stop")
         )
-        deployment, name, ends = self.deployment, box.name, self.deployment.now + timedelta(seconds=lasts)
-        rest = [other.name for other in _cores(deployment) if other is not box]
+        deployment, name, ends = self.deployment, box.name, self.deployment.now + timedelta(seconds=duration)
+        peers = [other.name for other in _cores(deployment) if other is not box]
         if kind in ("kill", "stop") and box.machine is not None:
             deployment.stop(name) if kind == "stop" else deployment.kill(name)
-            self.undo.append((ends, lambda: self._restart(box)))
+            self.pending_ends.append((ends, lambda: self._restart(box)))
         elif kind == "freeze" and box.machine is not None and not box.is_frozen:
             deployment.freeze(name)
-            self.undo.append((ends, lambda: box.is_frozen and deployment.wake(name)))
+            self.pending_ends.append((ends, lambda: box.is_frozen and deployment.wake(name)))
         elif kind in ("cut", "held cut", "one way", "deaf"):
-            far = [other for other in rest if self.random.random() < 0.8]
-            pair = (far, [name]) if kind == "deaf" else ([name], far)
+            others = [other for other in peers if self.random.random() < 0.8]
+            sides = (others, [name]) if kind == "deaf" else ([name], others)
             holds = kind == "held cut" or self.random.random() < 0.5
-            links = deployment.cut(*pair, one_way=kind in ("one way", "deaf"), holds=holds)
-            self.undo.append((ends, lambda: deployment.heal(links & deployment.cuts)))
+            links = deployment.cut(*sides, one_way=kind in ("one way", "deaf"), holds=holds)
+            self.pending_ends.append((ends, lambda: deployment.heal(links & deployment.cuts)))
         elif kind == "stall":
             box.disk.stalled_until = ends
         elif kind == "full disk":
             box.disk.refuses_until = ends
         elif kind == "slow disk":
             box.disk.delay = timedelta(seconds=self.random.uniform(0.002, 0.3))
-            self.undo.append((ends, lambda: setattr(box.disk, "delay", DISK_DELAY)))
+            self.pending_ends.append((ends, lambda: setattr(box.disk, "delay", DISK_DELAY)))
 
     def _restart(self, box):
         if not box.is_gone:
             self.deployment.kill(box.name)
             self.deployment.start(box.name)
 
-    def calm(self):
+    def end_faults(self):
         """Ends all active faults: heals links, resets disks and restarts cores that are down or shutting down."""
-        for _, stop in self.undo:
+        for _, stop in self.pending_ends:
             stop()
-        self.undo = []
+        self.pending_ends = []
         self.deployment.heal()
         for box in _cores(self.deployment):
             box.disk.delay, box.disk.stalled_until = DISK_DELAY, self.deployment.now
@@ -253,28 +256,31 @@
 
     # permanent losses
 
-    def lost(self) -> set:
+    def lost_machines(self) -> set:
         """Returns the names of the machines that currently count as lost."""
         self.lost_until = {name: until for name, until in self.lost_until.items() if until > self.deployment.now}
         return set(self.lost_until)
 
-    def _count_as_lost(self, name, lasts):
-        self.lost_until[name] = self.deployment.now + timedelta(seconds=lasts) + CATCH_UP
+    def _count_as_lost(self, name, duration):
+        self.lost_until[name] = self.deployment.now + timedelta(seconds=duration) + CATCH_UP
 
-    def lose(self):
+    def inject_loss(self):
         """Injects a random loss that the number of voters tolerates: faults, lost disks or machines, or a power failure."""
-        borne = (self.voters - 1) // 2 - len(self.lost())
-        seated = [box for box in self._seated() if box.name not in self.lost()]
-        if borne < 1 or not seated:
+        tolerated = (self.voters - 1) // 2 - len(self.lost_machines())
+        running_voters = [box for box in self._running_voters() if box.name not in self.lost_machines()]
+        if tolerated < 1 or not running_voters:
             return
-        names = [box.name for box in self.random.sample(seated, min(len(seated), self.random.randint(1, borne)))]
+        names = [
+            box.name
+            for box in self.random.sample(running_voters, min(len(running_voters), self.random.randint(1, tolerated)))
+        ]
         kind = self.random.choice(
             ("empty disk", "new machine", "trouble", "power", "wipe and power", "planned", "held cut and new machine")
         )
         getattr(self, "_lose_by_" + kind.replace(" ", "_"))(names)
-        self.whole_by = self.deployment.now + CATCH_UP
+        self.recover_by = self.deployment.now + CATCH_UP
 
-    def _seated(self):
+    def _running_voters(self):
         core = leader(self.deployment)
         voting_members = core.consensus.voting_members if core else {}
         return [
@@ -283,9 +289,9 @@
 
     def _lose_by_trouble(self, names):
         for name in names:
-            lasts = self.random.uniform(0.1, 4)
-            self.trouble(self.deployment.boxes[name], lasts)
-            self._count_as_lost(name, lasts + 3)  # an orderly shutdown takes up to 3 s longer
+            duration = self.random.uniform(0.1, 4)
+            self.inject_fault(self.deployment.boxes[name], duration)
+            self._count_as_lost(name, duration + 3)  # an orderly shutdown takes up to 3 s longer
 
     def _lose_by_empty_disk(self, names):
         for name in names:
@@ -302,22 +308,22 @@
             self._count_as_lost(name, 0.5)
         self.run(self.random.uniform(0, 0.5))
         for _ in names:
-            self._add()
+            self._add_core()
 
     def _lose_by_planned(self, names):
         """Shuts down a core whose replacement starts up to 2 s before or 1 s after; its machine is removed afterwards."""
         name = names[0]
         is_first = self.random.random() < 0.5
         if is_first:
-            self._add()
+            self._add_core()
             self.run(self.random.uniform(0, 2))
         box = self.deployment.boxes[name]
         self.deployment.stop(name)
         self._count_as_lost(name, 4)
-        self.undo.append((self.deployment.now + timedelta(seconds=3.5), lambda: self.deployment.vanish(name)))
+        self.pending_ends.append((self.deployment.now + timedelta(seconds=3.5), lambda: self.deployment.vanish(name)))
         self.run(self.random.uniform(0, 1))
         if not is_first:
-            self._add()
+            self._add_core()
         if box.machine is None:
             self.deployment.vanish(name)
 
@@ -329,7 +335,7 @@
             self._count_as_lost(name, 3.5)
         self.run(self.random.uniform(0, 0.5))
         for _ in names:
-            self._add()
+            self._add_core()
         self.run(self.random.uniform(1, 3))
         self.deployment.heal(links & self.deployment.cuts)
 
@@ -353,63 +359,63 @@
 
     def play(self, seconds):
         end, is_bounded = self.deployment.now + timedelta(seconds=seconds), False
-        turn_ends = self.deployment.now
+        phase_ends = self.deployment.now
         while self.deployment.now < end:
-            if self.voters and self.deployment.now >= turn_ends:
+            if self.voters and self.deployment.now >= phase_ends:
                 is_bounded = not is_bounded
-                turn_ends = self.deployment.now + timedelta(seconds=BOUNDED if is_bounded else DENSE)
+                phase_ends = self.deployment.now + timedelta(seconds=BOUNDED if is_bounded else DENSE)
                 if is_bounded:
                     self._settle()
             if is_bounded:
                 self._bounded_step()
             elif self.random.random() < 0.5:
-                self.trouble(self.random.choice(_cores(self.deployment)), self.random.uniform(0.1, 4))
-            self.order()
+                self.inject_fault(self.random.choice(_cores(self.deployment)), self.random.uniform(0.1, 4))
+            self.send_change()
             self.run(self.random.uniform(0.05, 0.8))
         self._end()
 
     def _settle(self):
-        self.calm()
-        if not self.deployment.run_until(self.is_whole, 30):
+        self.end_faults()
+        if not self.deployment.run_until(self.has_full_view, 30):
             self.history.faults.append(
                 f"{self.deployment.now}: the view lacks voters 30 s after the phase of frequent faults"
             )
 
     def _bounded_step(self):
         """Injects a loss with a chance of 0.4; once no machine counts as lost, the view must have all its voters."""
-        if self.whole_by is not None and not self.lost() and self.deployment.now >= self.whole_by:
-            self.whole_by = None
-            if not self.is_whole():
+        if self.recover_by is not None and not self.lost_machines() and self.deployment.now >= self.recover_by:
+            self.recover_by = None
+            if not self.has_full_view():
                 self.history.faults.append(
                     f"{self.deployment.now}: the view lacks voters {CATCH_UP} after the last loss"
                 )
         if self.random.random() < 0.4:
-            self.lose()
+            self.inject_loss()
 
     def _end(self):
-        self.calm()
-        is_back = self.deployment.run_until(self.is_whole, 60)
+        self.end_faults()
+        is_back = self.deployment.run_until(self.has_full_view, 60)
         self.deployment.run(8)  # longest time for which an operator request may still be proposed again
-        self.history.look(self.random)
-        seated = [
+        self.history.check(self.random)
+        running_voters = [
             core
             for core in self.deployment.machines("core")
             if is_back and core.node in leader(self.deployment).consensus.voting_members
         ]
-        self.deployment.run_until(lambda: len({core.state.number for core in seated}) == 1, 20)
+        self.deployment.run_until(lambda: len({core.state.number for core in running_voters}) == 1, 20)
         if not is_back:
             self.history.faults.append("the view lacks voters 60 s after all faults ended")
-        for core in seated or self.deployment.machines("core"):
-            lacking = [name for _, name in self.history.acked if name not in _routes(core)]
-            self.history.faults += [f"{core.node} lacks {name}, an acknowledged change" for name in lacking]
+        for core in running_voters or self.deployment.machines("core"):
+            missing = [name for _, name in self.history.acked if name not in _route_names(core)]
+            self.history.faults += [f"{core.node} lacks {name}, an acknowledged change" for name in missing]
 
 
-def _as_logged(core):
-    core.__class__ = Logged
+def _as_recording_core(core):
+    core.__class__ = RecordingCore
     core.dispatcher = EventDispatcher(core.event_handlers())
-    if Logged.max_log_entries is not None:
+    if RecordingCore.max_log_entries is not None:
         state = core.consensus.state
-        state.options = replace(state.options, max_log_entries=Logged.max_log_entries)
+        state.options = replace(state.options, max_log_entries=RecordingCore.max_log_entries)
     return core
 
 
@@ -418,10 +424,13 @@
 
     Odd seeds compact the log after every 12 entries.
     """
-    chaos = Chaos(seed, voters)
-    chaos.play(seconds)
-    acked, delivered = len(chaos.history.acked), len(chaos.history.delivered)
-    faults = [*chaos.history.faults, *find_unchecked({"changes acknowledged": acked, "changes delivered": delivered})]
+    chaos_run = ChaosRun(seed, voters)
+    chaos_run.play(seconds)
+    acked, delivered = len(chaos_run.history.acked), len(chaos_run.history.delivered)
+    faults = [
+        *chaos_run.history.faults,
+        *find_unchecked({"changes acknowledged": acked, "changes delivered": delivered}),
+    ]
     return seed, acked, delivered, faults
 
 
--- a/harness/experiments/order_callers.py
+++ b/harness/experiments/order_callers.py
@@ -9,16 +9,16 @@
 
 import msgspec
 
-from harness.experiments.order_history import OK, REFUSED, Order, OrderHistory, Read, Turn, kind_of, marks_of
+from harness.experiments.order_history import OK, REFUSED, AreaChange, Order, OrderHistory, Read, kind_of, marks_of
 from sumachook.calls.run_status import CallFailure
 from sumachook.host.effects import Fetch
 from sumachook.host.events import CallFailed, ResponseReceived, Tick
 
-SILENCE = timedelta(seconds=1)
-ACKNOWLEDGE = timedelta(seconds=4)
-PAUSE, LONGEST_PAUSE = timedelta(seconds=0.1), timedelta(seconds=0.8)
-MOST_REDIRECTS = 2
-LOST_ANSWERS = 0.5
+REQUEST_TIMEOUT = timedelta(seconds=1)
+CALL_TIMEOUT = timedelta(seconds=4)
+RETRY_PAUSE, MAX_RETRY_PAUSE = timedelta(seconds=0.1), timedelta(seconds=0.8)
+MAX_REDIRECTS = 2
+RESPONSE_LOSS_CHANCE = 0.5
 OPERATORS = 8
 ZONES = ("hall-a", "hall-b")
 
@@ -47,14 +47,14 @@
 
     path: str
     document: dict | None
-    subject: Order | Turn | None
+    subject: Order | AreaChange | None
     started_at: timedelta
     give_up_at: timedelta
     next_at: timedelta
-    pause: timedelta = PAUSE
+    pause: timedelta = RETRY_PAUSE
     redirects: int = 0
     http_address: str = ""
-    tid: int | None = None
+    call_id: int | None = None
     sent_at: timedelta = timedelta(0)
 
 
@@ -67,7 +67,7 @@
     configuration: dict | None = None
     call: Call | None = None
     idle_until: timedelta = timedelta(0)
-    was_unclear: Order | None = None
+    unclear_order: Order | None = None
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
     on_sent: object
     on_answer: object
     operators: list = field(default_factory=list)
-    under_way: dict = field(default_factory=dict)
+    calls_in_flight: dict = field(default_factory=dict)
     count: int = 0
     is_on: bool = True
     evacuations: bool = True
@@ -96,20 +96,20 @@
         if isinstance(event, Tick):
             return self._tick(now)
         if isinstance(event, ResponseReceived | CallFailed):
-            return self._answered(event, now)
+            return self._on_response(event, now)
         return []
 
     # sending ----------------------------------------------------------------------
 
     def _tick(self, now):
-        out = []
+        effects = []
         for operator in self.operators:
             if operator.call is None and self.is_on and now >= operator.idle_until:
                 operator.call = self._choose(operator, now)
             call = operator.call
-            if call is not None and call.tid is None and now >= call.next_at:
-                out += self._send(operator, call, now)
-        return out
+            if call is not None and call.call_id is None and now >= call.next_at:
+                effects += self._send(operator, call, now)
+        return effects
 
     def _send(self, operator, call, now):
         if now > call.give_up_at:
@@ -121,8 +121,8 @@
 
     def _fetch(self, operator, call, http_address, now):
         self.count += 1
-        call.tid, call.sent_at, call.http_address = self.count, now, http_address
-        self.under_way[call.tid] = (operator, call)
+        call.call_id, call.sent_at, call.http_address = self.count, now, http_address
+        self.calls_in_flight[call.call_id] = (operator, call)
         self.on_sent(http_address)
         document = call.document
         if document is not None and self.random.random() < 0.5:
@@ -130,38 +130,38 @@
         body = b"" if document is None else msgspec.json.encode(document)
         method = "GET" if document is None else "POST"
         url = f"http://{http_address}{call.path}"
-        return [Fetch(call.tid, method, url, {}, body, SILENCE, SILENCE, "whole")]
+        return [Fetch(call.call_id, method, url, {}, body, REQUEST_TIMEOUT, REQUEST_TIMEOUT, "whole")]
 
     # choosing ---------------------------------------------------------------------
 
     def _choose(self, operator, now):
         chance = self.random.random()
         if self.evacuations and operator.number < len(ZONES) and chance < 0.5:
-            return self._turn(ZONES[operator.number], now)
+            return self._change_area(ZONES[operator.number], now)
         if operator.configuration is None or chance > 0.75:
-            return Call("/show/catalogue", None, None, now, now + ACKNOWLEDGE, now)
-        return self._change(operator, now)
+            return Call("/show/catalogue", None, None, now, now + CALL_TIMEOUT, now)
+        return self._change_configuration(operator, now)
 
-    def _turn(self, zone, now):
-        before = self.history.last_turn(zone)
-        turn = Turn(zone, not (before and before.is_left), now)
-        self.history.turns.append(turn)
-        path = "/operator/evacuate" if turn.is_left else "/operator/restore"
-        return Call(path, {"area": zone}, turn, now, now + ACKNOWLEDGE, now)
+    def _change_area(self, zone, now):
+        before = self.history.last_area_change(zone)
+        change = AreaChange(zone, not (before and before.is_evacuation), now)
+        self.history.area_changes.append(change)
+        path = "/operator/evacuate" if change.is_evacuation else "/operator/restore"
+        return Call(path, {"area": zone}, change, now, now + CALL_TIMEOUT, now)
 
-    def _change(self, operator, now):
+    def _change_configuration(self, operator, now):
         mark = f"mark-{len(self.history.orders)}"
         base = operator.version
-        if operator.was_unclear is not None and self.random.random() < 0.3:
-            base = operator.was_unclear.version  # base on a change that may have been applied: its response was lost
+        if operator.unclear_order is not None and self.random.random() < 0.3:
+            base = operator.unclear_order.version  # base on a change that may have been applied: its response was lost
         version = base + self.random.choice((1, 2, 2, 3))
         is_valid = self.random.random() < 0.9
         added = route(mark, 5000 if is_valid else 0)
         if base == operator.version and self.random.random() < 0.3:
-            standing = operator.configuration
+            current = operator.configuration
             document = {
                 "ifVersion": base,
-                "doc": {**standing, "version": version, "httpRoutes": [*standing["httpRoutes"], added]},
+                "doc": {**current, "version": version, "httpRoutes": [*current["httpRoutes"], added]},
             }
         else:
             document = {
@@ -173,45 +173,45 @@
         document["request"] = mark
         order = Order(mark, base, version, document, is_valid)
         self.history.orders.append(order)
-        return Call("/operator/configure", document, order, now, now + ACKNOWLEDGE * 3, now)
+        return Call("/operator/configure", document, order, now, now + CALL_TIMEOUT * 3, now)
 
     # responses ----------------------------------------------------------------------
 
-    def _answered(self, event, now):
-        operator, call = self.under_way.pop(event.call_id)
-        call.tid = None
+    def _on_response(self, event, now):
+        operator, call = self.calls_in_flight.pop(event.call_id)
+        call.call_id = None
         status, headers, body = 0, {}, b""
         match event:
             case ResponseReceived():
                 status, headers, body = event.status, event.headers, event.body
             case CallFailed(failure=CallFailure.TIMEOUT):
                 self.on_answer(call.http_address, call, 0)
-        if status == 307 and call.redirects < MOST_REDIRECTS:
+        if status == 307 and call.redirects < MAX_REDIRECTS:
             call.redirects += 1
             return self._fetch(operator, call, headers["location"].removeprefix("http://").partition("/")[0], now)
         if status:
             self.on_answer(call.http_address, call, status)
-        is_lost = bool(status) and self.random.random() < LOST_ANSWERS
-        self._note(operator, call, status, body, is_lost, now)
-        is_clear = not is_lost and kind_of(status) in (OK, REFUSED)
-        if is_clear:
+        is_lost = bool(status) and self.random.random() < RESPONSE_LOSS_CHANCE
+        self._record(operator, call, status, body, is_lost, now)
+        is_final = not is_lost and kind_of(status) in (OK, REFUSED)
+        if is_final:
             self._end(operator, now)
         else:
             call.next_at = now + call.pause
-            call.pause = min(call.pause * 2, LONGEST_PAUSE)
+            call.pause = min(call.pause * 2, MAX_RETRY_PAUSE)
         return []
 
-    def _note(self, operator, call, status, body, is_lost, now):
+    def _record(self, operator, call, status, body, is_lost, now):
         subject = call.subject
         if isinstance(subject, Order):
             if status:
-                self.history.note_answer(subject, now, status, not is_lost)
-            operator.was_unclear = None if status and not is_lost else subject
+                self.history.record_answer(subject, now, status, not is_lost)
+            operator.unclear_order = None if status and not is_lost else subject
             if status == 200 and not is_lost:
                 operator.version, operator.configuration = subject.version, None
-        elif isinstance(subject, Turn):
-            if status == 200 and subject.taken_at is None:
-                subject.taken_at = now
+        elif isinstance(subject, AreaChange):
+            if status == 200 and subject.acknowledged_at is None:
+                subject.acknowledged_at = now
         elif status == 200 and not is_lost:
             configuration = msgspec.json.decode(body)["catalogue"]
             operator.version, operator.configuration = configuration["version"], configuration
--- a/tests/harness/test_vacuous_runs.py
+++ b/tests/harness/test_vacuous_runs.py
@@ -101,8 +101,8 @@
 
 def test_chaos_without_a_change_fails(monkeypatch):
     """Given a run in which nobody orders anything, there is nothing to lose, and the run is faulty."""
-    monkeypatch.setattr(chaos.Chaos, "__init__", lambda self, *_: setattr(self, "history", chaos.ChangeHistory()))
-    monkeypatch.setattr(chaos.Chaos, "play", lambda *_: None)
+    monkeypatch.setattr(chaos.ChaosRun, "__init__", lambda self, *_: setattr(self, "history", chaos.ChangeHistory()))
+    monkeypatch.setattr(chaos.ChaosRun, "play", lambda *_: None)
     assert chaos.play(1)[3] == ["nothing was judged: 0 changes acknowledged", "nothing was judged: 0 changes delivered"]
 
 
@@ -120,7 +120,7 @@
         def run(self, *_):
             return []
 
-    monkeypatch.setattr(orders, "OrderStorm", Quiet)
+    monkeypatch.setattr(orders, "OperatorFaultRun", Quiet)
     assert orders.play(1)[4] == ["nothing was judged: 0 orders", "nothing was judged: 0 orders acknowledged"]
 
 
--- a/tests/nodes/test_operator_changes.py
+++ b/tests/nodes/test_operator_changes.py
@@ -561,7 +561,7 @@
     def fault_of(*orders, present=(), refuse_after=False):
         history = OrderHistory(5, orders=list(orders))
         if refuse_after:
-            history.note_answer(orders[0], SECOND * 3, 412, True)
+            history.record_answer(orders[0], SECOND * 3, 412, True)
         return history.faults({"httpRoutes": [{"name": mark} for mark in present]})
 
     def order(mark, base, version, *kinds, **more):
