--- a/harness/experiments/costs.py
+++ b/harness/experiments/costs.py
@@ -49,7 +49,7 @@
         return found
 
 
-def grown(spec: DeploymentSpec, count):
+def add_edges(spec: DeploymentSpec, count):
     """Adds edges to the deployment until it has `count`; new edges are distributed over its areas in turn."""
     for place in range(sum(node["role"] == "edge" for node in spec.nodes), count or 0):
         spec.nodes.append(
@@ -65,14 +65,14 @@
 
 def play(count) -> str:
     """Measures a deployment with this many edges at rest, under changes and under traffic; returns the table row."""
-    import tests.deployment_fixtures as scene
+    import tests.deployment_fixtures as fixtures
 
-    plain = scene.spec
-    scene.spec = lambda name="kosice": (lambda spec: grown(spec, count) or spec)(plain(name))
+    plain = fixtures.spec
+    fixtures.spec = lambda name="kosice": (lambda spec: add_edges(spec, count) or spec)(plain(name))
     try:
         deployment = settled(61, "kosice", None)
     finally:
-        scene.spec = plain
+        fixtures.spec = plain
     edges, meter = len(deployment.machines("edge")), Meter(deployment)
     quiet(deployment)
     deployment.run(10)
@@ -125,7 +125,7 @@
     return took
 
 
-def _pairs(name, count, direct, routed):
+def _compare_latency(name, count, direct, routed):
     """Measures direct and routed requests alternately, so that other load on the machine affects both alike."""
     direct(), routed()
     rows = [(direct(), routed()) for _ in range(count)]
@@ -138,7 +138,7 @@
     )
 
 
-def real():
+def measure_real():
     fleet = Processes(EXAMPLES / "kosice", Path(tempfile.mkdtemp(prefix="sumachook-")))
     try:
         fleet.bring_up()
@@ -149,28 +149,30 @@
         server = next(item["address"] for item in fleet.spec.servers if item["name"] == primary)
         doc = {"model": model, "stream": True, "max_tokens": 16, "messages": [{"role": "user", "content": "cost"}]}
         chat = "/v1/chat/completions"
-        _pairs(
+        _compare_latency(
             "lookup",
             300,
             lambda: _ask(records, "GET", "/records/a", ""),
             lambda: _ask(edge, "GET", "/records/a", "kosice-customs-key"),
         )
         number = iter(range(10**6))
-        _pairs(
+        _compare_latency(
             "first token",
             60,
             lambda: _ask(server, "POST", chat, "", doc, f"direct-{next(number)}"),
             lambda: _ask(edge, "POST", chat, "kosice-counter-key", doc),
         )
-        for pace in (1, 2, 4, 8, 12, 16, 24):
-            callers = fleet.call_in(8, pace, fleet.work / "one.jsonl", pace, 1, edges=1)
+        for load_factor in (1, 2, 4, 8, 12, 16, 24):
+            callers = fleet.call_in(8, load_factor, fleet.work / "one.jsonl", load_factor, 1, edges=1)
             callers.communicate(timeout=200)
             calls = [json.loads(line) for line in (fleet.work / "one.jsonl").read_text().splitlines()]
             bad = Counter(call["class"] for call in calls if call["outcome"] != "ok")
-            late = sorted(call["seconds"] for call in calls if call["group"] == "stamps" and call["outcome"] == "ok")
+            lookup_times = sorted(
+                call["seconds"] for call in calls if call["group"] == "stamps" and call["outcome"] == "ok"
+            )
             print(
-                f"one edge at {pace} times the deployment's request rates: {len(calls)} calls, {sum(bad.values())} not answered {dict(bad)}, "
-                f"99th percentile of lookups {late[int(len(late) * 0.99)] if late else 0:.2f} s",
+                f"one edge at {load_factor} times the deployment's request rates: {len(calls)} calls, {sum(bad.values())} not answered {dict(bad)}, "
+                f"99th percentile of lookups {lookup_times[int(len(lookup_times) * 0.99)] if lookup_times else 0:.2f} s",
                 flush=True,
             )
             if sum(bad.values()) > 0.02 * len(calls):
@@ -186,7 +188,7 @@
     )
     given = parser.parse_args()
     if given.real:
-        return real()
+        return measure_real()
     print(
         "| edges | an edge at rest: messages/s, kB/s | a core at rest | per request: messages, kB | syncs per request, all cores | syncs per change, all cores |"
     )
--- a/harness/experiments/lost_worth.py
+++ b/harness/experiments/lost_worth.py
@@ -15,7 +15,7 @@
 import msgspec
 
 MESSAGE = "transit: Request late or dropped."
-MOSTLY = 0.5  # fraction of the response time; a longer wait for a server counts as the cause
+WAIT_FRACTION = 0.5  # fraction of the response time; a longer wait for a server counts as the cause
 BUCKET_SECONDS = 4
 
 
@@ -66,7 +66,7 @@
 def _cause(line: Line) -> str:
     waited = line.duration - sum(seconds for _, _, seconds in line.tries)
     until_first = line.first_token if line.first_token is not None else line.duration
-    if waited > MOSTLY * until_first:
+    if waited > WAIT_FRACTION * until_first:
         return "waited for a server" if line.state == "done" else f"waited for a server, then {line.fault_class}"
     if line.state != "done":
         return " ".join(filter(None, (line.fault_class, _without_numbers(line.reason))))
@@ -93,8 +93,8 @@
     for (route, outcome, cause), found in sorted(groups.items(), key=lambda item: -len(item[1])):
         (server, most), *_ = Counter(loss.server for loss in found).most_common(1)
         seconds = Counter(int((loss.ended_at - begun_at).total_seconds()) // BUCKET_SECONDS for loss in found)
-        course = " ".join(str(seconds.get(bucket, 0)) for bucket in range(max(seconds) + 1))
-        out.append(f"{route:<12}{outcome:<9}{cause[:47]:<48}{len(found):>6}  {server or '-':<14}{most:>4}  {course}")
+        timeline = " ".join(str(seconds.get(bucket, 0)) for bucket in range(max(seconds) + 1))
+        out.append(f"{route:<12}{outcome:<9}{cause[:47]:<48}{len(found):>6}  {server or '-':<14}{most:>4}  {timeline}")
     return out
 
 
--- a/harness/experiments/replacements.py
+++ b/harness/experiments/replacements.py
@@ -35,11 +35,11 @@
     return deployment
 
 
-def _full(deployment, voters, node):
+def _is_voter_in_full_view(deployment, voters, node):
     return _has_full_view(deployment, voters) and node in leader(deployment).consensus.members
 
 
-def _replaced(deployment, voters, lost, how):
+def _measure_replacement(deployment, voters, lost, how):
     """Returns the seconds from the start of the replacement until it is a voter in a full view.
 
     For an orderly shutdown, the time starts with it and also includes the exit of the old process.
@@ -59,7 +59,10 @@
         deployment.stop(lost)
     return _seconds_until(
         deployment,
-        lambda: _full(deployment, voters, node) and (how != "planned" or deployment.boxes[lost].machine is None),
+        lambda: (
+            _is_voter_in_full_view(deployment, voters, node)
+            and (how != "planned" or deployment.boxes[lost].machine is None)
+        ),
         LIMIT,
     )
 
@@ -69,9 +72,9 @@
     found = []
     for seed in seeds:
         deployment = _fleet(seed, voters, is_large)
-        head = box_of(deployment, leader(deployment)).name
-        lost = head if is_leader else next(box.name for box in _cores(deployment) if box.name != head)
-        found.append(_replaced(deployment, voters, lost, how))
+        leading = box_of(deployment, leader(deployment)).name
+        lost = leading if is_leader else next(box.name for box in _cores(deployment) if box.name != leading)
+        found.append(_measure_replacement(deployment, voters, lost, how))
     return found
 
 
@@ -96,10 +99,10 @@
                     found = measure(voters, is_large, is_leader, how, range(400, 400 + given.seeds))
                     late += sum(took is None for took in found)
                     times = sorted(LIMIT if took is None else took for took in found)
-                    words = (
+                    cells = (
                         f"{voters} | {'3 MB' if is_large else 'small'} | {'leader' if is_leader else 'member'} | {how}"
                     )
-                    print(f"| {words} | {times[len(times) // 2]:.2f} | {times[-1]:.2f} |", flush=True)
+                    print(f"| {cells} | {times[len(times) // 2]:.2f} | {times[-1]:.2f} |", flush=True)
     print(f"{late} cores not replaced within {LIMIT} s")
     raise SystemExit(1 if late else 0)
 
--- a/harness/experiments/scale/__main__.py
+++ b/harness/experiments/scale/__main__.py
@@ -24,8 +24,8 @@
 from harness.experiments.scale.summary import Summary
 from harness.experiments.scale.tables import Tables
 
-STORIES, AT_ONCE = ("regions_apart", "restarts", "all_start", "zone_gone"), 3
-STORY_WITHIN, MOST_NODES = 900, 400
+STORIES, CONCURRENT_STORIES = ("regions_apart", "restarts", "all_start", "zone_gone"), 3
+STORY_TIMEOUT_S, MAX_NODES = 900, 400
 RESULTS, PLOT, PAGE = ROOT / "docs" / "capacity.json", ROOT / "docs" / "capacity.svg", ROOT / "docs" / "CAPACITY.md"
 
 
@@ -50,13 +50,13 @@
     return git("rev-parse", "--short", "HEAD") + (" and changes" if git("status", "--porcelain", "sumachook") else "")
 
 
-def earlier(file: Path) -> dict:
+def earlier_results(file: Path) -> dict:
     """Returns the earlier results of the same revision, so that sizes and stories can be run one after the other."""
     found = json.loads(file.read_text()) if file.exists() else {}
     return found if found.get("revision") == revision() else {"revision": revision(), "runs": {}, "failures": []}
 
 
-def write(file: Path, results: dict):
+def write_results(file: Path, results: dict):
     results["slopes"] = Slopes().take({int(nodes): run["figures"] for nodes, run in results["runs"].items()})
     file.write_text(json.dumps(results, indent=1, sort_keys=True) + "\n")
 
@@ -65,11 +65,11 @@
     """Runs a failure story in its own process and returns its results."""
     command = [sys.executable, "-m", "harness.experiments.scale.failures", str(nodes), story]
     return json.loads(
-        subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, text=True, timeout=STORY_WITHIN, check=True).stdout
+        subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, text=True, timeout=STORY_TIMEOUT_S, check=True).stdout
     )
 
 
-def end_early(*_):
+def exit_on_sigterm(*_):
     """Handles SIGTERM: exits so that child processes are ended first; further SIGTERMs are ignored meanwhile."""
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
     sys.exit("terminated by SIGTERM before the measurement was complete")
@@ -93,19 +93,19 @@
         "--again", action="store_true", help="run nothing; generate tables and plot from the results file"
     )
     given = parser.parse_args()
-    signal.signal(signal.SIGTERM, end_early)
+    signal.signal(signal.SIGTERM, exit_on_sigterm)
     if not given.again:
-        sizes = sorted({min(MOST_NODES, max(20, int(nodes))) for nodes in given.nodes.split(",")})
-        largest = sizes[-1] if given.failures is None else min(MOST_NODES, given.failures)
-        results = earlier(given.results)
-        with ThreadPoolExecutor(AT_ONCE) as pool:
+        sizes = sorted({min(MAX_NODES, max(20, int(nodes))) for nodes in given.nodes.split(",")})
+        largest = sizes[-1] if given.failures is None else min(MAX_NODES, given.failures)
+        results = earlier_results(given.results)
+        with ThreadPoolExecutor(CONCURRENT_STORIES) as pool:
             waiting = [pool.submit(fail, largest, story) for story in STORIES if largest]
             for nodes in () if given.stories else sizes:
                 run = results["runs"][str(nodes)] = measure(nodes)
                 print(f"{nodes} nodes: {run['seconds']} s, {run['processes']} processes", flush=True)
-                write(given.results, results)
+                write_results(given.results, results)
             results["failures"] = [each.result() for each in waiting] or results["failures"]
-        write(given.results, results)
+        write_results(given.results, results)
     results = json.loads(given.results.read_text())
     for name, lines in Tables().take(results).items():
         print(f"\n{name}\n", *lines, sep="\n")
--- a/harness/experiments/scale/edge_with_fake_traffic.py
+++ b/harness/experiments/scale/edge_with_fake_traffic.py
@@ -15,8 +15,8 @@
 from sumachook.transport.codec import Codec
 from sumachook.transport.node_transport import NodeTransport
 
-FIRST_AFTER, RUNS_FOR = 0.3, 2.0
-ANSWER = (("Content-Type", "text/event-stream"), ("X-Server-Seal", "1"))
+FIRST_CHUNK_AFTER, RESPONSE_TIME = 0.3, 2.0
+RESPONSE_HEADERS = (("Content-Type", "text/event-stream"), ("X-Server-Seal", "1"))
 
 
 class EdgeWithFakeTraffic:
@@ -78,11 +78,11 @@
         self.ids.pop(call_id, None)
         self.outcomes.append(outcome)
 
-    def _serve(self, tid, request):
+    def _serve(self, call_id, request):
         loop = asyncio.get_running_loop()
-        headers = (*ANSWER, ("X-Request-Id", request))
-        loop.call_soon(self.inbox.put, RequestSent(tid))
-        loop.call_later(FIRST_AFTER, self.inbox.put, ResponseHeadReceived(tid, 200, headers))
-        loop.call_later(FIRST_AFTER, self.inbox.put, ResponseChunkReceived(tid, b"id: 1\ndata: a\n\n"))
-        loop.call_later(RUNS_FOR, self.inbox.put, ResponseChunkReceived(tid, b"id: 2\ndata: b\n\n"))
-        loop.call_later(RUNS_FOR, self.inbox.put, ResponseEnded(tid))
+        headers = (*RESPONSE_HEADERS, ("X-Request-Id", request))
+        loop.call_soon(self.inbox.put, RequestSent(call_id))
+        loop.call_later(FIRST_CHUNK_AFTER, self.inbox.put, ResponseHeadReceived(call_id, 200, headers))
+        loop.call_later(FIRST_CHUNK_AFTER, self.inbox.put, ResponseChunkReceived(call_id, b"id: 1\ndata: a\n\n"))
+        loop.call_later(RESPONSE_TIME, self.inbox.put, ResponseChunkReceived(call_id, b"id: 2\ndata: b\n\n"))
+        loop.call_later(RESPONSE_TIME, self.inbox.put, ResponseEnded(call_id))
--- a/harness/experiments/scale/failures.py
+++ b/harness/experiments/scale/failures.py
@@ -1,5 +1,5 @@
-"""python -m harness.scale.failures NODES STORY: runs a large failure in a fleet of that size in virtual time; prints the
-recovery times and the traffic as JSON.
+"""python -m harness.experiments.scale.failures NODES STORY: runs a large failure in a fleet of that size in virtual time
+and prints the recovery times and the traffic as JSON.
 """
 
 import json
@@ -14,7 +14,7 @@
 from sumachook.membership.member import MemberStatus
 from sumachook.membership.membership import Membership
 
-SETTLE, REST, LEAST, MOST = 20.0, 6, 5.0, 40.0
+SETTLE_TIMEOUT_S, REST_S, MIN_PHASE_S, MAX_PHASE_S = 20.0, 6, 5.0, 40.0
 
 
 class Failures:
@@ -23,10 +23,15 @@
     Each records the virtual seconds until its convergence conditions hold and the traffic of its phases.
     """
 
-    __slots__ = ("fleet", "version", "found", "rest", "running")
+    __slots__ = ("fleet", "version", "results", "rest", "running")
 
     def __init__(self, size: Size, seed: int):
-        self.fleet, self.version, self.found, self.rest = SimulatedFleet(Site(size), seed), 1, {"nodes": size.nodes}, {}
+        self.fleet, self.version, self.results, self.rest = (
+            SimulatedFleet(Site(size), seed),
+            1,
+            {"nodes": size.nodes},
+            {},
+        )
         self.running = {role: len(self.fleet.boxes_of(role)) for role in ("edge", "core")}
 
     def take(self, story: str) -> dict:
@@ -35,7 +40,7 @@
             self._settle()
         getattr(self, story)()
         longest = {kind: size for kind, size in self.fleet.longest.items() if size > 1400}
-        return self.found | {
+        return self.results | {
             "story": story,
             "longest": longest,
             "running": self.running,
@@ -44,7 +49,7 @@
 
     def _is_settled(self) -> bool:
         fleet = self.fleet
-        is_known = not fleet.unaware() and not fleet.untrusting() and not fleet.behind(1)
+        is_known = not fleet.count_unaware() and not fleet.count_stale_edges() and not fleet.count_behind(1)
         return is_known and fleet.placer() is not None
 
     def _settle(self):
@@ -53,17 +58,17 @@
         Then there is a leader and a placer, and all nodes have the catalogue and know each other.
         """
         fleet = self.fleet
-        assert fleet.seconds_until(lambda: fleet.leader() is not None, SETTLE) is not None
-        self._first()
-        fleet.acquaint()
-        self.found["settled"] = fleet.seconds_until(self._is_settled, MOST)
-        fleet.acquaint()
-        start = self._second()
-        fleet.run(REST)
-        self.rest = fleet.spent(start, self._second())
-        self.found["rest"] = {"seconds": REST, "traffic": self.rest}
-
-    def _first(self):
+        assert fleet.seconds_until(lambda: fleet.leader() is not None, SETTLE_TIMEOUT_S) is not None
+        self._configure()
+        fleet.fill_member_lists()
+        self.results["settled"] = fleet.seconds_until(self._is_settled, MAX_PHASE_S)
+        fleet.fill_member_lists()
+        start = self._advance_to_second()
+        fleet.run(REST_S)
+        self.rest = fleet.traffic_between(start, self._advance_to_second())
+        self.results["rest"] = {"seconds": REST_S, "traffic": self.rest}
+
+    def _configure(self):
         leader = self.fleet.leader()
         box = next(box for box in self.fleet.boxes_of("core") if box.machine is leader)
         for effect in leader.take(
@@ -71,22 +76,22 @@
         ):
             self.fleet._do(box, effect)
 
-    def _second(self) -> int:
+    def _advance_to_second(self) -> int:
         """Advances to the next whole second, as traffic is counted per second, and returns it."""
         rest = -self.fleet.now.total_seconds() % 1.0
         if rest:
             self.fleet.run(rest)
         return int(self.fleet.now.total_seconds())
 
-    def _span(self, name: str, conditions: dict):
+    def _run_phase(self, name: str, conditions: dict):
         """Runs until all conditions hold, at least 5 and at most 40 seconds.
 
         Records since when each condition has held, None if it does not, and the traffic of the phase.
         """
-        fleet, start, since = self.fleet, self._second(), {}
+        fleet, start, since = self.fleet, self._advance_to_second(), {}
         begun = fleet.now
-        while fleet.now - begun < timedelta(seconds=MOST) and (
-            len(since) < len(conditions) or fleet.now - begun < timedelta(seconds=LEAST)
+        while fleet.now - begun < timedelta(seconds=MAX_PHASE_S) and (
+            len(since) < len(conditions) or fleet.now - begun < timedelta(seconds=MIN_PHASE_S)
         ):
             fleet.run(0.25)
             for what, holds in conditions.items():
@@ -94,16 +99,20 @@
                     since.pop(what, None)
                 else:
                     since.setdefault(what, (fleet.now - begun).total_seconds())
-        self.found[name] = self._traffic(start) | {"reached": {what: since.get(what) for what in conditions}}
+        self.results[name] = self._traffic(start) | {"reached": {what: since.get(what) for what in conditions}}
 
     def _traffic(self, start: int) -> dict:
         """Returns the traffic since `start` and that of the second with the most bytes."""
-        fleet, end = self.fleet, self._second()
+        fleet, end = self.fleet, self._advance_to_second()
         peak = max(
             range(start, end),
             key=lambda second: sum(count for key, count in fleet.traffic.get(second, {}).items() if key[2] == "bytes"),
         )
-        return {"seconds": end - start, "traffic": fleet.spent(start, end), "peak": fleet.spent(peak, peak + 1)}
+        return {
+            "seconds": end - start,
+            "traffic": fleet.traffic_between(start, end),
+            "peak": fleet.traffic_between(peak, peak + 1),
+        }
 
     def _change(self):
         self.version += 1
@@ -120,35 +129,35 @@
         zone = next(box.zone for box in fleet.boxes_of("core") if box.machine is fleet.leader())
         nodes = fleet.nodes_in((zone,))
         servers = [box.name for box in fleet.boxes_of("server", zone)]
-        self.found["lost"] = {"nodes": len(nodes), "servers": len(servers)}
-        self._second()
+        self.results["lost"] = {"nodes": len(nodes), "servers": len(servers)}
+        self._advance_to_second()
         for name in [*nodes, *servers]:
             fleet.vanish(name)
         platform = fleet.boxes["platform"].machine
-        kept = {name: item for name, item in platform.servers.items() if name not in servers}
+        remaining = {name: item for name, item in platform.servers.items() if name not in servers}
         whole, platform.servers = platform.servers, platform.servers
-        fleet._later(timedelta(seconds=2), setattr, platform, "servers", kept)
+        fleet._later(timedelta(seconds=2), setattr, platform, "servers", remaining)
         survivors = [box.name for box in fleet.running()]
-        self._span(
+        self._run_phase(
             "gone",
             {
                 "a view works": lambda: fleet.leader() is not None,
                 "the placing duty is held": lambda: fleet.placer() is not None,
-                "every edge is fresh": lambda: not fleet.untrusting(),
+                "every edge is fresh": lambda: not fleet.count_stale_edges(),
                 "the list is everywhere": lambda: all(
-                    len(box.machine.state.servers) == len(kept) for box in fleet.running()
+                    len(box.machine.state.servers) == len(remaining) for box in fleet.running()
                 ),
-                "everybody knows who is gone": lambda: not fleet.unaware([survivors]),
+                "everybody knows who is gone": lambda: not fleet.count_unaware([survivors]),
             },
         )
         platform.servers = whole
         for name in [*servers, *nodes]:
             fleet.start(name)
-        self._span(
+        self._run_phase(
             "back",
             {
-                "every edge is fresh": lambda: not fleet.untrusting(),
-                "everybody knows everybody": lambda: not fleet.unaware(),
+                "every edge is fresh": lambda: not fleet.count_stale_edges(),
+                "everybody knows everybody": lambda: not fleet.count_unaware(),
                 "the list is everywhere": lambda: all(
                     len(box.machine.state.servers) == len(whole) for box in fleet.running()
                 ),
@@ -164,81 +173,81 @@
         fleet = self.fleet
         Membership.FORGET_AFTER = timedelta(seconds=6)
         north, south = (fleet.nodes_in(zones) for zones in REGIONS.values())
-        self._second()
+        self._advance_to_second()
         apart = {
             name: [box.name for box in fleet.boxes.values() if box.zone in zones] for name, zones in REGIONS.items()
         }
         fleet.cut(apart["north"], apart["south"])
         majority = max((north, south), key=lambda nodes: sum(name.startswith("core-") for name in nodes))
-        self._span(
+        self._run_phase(
             "apart",
             {
                 "a view works": lambda: fleet.leader() is not None,
-                "the edges of the majority's side are fresh": lambda: not fleet.untrusting(majority),
-                "each side knows just itself": lambda: not fleet.unaware([north, south]),
+                "the edges of the majority's side are fresh": lambda: not fleet.count_stale_edges(majority),
+                "each side knows just itself": lambda: not fleet.count_unaware([north, south]),
             },
         )
         for _ in range(11):
             self._change()
             fleet.run(1.0)
-        self.found["forgotten"] = not any(
+        self.results["forgotten"] = not any(
             member.status == MemberStatus.GONE
             for box in fleet.running()
             for member in box.machine.membership.members.values()
         )
-        self.found["behind"] = fleet.behind(self.version)
-        self._second()
+        self.results["behind"] = fleet.count_behind(self.version)
+        self._advance_to_second()
         fleet.heal()
-        self._span(
+        self._run_phase(
             "healed",
             {
-                "every edge is fresh": lambda: not fleet.untrusting(),
-                "every change is everywhere": lambda: not fleet.behind(self.version),
-                "everybody knows everybody": lambda: not fleet.unaware(),
+                "every edge is fresh": lambda: not fleet.count_stale_edges(),
+                "every change is everywhere": lambda: not fleet.count_behind(self.version),
+                "everybody knows everybody": lambda: not fleet.count_unaware(),
             },
         )
 
     def all_start(self):
         """Starts all nodes at once, each with three seed addresses; no node fails."""
         fleet = self.fleet
-        fleet.seconds_until(lambda: fleet.leader() is not None, SETTLE)
-        self._first()
-        self.found["rest"] = {"seconds": 1, "traffic": {}}
+        fleet.seconds_until(lambda: fleet.leader() is not None, SETTLE_TIMEOUT_S)
+        self._configure()
+        self.results["rest"] = {"seconds": 1, "traffic": {}}
         pairs = len(fleet.running()) * (len(fleet.running()) - 1)
 
         def knows(share):
             return lambda: sum(len(box.machine.membership.live) for box in fleet.running()) >= share * pairs
 
-        self._span(
+        self._run_phase(
             "beginning",
             {
-                "every edge is fresh": lambda: not fleet.untrusting(),
+                "every edge is fresh": lambda: not fleet.count_stale_edges(),
                 "9 in 10 of all pairs know each other": knows(0.9),
                 "99 in 100": knows(0.99),
                 "999 in 1000": knows(0.999),
-                "all": lambda: not fleet.unaware(),
+                "all": lambda: not fleet.count_unaware(),
             },
         )
-        self.found["beginning"]["news waiting"] = max(len(box.machine.membership.gossip) for box in fleet.running())
+        self.results["beginning"]["news waiting"] = max(len(box.machine.membership.gossip) for box in fleet.running())
 
     def restarts(self):
         """Makes 150 restarts, those of a day, in 50 seconds: three edges at a time, each down for 0.9 s."""
         fleet = self.fleet
         edges = [box.name for box in fleet.boxes_of("edge")]
         chosen = [edges[place * len(edges) // 150 % len(edges)] for place in range(150)]
-        start = self._second()
+        start = self._advance_to_second()
         for turn in range(50):
             batch = chosen[turn * 3 : turn * 3 + 3]
             for name in batch:
                 fleet.kill(name)
                 fleet._later(timedelta(seconds=0.9), fleet.start, name)
             fleet.run(1.0)
-        self.found["during"] = self._traffic(start)
-        self._span(
+        self.results["during"] = self._traffic(start)
+        self._run_phase(
             "after",
             {
-                "every edge is fresh": lambda: not fleet.untrusting(),
-                "everybody knows everybody": lambda: not fleet.unaware(),
+                "every edge is fresh": lambda: not fleet.count_stale_edges(),
+                "everybody knows everybody": lambda: not fleet.count_unaware(),
             },
         )
 
--- a/harness/experiments/scale/fake_platform.py
+++ b/harness/experiments/scale/fake_platform.py
@@ -16,16 +16,16 @@
 from sumachook.transport.addresses import split_address
 
 
-class Stand:
+class FakePlatform:
     """Serves the inventory or an engine server, depending on the local address; `run()` ends with standard input."""
 
-    __slots__ = ("list", "engines", "clock")
+    __slots__ = ("inventory", "engines", "clock")
 
     def __init__(self, site: Site):
         engine = next(
             service.engine for service in read_catalogue(site.catalogue(1))[0].services if service.name == SERVICE
         )
-        self.list, self.clock = msgspec.json.encode({"servers": list(site.servers.values())}), Clock()
+        self.inventory, self.clock = msgspec.json.encode({"servers": list(site.servers.values())}), Clock()
         self.engines = {
             split_address(item["address"]): FakeEngineServer(name, engine, site.holds[name])
             for name, item in site.servers.items()
@@ -34,7 +34,7 @@
     async def _answer(self, request):
         engine = self.engines.get(request.transport.get_extra_info("sockname"))
         if engine is None:
-            return web.Response(body=self.list, content_type="application/json")
+            return web.Response(body=self.inventory, content_type="application/json")
         status, body = engine.take(request.method, request.path, await request.read(), self.clock.mono())
         return web.Response(status=status, body=body, content_type="application/json")
 
@@ -54,4 +54,4 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(Stand(Site(Size(int(sys.argv[1])))).run())
+    asyncio.run(FakePlatform(Site(Size(int(sys.argv[1])))).run())
--- a/harness/experiments/scale/host.py
+++ b/harness/experiments/scale/host.py
@@ -1,5 +1,5 @@
-"""python -m harness.scale.host NODES WORK PULSE BOOT NAME...: runs metered nodes of a fleet in one process: one full core,
-or many edges with fake traffic.
+"""python -m harness.experiments.scale.host NODES WORK PULSE BOOT NAME...: runs metered nodes of a fleet in one process:
+one full core, or many edges with fake traffic.
 
 PULSE is the tick interval of an edge in milliseconds, BOOT the restart epoch of all edges with fake traffic. Reads
 commands as JSON lines on standard input, replies to each with a line and exits when its input ends.
@@ -29,7 +29,7 @@
 from sumachook.storage.file_system import RealFileSystem
 from sumachook.storage.folder import DataFolder
 
-TURN, STARTS_A_SECOND = 0.02, 20
+LOOP_INTERVAL_S, STARTS_PER_SECOND = 0.02, 20
 PARTS = {
     "core": (
         "state",
@@ -101,7 +101,7 @@
     async def run(self):
         loop = asyncio.get_running_loop()
         self.tasks = [
-            loop.create_task(edge.run(self.random.uniform(0.0, self.site.size.nodes / STARTS_A_SECOND), self.tick))
+            loop.create_task(edge.run(self.random.uniform(0.0, self.site.size.nodes / STARTS_PER_SECOND), self.tick))
             for edge in self.edges
         ]
         self.tasks.append(loop.create_task(self.core.run() if self.core else self._traffic()))
@@ -174,18 +174,18 @@
         """Sends requests for loaded models to random edges; the first models are requested most often."""
         names = [name for name in self.site.models if name not in self.site.cold]
         weights = [1 / (place + 3) for place in range(len(names))]
-        owed, before = 0.0, time.monotonic()
+        due, last = 0.0, time.monotonic()
         while True:
             now = time.monotonic()  # the loop may wake up late, so the number of due requests follows the elapsed time
-            owed, before = min(owed + self.rate * (now - before), self.rate), now
-            while owed >= 1.0:
-                owed -= 1.0
+            due, last = min(due + self.rate * (now - last), self.rate), now
+            while due >= 1.0:
+                due -= 1.0
                 (name,) = self.random.choices(names, weights)
                 adapter = self.random.choice(("", "", "/a1", "/a2"))
                 self.random.choice(self.edges).ask(
                     f"/part-{self.random.randrange(ROUTES)}/x", HOST, name + adapter, 6000
                 )
-            await asyncio.sleep(TURN)
+            await asyncio.sleep(LOOP_INTERVAL_S)
 
 
 if __name__ == "__main__":
--- a/harness/experiments/scale/meter.py
+++ b/harness/experiments/scale/meter.py
@@ -93,16 +93,16 @@
     mechanism of the message.
     """
 
-    __slots__ = ("sent", "heard", "seconds", "inner")
+    __slots__ = ("sent", "received", "seconds", "nested")
 
     def __init__(self):
-        self.sent, self.heard, self.seconds, self.inner = Counter(), Counter(), Counter(), []
+        self.sent, self.received, self.seconds, self.nested = Counter(), Counter(), Counter(), []
         for kind, method, mechanism in PARTS:
             setattr(kind, method, self._timed(getattr(kind, method), lambda words, mechanism=mechanism: mechanism))
         Provisioner.take = self._timed(
             Provisioner.take, lambda words: USAGE if isinstance(words[1], MessageReceived) else REPORTS
         )
-        pack, read, fetch, hear = Codec.pack, node_transport.read_frame, HttpClient.fetch, Core.take
+        pack, read, fetch, take = Codec.pack, node_transport.read_frame, HttpClient.fetch, Core.take
 
         def counted_pack(codec, message):
             raw = pack(codec, message)
@@ -111,7 +111,7 @@
 
         def counted_read(cluster, raw):
             frame = read(cluster, raw)
-            self._count(self.heard, wire_kind(frame.message), len(raw))
+            self._count(self.received, wire_kind(frame.message), len(raw))
             return frame
 
         def counted_fetch(http_client, effect):
@@ -121,39 +121,39 @@
             )
             fetch(http_client, effect)
 
-        def counted_hear(core, event, now):
+        def counted_take(core, event, now):
             if isinstance(event, ResponseReceived):
                 mechanism = LIST if event.call_id[0] == INVENTORY_READER else REPORTS
                 size = len(event.body) + sum(map(len, event.headers.values())) + RESPONSE_LINE_BYTES
-                self._count(self.heard, mechanism, size)
-            return hear(core, event, now)
+                self._count(self.received, mechanism, size)
+            return take(core, event, now)
 
         Codec.pack = self._timed(counted_pack, lambda words: mechanism_of(wire_kind(words[1])))
         node_transport.read_frame = self._timed(
             counted_read, lambda words: NODE, lambda frame: mechanism_of(wire_kind(frame.message))
         )
-        HttpClient.fetch, Core.take = counted_fetch, counted_hear
+        HttpClient.fetch, Core.take = counted_fetch, counted_take
 
     def _count(self, counts, kind, size):
         counts[kind, "messages"] += 1
         counts[kind, "bytes"] += size
 
-    def _timed(self, call, name_of, name_after=None):
-        inner, seconds, clock = self.inner, self.seconds, time.thread_time
+    def _timed(self, call, mechanism_before, mechanism_after=None):
+        nested, seconds, clock = self.nested, self.seconds, time.thread_time
 
         def timed(*words, **more):
             begun = clock()
-            inner.append(0.0)
-            name = name_of(words)
+            nested.append(0.0)
+            name = mechanism_before(words)
             try:
                 found = call(*words, **more)
-                name = name_after(found) if name_after else name
+                name = mechanism_after(found) if mechanism_after else name
                 return found
             finally:
                 span = clock() - begun
-                seconds[name] += span - inner.pop()
-                if inner:
-                    inner[-1] += span
+                seconds[name] += span - nested.pop()
+                if nested:
+                    nested[-1] += span
 
         return timed
 
@@ -167,6 +167,6 @@
             "seconds": dict(self.seconds),
             **{
                 what: {f"{kind} {unit}": count for (kind, unit), count in counts.items()}
-                for what, counts in (("sent", self.sent), ("heard", self.heard))
+                for what, counts in (("sent", self.sent), ("heard", self.received))
             },
         }
--- a/harness/experiments/scale/simulated_fleet.py
+++ b/harness/experiments/scale/simulated_fleet.py
@@ -18,9 +18,9 @@
 from sumachook.simulation.platform import Platform
 from sumachook.transport.node_message import wire_kind
 
-MOST_DATAGRAM = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 BETWEEN_ZONES = "bytes between zones"
-TURN = timedelta(seconds=0.25)
+STEP = timedelta(seconds=0.25)
 
 
 class SimulatedFleet(Fleet):
@@ -85,7 +85,7 @@
         if box.zone != other.zone:
             counts[box.role, mechanism, BETWEEN_ZONES] += len(raw)
         self.longest[kind] = max(self.longest[kind], len(raw))
-        if not is_cast or len(raw) <= MOST_DATAGRAM:  # larger datagrams are dropped, as by the node transport
+        if not is_cast or len(raw) <= MAX_DATAGRAM_BYTES:  # larger datagrams are dropped, as by the node transport
             self._send(box, other, self._heard, other, raw)
 
     # queries and changes ----------------------------------------------------------
@@ -119,7 +119,7 @@
             None,
         )
 
-    def acquaint(self):
+    def fill_member_lists(self):
         """Sets the member list of every node to all running nodes and clears pending gossip.
 
         This is the state of a fleet that has been up for some minutes.
@@ -132,7 +132,7 @@
             }
             membership.gossip.clear()
 
-    def unaware(self, groups=None) -> int:
+    def count_unaware(self, groups=None) -> int:
         """Counts the running nodes whose live members are not exactly the running nodes of their own group.
 
         A member counts as known only with its current restart epoch.
@@ -140,7 +140,7 @@
         count = 0
         for group in groups or [[box.name for box in self.running()]]:
             boxes = [self.boxes[name] for name in group if self.boxes[name].machine is not None]
-            truth = {box.machine.node: box.machine.restart_epoch for box in boxes}
+            expected = {box.machine.node: box.machine.restart_epoch for box in boxes}
             for box in boxes:
                 known = {
                     node: member.restart_epoch
@@ -148,10 +148,10 @@
                     if member.status in LIVE_STATUSES
                 }
                 known[box.machine.node] = box.machine.restart_epoch
-                count += known != truth
+                count += known != expected
         return count
 
-    def untrusting(self, names=None) -> int:
+    def count_stale_edges(self, names=None) -> int:
         """Counts the running edges, all or those in `names`, that do not consider their state fresh."""
         return sum(
             box.machine.follower.trust(self.now) != "fresh"
@@ -159,24 +159,24 @@
             if box.machine and (names is None or box.name in names)
         )
 
-    def behind(self, version: int) -> int:
+    def count_behind(self, version: int) -> int:
         return sum(box.machine.state.version < version for box in self.running())
 
-    def seconds_until(self, is_reached, most: float):
+    def seconds_until(self, condition, timeout: float):
         """Returns the virtual seconds, in steps of 0.25, until the condition holds, or None after `most` seconds."""
         begun = self.now
-        while not is_reached():
-            if self.now - begun >= timedelta(seconds=most):
+        while not condition():
+            if self.now - begun >= timedelta(seconds=timeout):
                 return None
-            self.run(TURN.total_seconds())
+            self.run(STEP.total_seconds())
         return (self.now - begun).total_seconds()
 
-    def spent(self, start: int, end: int) -> dict:
+    def traffic_between(self, start: int, end: int) -> dict:
         """Returns {"role mechanism unit": count} of the seconds from `start` to before `end`."""
-        whole = Counter()
+        total = Counter()
         for second in range(start, end):
-            whole.update(self.traffic.get(second, {}))
-        return {" ".join(key): count for key, count in sorted(whole.items())}
+            total.update(self.traffic.get(second, {}))
+        return {" ".join(key): count for key, count in sorted(total.items())}
 
     def change(self, version: int):
         """Proposes an operator's change at the leader, if there is one; returns before the change is committed."""
--- a/harness/experiments/scale/site.py
+++ b/harness/experiments/scale/site.py
@@ -5,7 +5,7 @@
 
 CLUSTER, SERVICE, HOST = "scale", "llm", "scale.example"
 PLATFORM = "127.79.0.1:8142"
-PLACES_A_SERVER, ADAPTER_PLACES, COLD_SHARE, ROUTES = 4, 8, 0.2, 60
+MODELS_PER_SERVER, ADAPTER_PLACES, COLD_SHARE, ROUTES = 4, 8, 0.2, 60
 REAL_EDGES = 2  # edges that run as real processes beside those with fake traffic
 
 
@@ -20,30 +20,32 @@
         held = max(1, round(size.models * (1 - COLD_SHARE)))
         self.cold = self.models[held:]
         self.servers, self.holds = {}, {}
-        for place in range(size.servers):
-            name = f"server-{place:04}"
+        for index in range(size.servers):
+            name = f"server-{index:04}"
             self.servers[name] = {
                 "name": name,
                 "kind": "service",
-                "address": f"127.78.{place // 250}.{place % 250 + 1}:9000",
-                "area": ZONES[place % len(ZONES)],
+                "address": f"127.78.{index // 250}.{index % 250 + 1}:9000",
+                "area": ZONES[index % len(ZONES)],
                 "service": SERVICE,
                 "slots": 24,
                 "leaving": False,
             }
             models = list(
-                dict.fromkeys(self.models[(place * PLACES_A_SERVER + turn) % held] for turn in range(PLACES_A_SERVER))
+                dict.fromkeys(
+                    self.models[(index * MODELS_PER_SERVER + offset) % held] for offset in range(MODELS_PER_SERVER)
+                )
             )
             self.holds[name] = {
-                model: tuple(f"a{number}" for number in range(1, ADAPTER_PLACES // PLACES_A_SERVER + 1))
+                model: tuple(f"a{number}" for number in range(1, ADAPTER_PLACES // MODELS_PER_SERVER + 1))
                 for model in models
             }
         self.nodes = {
-            f"core-{place + 1}": (ZONES[place % len(ZONES)], f"127.76.0.{place + 1}") for place in range(size.cores)
+            f"core-{index + 1}": (ZONES[index % len(ZONES)], f"127.76.0.{index + 1}") for index in range(size.cores)
         }
         self.nodes |= {
-            f"edge-{place:03}": (ZONES[place % len(ZONES)], f"127.77.{place // 250}.{place % 250 + 1}")
-            for place in range(size.edges)
+            f"edge-{index:03}": (ZONES[index % len(ZONES)], f"127.77.{index // 250}.{index % 250 + 1}")
+            for index in range(size.edges)
         }
 
     @property
@@ -55,10 +57,10 @@
         return tuple(name for name in self.nodes if name.startswith("edge-"))
 
     def catalogue(self, version: int) -> dict:
-        each, more = divmod(self.size.adapters, self.size.models)
+        each, extra = divmod(self.size.adapters, self.size.models)
         models = [
-            {"name": name, "sizeMb": 68000.0, "loadMs": 600.0, "adapters": each + (place < more), "adapterMb": 12.0}
-            for place, name in enumerate(self.models)
+            {"name": name, "sizeMb": 68000.0, "loadMs": 600.0, "adapters": each + (index < extra), "adapterMb": 12.0}
+            for index, name in enumerate(self.models)
         ]
         engine = {
             "slots": 24,
--- a/harness/experiments/scale/socket_run.py
+++ b/harness/experiments/scale/socket_run.py
@@ -13,11 +13,11 @@
 from harness.experiments.scale.site import REAL_EDGES, Site
 from harness.experiments.scale.size import Size
 
-METERED, MOST_HOSTS, EDGES_A_HOST = 12, 4, 60
-TICK, SLOW_TICK, MOST_AT_FULL_TICK = 50, 200, 150
-WINDOW, QUIET, SETTLE_WITHIN = 12.0, 3.0, 120.0
+METERED_EDGES, MAX_HOSTS, EDGES_PER_HOST = 12, 4, 60
+TICK, SLOW_TICK, MAX_NODES_AT_FULL_TICK = 50, 200, 150
+PHASE_S, QUIET_S, SETTLE_TIMEOUT_S = 12.0, 3.0, 120.0
 RATES = (0.25, 1.0)
-COLD_LOADS, CHANGES, WHOLES = 10, 8, 2
+COLD_LOADS, CHANGES, FULL_CHANGES = 10, 8, 2
 
 
 class SocketRun:
@@ -27,18 +27,18 @@
     process runs short of processor time; their messages follow timers and are at most one tick late.
     """
 
-    __slots__ = ("site", "work", "cores", "hosts", "real", "stand", "versions", "shares")
+    __slots__ = ("site", "work", "cores", "hosts", "real", "platform", "versions", "shares")
 
     def __init__(self, size: Size, work: Path):
         self.site, self.work, self.versions = Site(size), work, 0
-        self.cores, self.hosts, self.shares, self.real, self.stand = {}, [], [], {}, None
+        self.cores, self.hosts, self.shares, self.real, self.platform = {}, [], [], {}, None
 
     def take(self) -> dict:
         try:
-            found = self._play()
+            found = self._measure()
         finally:
-            said = self._end()
-        return found | said | {"disk": self._disk()}
+            reply = self._end()
+        return found | reply | {"disk": self._disk()}
 
     def _disk(self) -> dict:
         """Returns the bytes of all cores' files by kind: consensus, ledger, day."""
@@ -55,10 +55,10 @@
             child.process.terminate()
         for child in [*self.hosts, *self.cores.values(), *self.real.values()]:
             child.stop()
-        lines = self.stand.stop().split() if self.stand else []
+        lines = self.platform.stop().split() if self.platform else []
         return json.loads("".join(lines)) if lines else {}
 
-    def _play(self):
+    def _measure(self):
         site, size = self.site, self.site.size
         begun = time.monotonic()
         self._start()
@@ -77,19 +77,19 @@
             "phases": {},
         }
         self._all("calm")
-        time.sleep(QUIET)
-        self._phase(found, "rest", lambda: time.sleep(WINDOW))
+        time.sleep(QUIET_S)
+        self._phase(found, "rest", lambda: time.sleep(PHASE_S))
         for rate in RATES:
             self._rate(rate * size.requests)
-            time.sleep(QUIET)
-            self._phase(found, f"requests {rate}", lambda: time.sleep(WINDOW))
+            time.sleep(QUIET_S)
+            self._phase(found, f"requests {rate}", lambda: time.sleep(PHASE_S))
         found["state"] = self._footprints()
         self._rate(0.0)
-        time.sleep(QUIET * 2)
+        time.sleep(QUIET_S * 2)
         self._phase(found, "loads", self._load_cold)
         found["changes"] = []
         self._phase(found, "changes", lambda: found["changes"].extend(self._change(False) for _ in range(CHANGES)))
-        self._phase(found, "wholes", lambda: found["changes"].extend(self._change(True) for _ in range(WHOLES)))
+        self._phase(found, "wholes", lambda: found["changes"].extend(self._change(True) for _ in range(FULL_CHANGES)))
         totals = self._all("mark")[len(self.cores) :]
         found |= {
             "asked": sum(each["asked"] for each in totals),
@@ -102,8 +102,8 @@
 
     def _start(self):
         site, nodes, restart_epoch = self.site, str(self.site.size.nodes), str(time.time_ns() // 1_000_000)
-        self.stand = Child("harness.experiments.scale.fake_platform", nodes, log=self.work / "stand.log")
-        self.stand.answer()
+        self.platform = Child("harness.experiments.scale.fake_platform", nodes, log=self.work / "stand.log")
+        self.platform.answer()
         for name in site.cores:
             self.cores[name] = Child(
                 "harness.experiments.scale.host",
@@ -118,9 +118,9 @@
             file = self.work / f"{name}.json"
             file.write_text(json.dumps(site.settings(name)))
             self.real[name] = Child("sumachook", "edge", "--params", str(file), log=self.work / f"{name}.log")
-        metered, others = site.edges[REAL_EDGES : REAL_EDGES + METERED], site.edges[REAL_EDGES + METERED :]
-        hosts = min(MOST_HOSTS, -(-len(others) // EDGES_A_HOST))
-        tick = TICK if site.size.nodes <= MOST_AT_FULL_TICK else SLOW_TICK
+        metered, others = site.edges[REAL_EDGES : REAL_EDGES + METERED_EDGES], site.edges[REAL_EDGES + METERED_EDGES :]
+        hosts = min(MAX_HOSTS, -(-len(others) // EDGES_PER_HOST))
+        tick = TICK if site.size.nodes <= MAX_NODES_AT_FULL_TICK else SLOW_TICK
         for place, (each, names) in enumerate(
             [(TICK, metered), *((tick, others[place::hosts]) for place in range(hosts))]
         ):
@@ -148,7 +148,7 @@
 
         Exits with an error after SETTLE_WITHIN seconds.
         """
-        end, size = time.monotonic() + SETTLE_WITHIN, self.site.size
+        end, size = time.monotonic() + SETTLE_TIMEOUT_S, self.site.size
         while time.monotonic() < end:
             found = self._all("ready")
             if (
@@ -159,7 +159,7 @@
             ):
                 return
             time.sleep(0.5)
-        raise SystemExit(f"{size.nodes} nodes did not settle within {SETTLE_WITHIN} s: {found}")
+        raise SystemExit(f"{size.nodes} nodes did not settle within {SETTLE_TIMEOUT_S} s: {found}")
 
     # phases ---------------------------------------------------------------------
 
@@ -212,7 +212,7 @@
             host.tell("cold", name=name)
             host.answer()
             time.sleep(1.0)
-        time.sleep(QUIET)
+        time.sleep(QUIET_S)
 
     def _change(self, is_whole) -> dict:
         if is_whole:
@@ -243,13 +243,13 @@
                     ),
                     timeout=15,
                 ) as answer:
-                    said = json.loads(answer.read())
+                    reply = json.loads(answer.read())
                     self.versions = doc["version"]
                     return {
                         "isPart": is_part,
                         "bytes": len(body),
                         "seconds": round(time.monotonic() - begun, 3),
-                        "unconfirmed": len(said["unconfirmed"]),
+                        "unconfirmed": len(reply["unconfirmed"]),
                     }
             except urllib.error.HTTPError as error:
                 if error.code < 500 and error.code != 307:  # 307: the core redirects a large request to the leader
--- a/harness/experiments/scale/summary.py
+++ b/harness/experiments/scale/summary.py
@@ -4,11 +4,11 @@
 
 from harness.experiments.scale.mechanism import MECHANISMS, NODE, ON_UDP, PAIRS, REQUESTS, mechanism_of
 from harness.experiments.scale.size import CORES, Size
-from harness.experiments.scale.socket_run import CHANGES, RATES, WHOLES
+from harness.experiments.scale.socket_run import CHANGES, FULL_CHANGES, RATES
 
 ROLES = ("edge", "core")
 FIGURES = ("sent messages", "sent bytes", "heard messages", "heard bytes", "core share")
-HOST, UDP_HEAD, TCP_HEAD = (
+HOST, UDP_HEADER_BYTES, TCP_HEADER_BYTES = (
     "host",
     28,
     52,
@@ -31,17 +31,18 @@
     def take(self, run: dict) -> dict:
         found = {}
         for role in ROLES:
-            paces = {name: _pace(phase, role) for name, phase in run["phases"].items()}
-            asked = {name: _asked(phase, role) for name, phase in run["phases"].items()}
+            rates = {name: _rates(phase, role) for name, phase in run["phases"].items()}
+            request_rates = {name: _request_rate(phase, role) for name, phase in run["phases"].items()}
             for mechanism in SPENDERS:
                 each = found[f"{role}, {mechanism}"] = {
-                    "rest": {figure: round(paces["rest"][mechanism][figure], 5) for figure in FIGURES}
+                    "rest": {figure: round(rates["rest"][mechanism][figure], 5) for figure in FIGURES}
                 }
                 phases = ["rest", *(f"requests {rate}" for rate in RATES)]
                 each["request"] = {
                     figure: round(
                         linear_regression(
-                            [asked[name] for name in phases], [paces[name][mechanism][figure] for name in phases]
+                            [request_rates[name] for name in phases],
+                            [rates[name][mechanism][figure] for name in phases],
                         ).slope,
                         6,
                     )
@@ -51,13 +52,13 @@
                 for what, phase, count in (
                     ("load", "loads", run["cold"]),
                     ("change", "changes", CHANGES),
-                    ("whole", "wholes", WHOLES),
+                    ("whole", "wholes", FULL_CHANGES),
                 ):
                     seconds = run["phases"][phase]["seconds"]
                     nodes = 3 if role == "core" else 1
                     each[what] = {
                         figure: round(
-                            (paces[phase][mechanism][figure] - paces["rest"][mechanism][figure])
+                            (rates[phase][mechanism][figure] - rates["rest"][mechanism][figure])
                             * seconds
                             / count
                             * nodes,
@@ -85,7 +86,7 @@
     }
 
 
-def _pace(phase, role) -> dict:
+def _rates(phase, role) -> dict:
     """Returns {mechanism: {figure: value per second and node}} of one phase.
 
     Processor time outside the measured components counts to the host process.
@@ -104,7 +105,7 @@
     return found
 
 
-def _asked(phase, role) -> float:
+def _request_rate(phase, role) -> float:
     """Returns the requests per second of one edge, or those of the whole fleet divided by the number of cores.
 
     With the latter, the slope of a core's figures is the cost of a request for all cores together.
@@ -114,9 +115,11 @@
     return phase["asked"] / phase["seconds"] / len(phase["cores"])
 
 
-def with_heads(figures: dict, mechanism: str) -> float:
+def with_packet_headers(figures: dict, mechanism: str) -> float:
     """Returns the bytes sent per second including packet headers.
 
     TCP acknowledgements are piggybacked on responses or not counted.
     """
-    return figures["sent bytes"] + figures["sent messages"] * (UDP_HEAD if mechanism in ON_UDP else TCP_HEAD)
+    return figures["sent bytes"] + figures["sent messages"] * (
+        UDP_HEADER_BYTES if mechanism in ON_UDP else TCP_HEADER_BYTES
+    )
--- a/harness/experiments/scale/tables.py
+++ b/harness/experiments/scale/tables.py
@@ -4,9 +4,9 @@
 
 from harness.experiments.scale.mechanism import FEED, LEDGER, NODE, ORDERED, PLACES, REPORTS, REQUESTS, USAGE
 from harness.experiments.scale.size import CORES, Size
-from harness.experiments.scale.summary import HOST, ROLES, SPENDERS, with_heads
+from harness.experiments.scale.summary import HOST, ROLES, SPENDERS, with_packet_headers
 
-CAUSED = {
+UNIT_MECHANISMS = {
     "request": (LEDGER, USAGE, REQUESTS, NODE, HOST),
     "load": (LEDGER, USAGE, PLACES, REPORTS, REQUESTS),
     "change": (FEED, ORDERED),
@@ -65,18 +65,18 @@
         runs = {int(nodes): run for nodes, run in results["runs"].items()}
         return {
             "runs": self._runs(runs),
-            "rest": self._paces(runs, results["slopes"], "rest"),
-            "busy": self._paces(runs, results["slopes"], "busy"),
-            "request": self._singles(runs, "request"),
-            "load": self._singles(runs, "load"),
-            "change": self._singles(runs, "change"),
-            "whole": self._singles(runs, "whole"),
+            "rest": self._rate_table(runs, results["slopes"], "rest"),
+            "busy": self._rate_table(runs, results["slopes"], "busy"),
+            "request": self._unit_costs(runs, "request"),
+            "load": self._unit_costs(runs, "load"),
+            "change": self._unit_costs(runs, "change"),
+            "whole": self._unit_costs(runs, "whole"),
             "state": self._state(runs),
             "budget": self._budget(runs),
             "acknowledged": self._acknowledged(runs),
             "failures": self._failures(results["failures"]),
             "disk": self._disk(runs),
-            "parcels": self._parcels(results["failures"]),
+            "parcels": self._longest_messages(results["failures"]),
         }
 
     def put(self, page: str, results: dict) -> str:
@@ -86,7 +86,7 @@
     # tables ---------------------------------------------------------------------
 
     def _runs(self, runs):
-        lines = _head(
+        lines = _header(
             "nodes",
             "edges, servers, models, adapters",
             "processes",
@@ -106,10 +106,10 @@
             for nodes, run in sorted(runs.items())
         ]
 
-    def _paces(self, runs, slopes, what):
+    def _rate_table(self, runs, slopes, what):
         sizes = sorted(runs)
         of = ", ".join(map(str, sizes))
-        lines = _head(
+        lines = _header(
             "role, mechanism",
             f"messages sent a second ({of})",
             f"bytes sent a second ({of})",
@@ -139,14 +139,14 @@
                 )
         return lines
 
-    def _singles(self, runs, what):
+    def _unit_costs(self, runs, what):
         """Returns the cost of one request, load or change for an edge and for all cores together, by mechanism."""
         sizes = sorted(runs)
-        lines = _head(
+        lines = _header(
             "role, mechanism", *(f"{nodes} nodes: messages sent, bytes sent, heard, ms of processor" for nodes in sizes)
         )
         for role in ROLES:
-            for mechanism in CAUSED[what]:
+            for mechanism in UNIT_MECHANISMS[what]:
                 each = [runs[nodes]["figures"][f"{role}, {mechanism}"][what] for nodes in sizes]
                 if not any(abs(value) > 0.0005 for figures in each for value in figures.values()):
                     continue
@@ -165,7 +165,7 @@
 
     def _state(self, runs):
         sizes = sorted(runs)
-        lines = _head("role, part", *(f"bytes at {nodes} nodes" for nodes in sizes))
+        lines = _header("role, part", *(f"bytes at {nodes} nodes" for nodes in sizes))
         for role in ROLES:
             states = [
                 {FORMER_PARTS.get(part, part): size for part, size in runs[nodes]["state"][role].items()}
@@ -177,7 +177,7 @@
 
     def _budget(self, runs):
         sizes = sorted(runs)
-        lines = _head(
+        lines = _header(
             "role, what", *(f"{nodes} nodes" for nodes in sizes), "budget a node", f"at {sizes[-1]}, of the budget"
         )
         for role in ROLES:
@@ -193,7 +193,7 @@
                             f"{role}, {name}: {unit}",
                             *(_number(total[place]) for total in totals),
                             3000,
-                            _times(totals[-1][place] / BUDGET["bytes"]),
+                            _budget_ratio(totals[-1][place] / BUDGET["bytes"]),
                         )
                     )
                 lines.append(
@@ -201,7 +201,7 @@
                         f"{role}, {name}: % of a core",
                         *(f"{total[3] * 100:.2f}" for total in totals),
                         1.8,
-                        _times(totals[-1][3] / BUDGET["core share"]),
+                        _budget_ratio(totals[-1][3] / BUDGET["core share"]),
                     )
                 )
             memory = [runs[nodes]["memory"][role] for nodes in sizes]
@@ -210,7 +210,7 @@
                     f"{role}, a real process: MB resident",
                     *(f"{size / 1e6:.1f}" for size in memory),
                     32,
-                    _times(memory[-1] / BUDGET["memory"]),
+                    _budget_ratio(memory[-1] / BUDGET["memory"]),
                 )
             )
         real = [runs[nodes]["realShare"] for nodes in sizes]
@@ -219,7 +219,7 @@
                 "edge, a real process at rest: % of a core",
                 *(f"{share * 100:.2f}" for share in real),
                 1.8,
-                _times(real[-1] / BUDGET["core share"]),
+                _budget_ratio(real[-1] / BUDGET["core share"]),
             )
         )
         return lines
@@ -241,13 +241,13 @@
             for which, rate in ((what, 1.0), *rates.items()):
                 own = each[which]
                 for place, value in enumerate(
-                    (own["sent bytes"], with_heads(own, mechanism), own["heard bytes"], own["core share"])
+                    (own["sent bytes"], with_packet_headers(own, mechanism), own["heard bytes"], own["core share"])
                 ):
                     total[place] += max(0.0, value) * rate
         return total
 
     def _acknowledged(self, runs):
-        lines = _head(
+        lines = _header(
             "nodes",
             "a route more: bytes, seconds until all edges confirmed (least, most)",
             "the whole: bytes, seconds (least, most)",
@@ -263,7 +263,7 @@
         return lines
 
     def _disk(self, runs):
-        lines = _head(
+        lines = _header(
             "nodes",
             "requests",
             *(f"{name}: bytes, all cores, a request" for name in ("ledger", "day's log")),
@@ -279,8 +279,8 @@
             for nodes, run in sorted(runs.items())
         ]
 
-    def _parcels(self, failures):
-        lines = _head("story", "longest parcels over 1,400 bytes")
+    def _longest_messages(self, failures):
+        lines = _header("story", "longest parcels over 1,400 bytes")
         return lines + [
             _row(
                 story["story"].replace("_", " "),
@@ -290,7 +290,7 @@
         ]
 
     def _failures(self, failures):
-        lines = _head(
+        lines = _header(
             "story, span",
             "holds since (virtual seconds, looked at each quarter)",
             "seconds",
@@ -330,7 +330,7 @@
                         until,
                         span["seconds"],
                         *cells,
-                        _most(span.get("peak", {})),
+                        _largest_mechanism(span.get("peak", {})),
                     )
                 )
         return lines
@@ -340,12 +340,12 @@
     return sum(count for name, count in traffic.items() if name.startswith(role + " ") and name.endswith(" bytes"))
 
 
-def _most(traffic) -> str:
+def _largest_mechanism(traffic) -> str:
     names = [name for name in traffic if name.endswith(" bytes")]
     return max(names, key=traffic.get).removesuffix(" bytes") if names else "–"
 
 
-def _head(*cells) -> list:
+def _header(*cells) -> list:
     return [_row(*cells), "|" + "---|" * len(cells)]
 
 
@@ -361,5 +361,5 @@
     return f"{value:.2f}" if abs(value) < 1 else f"{value:.1f}" if abs(value) < 100 else f"{value:.0f}"
 
 
-def _times(ratio) -> str:
+def _budget_ratio(ratio) -> str:
     return f"{ratio:.1f} times" if ratio >= 0.95 else f"{ratio * 100:.0f}%"
--- a/harness/experiments/size.py
+++ b/harness/experiments/size.py
@@ -24,7 +24,7 @@
 CORES = 5
 KILLED_SHARE = 0.6  # fraction of the edges that herd_kill kills
 DOWN_S = 0.9  # seconds until a killed process is restarted
-TROUBLE_S = 6.0  # seconds for which a zone is partitioned, cores are down or a disk is full
+FAULT_S = 6.0  # seconds for which a zone is partitioned, cores are down or a disk is full
 STORY_S = 16.0
 START_TIMEOUT_S = 30.0
 SETTLE_TIMEOUT_S = 40.0
@@ -82,7 +82,7 @@
             raise RuntimeError("no leader was elected after the start")
         self._configure()
         fleet.run(1.0)
-        fleet.acquaint()
+        fleet.fill_member_lists()
         if fleet.seconds_until(self.is_whole, SETTLE_TIMEOUT_S) is None:
             raise RuntimeError("the fleet did not settle")
 
@@ -97,11 +97,11 @@
     def is_fresh(self) -> bool:
         """Whether every edge runs and considers its state fresh."""
         edges = self.fleet.boxes_of("edge")
-        return all(box.machine is not None for box in edges) and not self.fleet.untrusting()
+        return all(box.machine is not None for box in edges) and not self.fleet.count_stale_edges()
 
     def is_known(self) -> bool:
         """Whether every node knows the current restart epoch of every other."""
-        return not self.fleet.unaware()
+        return not self.fleet.count_unaware()
 
     def is_whole(self) -> bool:
         """Whether there is a leader, every edge is fresh and all nodes know each other."""
@@ -129,15 +129,15 @@
         other = self.random.choice([box.name for box in cores if box.name != leading])
         for name in (leading, other):
             fleet.vanish(name)
-            fleet._later(timedelta(seconds=TROUBLE_S), fleet.start, name)
-        return TROUBLE_S
+            fleet._later(timedelta(seconds=FAULT_S), fleet.start, name)
+        return FAULT_S
 
     def full_disk(self) -> float:
         """Lets the disk of the leader refuse writes for 6 s."""
         fleet = self.fleet
         box = next(box for box in fleet.boxes_of("core") if box.machine is fleet.leader())
-        box.disk.refuses_until = fleet.now + timedelta(seconds=TROUBLE_S)
-        return TROUBLE_S
+        box.disk.refuses_until = fleet.now + timedelta(seconds=FAULT_S)
+        return FAULT_S
 
     def cut_zone(self) -> float:
         """Partitions all nodes of a random zone from the other zones for 6 s."""
@@ -146,16 +146,16 @@
         inside = set(fleet.nodes_in((zone,)))
         outside = [box.name for box in fleet.boxes.values() if box.name not in inside]
         links = fleet.cut(sorted(inside), outside)
-        fleet._later(timedelta(seconds=TROUBLE_S), fleet.heal, links)
-        return TROUBLE_S
+        fleet._later(timedelta(seconds=FAULT_S), fleet.heal, links)
+        return FAULT_S
 
     def leave(self) -> float:
         """Shuts down a tenth of the edges and starts another process in the place of each 6 s later."""
         edges = [box.name for box in self.fleet.boxes_of("edge")]
         for name in self.random.sample(edges, max(1, len(edges) // 10)):
             self.fleet.stop(name)
-            self.fleet._later(timedelta(seconds=TROUBLE_S), self._start_if_ended, name)
-        return TROUBLE_S
+            self.fleet._later(timedelta(seconds=FAULT_S), self._start_if_ended, name)
+        return FAULT_S
 
     def _start_if_ended(self, name: str) -> None:
         if self.fleet.boxes[name].machine is None:
@@ -167,33 +167,31 @@
 
 def play(story: str, nodes: int, seed: int) -> StoryResult:
     """Runs one story in a new fleet."""
-    scene = FleetOfSize(nodes, seed)
-    scene.settle()
-    fleet = scene.fleet
+    story_fleet = FleetOfSize(nodes, seed)
+    story_fleet.settle()
+    fleet = story_fleet.fleet
     before = _between_zones(fleet)
     begun_at = fleet.now
-    last_fault_s = getattr(scene, story)()
-    fresh_since = _Since(scene.is_fresh)
-    known_since = _Since(scene.is_known)
+    last_fault_s = getattr(story_fleet, story)()
+    fresh = _HoldsSince(story_fleet.is_fresh)
+    known = _HoldsSince(story_fleet.is_known)
     while (elapsed_s := (fleet.now - begun_at).total_seconds()) < STORY_S + last_fault_s:
         fleet.run(0.25)
-        for each in (fresh_since, known_since):
-            each.look(elapsed_s + 0.25)
+        for each in (fresh, known):
+            each.update(elapsed_s + 0.25)
     spent = _between_zones(fleet)
     spent.subtract(before)
-    return StoryResult(
-        story, nodes, seed, fresh_since.after(last_fault_s), known_since.after(last_fault_s), dict(+spent)
-    )
+    return StoryResult(story, nodes, seed, fresh.after(last_fault_s), known.after(last_fault_s), dict(+spent))
 
 
-class _Since:
+class _HoldsSince:
     """Tracks since when a condition has held without interruption."""
 
     def __init__(self, holds: Callable[[], bool]) -> None:
         self.holds = holds
         self.since_s: float | None = None
 
-    def look(self, at_s: float) -> None:
+    def update(self, at_s: float) -> None:
         if not self.holds():
             self.since_s = None
         elif self.since_s is None:
--- a/harness/experiments/soak.py
+++ b/harness/experiments/soak.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from harness.experiments.soak_faults import (
-    Leaving,
+    EdgeShutdown,
     cut_attempts,
     faults_in_logs,
     lost_requests,
@@ -36,13 +36,13 @@
 from harness.run_checks import find_unchecked, seed_range
 
 MAX_SEEDS, MAX_EDGES = 1000, 150
-UP_WITHIN = 60.0  # seconds
+START_TIMEOUT = 60.0  # seconds
 SETTLE_TIME = 1.5  # seconds between restarts of two cores, in which the first becomes a voter again
 IDLE_LIMITS_MS = (400, 700, 1000, 1500, 15000)
 EXTRA_ROUTES = 6
 TENANT_CHANGE_PORTION, KEY_CHANGE_PORTION = 0.3, 0.35  # fractions of the configuration changes
-ENDED_BY_TERM, ENDED_BY_HUP = -signal.SIGTERM, -signal.SIGHUP
-BEYOND_GRACE = 0.5  # seconds by which this process may notice an exit late
+SIGTERM_EXIT_CODE, SIGHUP_EXIT_CODE = -signal.SIGTERM, -signal.SIGHUP
+EXIT_SLACK = 0.5  # seconds by which this process may notice an exit late
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     spec: SoakSpec
     actions: Counter = field(default_factory=Counter)
     attempts: list[KeptAttempt] = field(default_factory=list)
-    leavings: list[Leaving] = field(default_factory=list)
+    shutdowns: list[EdgeShutdown] = field(default_factory=list)
     stalls: LoopStalls = field(default_factory=LoopStalls)
     tenant_counts: dict[str, int] = field(default_factory=dict)
     faults: list[str] = field(default_factory=list)
@@ -120,8 +120,8 @@
         """Starts the deployment, runs clients and planned operations concurrently, and checks the recorded requests."""
         deployment = self.deployment
         async with deployment:
-            await asyncio.wait_for(deployment.configure("/Configuration.Replace", FIRST), UP_WITHIN)
-            await asyncio.wait_for(deployment.balancer.all_in(), UP_WITHIN)
+            await asyncio.wait_for(deployment.configure("/Configuration.Replace", FIRST), START_TIMEOUT)
+            await asyncio.wait_for(deployment.balancer.all_in(), START_TIMEOUT)
             loop = asyncio.get_running_loop()
             self.until = loop.time() + self.spec.seconds
             self.result.stalls.begin()
@@ -129,13 +129,13 @@
             async with asyncio.TaskGroup() as running:
                 for client in clients:
                     running.create_task(client.run(self.until))
-                for work in self._planned_work():
+                for work in self._planned_operations():
                     running.create_task(work())
             self.result.stalls.end()
             await deployment.read_back()
-            self._find_early_ends()
+            self._find_early_exits()
         self.result.attempts = [attempt for client in clients for attempt in client.attempts]
-        self._judge()
+        self._check()
         return self.result
 
     def _client(self, number: int) -> KeptClient:
@@ -151,12 +151,12 @@
 
     # planned operations ---------------------------------------------------------------------------
 
-    def _planned_work(self) -> list[Callable[[], Awaitable[None]]]:
+    def _planned_operations(self) -> list[Callable[[], Awaitable[None]]]:
         return [
             self._restart_edges,
             self._restart_edges,
             self._restart_cores,
-            self._reload_any,
+            self._reload_nodes,
             self._change_configuration,
         ]
 
@@ -190,28 +190,28 @@
         if variant != "plain":
             self.result.actions[variant] += 1
         async with nodes.restarting(name):
-            await self._end(name, variant)
+            await self._shut_down(name, variant)
             await nodes.start(name)
             if variant == "SIGHUP as it starts":
                 await self._signal_within(name, signal.SIGHUP, 1.0)
             if variant == "SIGTERM as it starts":
                 await asyncio.sleep(self.random.uniform(0.0, 1.5))
-                await self._end(name, "plain")
+                await self._shut_down(name, "plain")
                 await nodes.start(name)
 
-    async def _end(self, name: str, variant: str):
+    async def _shut_down(self, name: str, variant: str):
         process = self.deployment.nodes.running[name]
         if process.returncode is not None:
             if not self._was_stopped_at_start(name, process.returncode):
                 self.result.faults.append(f"{name} had exited on its own with code {process.returncode}")
             return
-        leaving = Leaving(self.deployment.nodes.front_address(name), asyncio.get_running_loop().time())
-        self.result.leavings.append(leaving)
+        shutdown = EdgeShutdown(self.deployment.nodes.front_address(name), asyncio.get_running_loop().time())
+        self.result.shutdowns.append(shutdown)
         self.deployment.nodes.signal(name, signal.SIGTERM)
-        await self._see_end(name, variant, process)
-        leaving.until = asyncio.get_running_loop().time()
+        await self._await_exit(name, variant, process)
+        shutdown.until = asyncio.get_running_loop().time()
 
-    async def _see_end(self, name: str, variant: str, process: asyncio.subprocess.Process):
+    async def _await_exit(self, name: str, variant: str, process: asyncio.subprocess.Process):
         """Sends the further signals of the variant and waits for the exit of a process that was sent SIGTERM.
 
         Records a fault if it outlives the grace period, and kills it, or if it exits with a non-zero code.
@@ -221,7 +221,7 @@
         if variant == "SIGHUP while it leaves":
             await self._signal_within(name, signal.SIGHUP, 4.0)
         try:
-            code = await asyncio.wait_for(process.wait(), GRACE + BEYOND_GRACE)
+            code = await asyncio.wait_for(process.wait(), GRACE + EXIT_SLACK)
         except TimeoutError:
             self.result.faults.append(f"{name} was still running after its grace period")
             process.kill()
@@ -233,14 +233,14 @@
     def _was_stopped_at_start(self, name: str, code: int) -> bool:
         """Whether the signal ended a process that had not installed its handler yet and so had served no request."""
         nodes = self.deployment.nodes
-        is_hung_up = code == ENDED_BY_HUP and not nodes.has_spoken(name)
-        return is_hung_up or (code == ENDED_BY_TERM and not nodes.has_handled_stop(name))
+        ended_by_sighup = code == SIGHUP_EXIT_CODE and not nodes.has_spoken(name)
+        return ended_by_sighup or (code == SIGTERM_EXIT_CODE and not nodes.has_handled_stop(name))
 
     async def _signal_within(self, name: str, number: int, seconds: float):
         await asyncio.sleep(self.random.uniform(0.0, seconds))
         self.deployment.nodes.signal(name, number)
 
-    async def _reload_any(self):
+    async def _reload_nodes(self):
         while not self._is_over():
             names = [name for name in self.deployment.nodes.machines if not self.deployment.nodes.is_restarting(name)]
             for name in self.random.sample(names, min(len(names), self.random.randint(1, 3))):
@@ -298,17 +298,17 @@
 
     # checks --------------------------------------------------------------------------------
 
-    def _find_early_ends(self):
+    def _find_early_exits(self):
         for name, process in self.deployment.nodes.running.items():
             code = process.returncode
             if code is not None and not self._was_stopped_at_start(name, code):
                 self.result.faults.append(f"{name} exited on its own with code {code}")
 
-    def _judge(self):
+    def _check(self):
         result, history = self.result, self.deployment.call_history
         result.faults += history.violations()
         result.faults += lost_requests(result.attempts, history.runs)
-        result.faults += unexplained_cuts(result.attempts, history.runs, result.leavings, result.stalls)
+        result.faults += unexplained_cuts(result.attempts, history.runs, result.shutdowns, result.stalls)
         result.faults += unanswered_requests(result.attempts, result.stalls)
         judged = [
             Judged(each.request_id, each.kind, each.credential, each.started_at, each.ended_at, each.status)
@@ -329,7 +329,7 @@
 async def play_soak(spec: SoakSpec, work: Path) -> SoakResult:
     """Runs one seed in its own folder; raises TimeoutError if it exceeds its time limit."""
     work.mkdir(parents=True, exist_ok=True)
-    bound = 2 * UP_WITHIN + spec.seconds + 3 * GRACE
+    bound = 2 * START_TIMEOUT + spec.seconds + 3 * GRACE
     return await asyncio.wait_for(Soak(spec, work).play(), bound)
 
 
--- a/harness/experiments/soak_faults.py
+++ b/harness/experiments/soak_faults.py
@@ -8,12 +8,12 @@
 from harness.fakes.loop_stalls import LoopStalls
 from harness.local_cluster.nodes import BOUNDS
 
-ANSWER_WITHIN = 0.5  # seconds after the deadline of a request within which its client must see the response
+RESPONSE_SLACK = 0.5  # seconds after the deadline of a request within which its client must see the response
 LOSS_SLACK = (
     BOUNDS["loss-slack-ms"] / 1000
 )  # seconds; a request whose connection is lost later had been read, so it counts as lost even if it never ran
-LATE_SIGHT = 0.5  # seconds by which a client may notice the exit of a process late
-CLOSED_WITH_A_REQUEST = "A connection was closed with a request on it."
+EXIT_NOTICE_DELAY = 0.5  # seconds by which a client may notice the exit of a process late
+CLOSED_WITH_REQUEST = "A connection was closed with a request on it."
 ERROR_TEXTS = (
     "A task failed and is started again.",
     "An event could not be taken.",
@@ -22,19 +22,19 @@
 
 
 @dataclass(slots=True)
-class Leaving:
+class EdgeShutdown:
     """The shutdown of an edge, from its SIGTERM to the exit of its process, in seconds of the event loop's clock."""
 
     edge: str
     since: float
     until: float = float("inf")
 
-    def explains(self, attempt: KeptAttempt) -> bool:
+    def may_explain(self, attempt: KeptAttempt) -> bool:
         """Whether a request that no server ran may have been in transit when this edge closed its connections."""
         return (
             self.edge == attempt.edge
             and self.since <= attempt.ended_at
-            and attempt.started_at <= self.until + LATE_SIGHT
+            and attempt.started_at <= self.until + EXIT_NOTICE_DELAY
         )
 
 
@@ -60,7 +60,9 @@
     ]
 
 
-def unexplained_cuts(attempts: list[KeptAttempt], runs: dict, leavings: list[Leaving], stalls: LoopStalls) -> list[str]:
+def unexplained_cuts(
+    attempts: list[KeptAttempt], runs: dict, shutdowns: list[EdgeShutdown], stalls: LoopStalls
+) -> list[str]:
     """Returns a fault for each request that no server ran and whose connection the edge had no reason to close.
 
     A request may be in transit while the edge closes its connection: it was not forwarded, and the client may retry it.
@@ -71,16 +73,16 @@
         f"CUT: {attempt.request_id} of {attempt.kind.name} got no response from {attempt.edge}, which had no reason to close the connection"
         f" ({attempt.seconds:.3f} s after it was sent, {attempt.rest or 'on a new connection'})"
         for attempt in cut_attempts(attempts)
-        if attempt.request_id not in runs and not _crossed_a_close(attempt, leavings, stalls)
+        if attempt.request_id not in runs and not _was_in_transit_at_close(attempt, shutdowns, stalls)
     ]
 
 
-def _crossed_a_close(attempt: KeptAttempt, leavings: list[Leaving], stalls: LoopStalls) -> bool:
+def _was_in_transit_at_close(attempt: KeptAttempt, shutdowns: list[EdgeShutdown], stalls: LoopStalls) -> bool:
     stalled = stalls.seconds_within(attempt.started_at, attempt.ended_at)
     if attempt.seconds - stalled > LOSS_SLACK:
         return False
-    has_rested_too_long = attempt.rest is not None and attempt.rest.seconds > attempt.rest.shortest_limit
-    return has_rested_too_long or any(leaving.explains(attempt) for leaving in leavings)
+    was_idle_too_long = attempt.rest is not None and attempt.rest.seconds > attempt.rest.shortest_limit
+    return was_idle_too_long or any(shutdown.may_explain(attempt) for shutdown in shutdowns)
 
 
 def unanswered_requests(attempts: list[KeptAttempt], stalls: LoopStalls) -> list[str]:
@@ -93,7 +95,7 @@
         for attempt in attempts
         if attempt.end is AttemptEnd.UNANSWERED
         and attempt.seconds - stalls.seconds_within(attempt.started_at, attempt.ended_at)
-        >= attempt.kind.deadline.total_seconds() + ANSWER_WITHIN
+        >= attempt.kind.deadline.total_seconds() + RESPONSE_SLACK
     ]
 
 
@@ -110,4 +112,4 @@
 def _is_fault(line: str) -> bool:
     if "Traceback" in line or any(text in line for text in ERROR_TEXTS):
         return True
-    return CLOSED_WITH_A_REQUEST in line and bool(json.loads(line)["state"] == "serving")
+    return CLOSED_WITH_REQUEST in line and bool(json.loads(line)["state"] == "serving")
--- a/harness/experiments/twins.py
+++ b/harness/experiments/twins.py
@@ -40,8 +40,8 @@
     with ProcessPoolExecutor(8) as pool:
         pairs = [(seed, pool.submit(play, seed, False), pool.submit(play, seed, True)) for seed in seeds]
         sums = {}
-        for seed, calm, heavy in pairs:
-            for is_heavy, run in enumerate((calm, heavy)):
+        for seed, plain, heavy in pairs:
+            for is_heavy, run in enumerate((plain, heavy)):
                 for group, (times, failed) in run.result().items():
                     entry = sums.setdefault((CITIES[seed % 2], group), [[[], 0], [[], 0]])[is_heavy]
                     entry[0] += times
@@ -50,19 +50,20 @@
         "| deployment | group | answered without, with | median s without, with | 99th percentile s without, with | not answered without, with |\n|---|---|---|---|---|---|"
     )
     faults = find_unchecked({"groups": len(sums)})
-    for (spec, group), ((calm, calm_bad), (heavy, heavy_bad)) in sorted(sums.items()):
-        calm.sort()
+    for (spec, group), ((plain, plain_failed), (heavy, heavy_failed)) in sorted(sums.items()):
+        plain.sort()
         heavy.sort()
         slack = LOOKUP_SLACK if group in ("stamps", "status") else PROMPT_SLACK
         faults += find_unchecked(
-            {f"{group} answered in {spec} without": len(calm), f"{group} answered in {spec} with": len(heavy)}
+            {f"{group} answered in {spec} without": len(plain), f"{group} answered in {spec} with": len(heavy)}
         )
         is_good &= (
-            _share(heavy, 0.5) <= _share(calm, 0.5) + slack and _share(heavy, 0.99) <= _share(calm, 0.99) * 1.25 + slack
+            _quantile(heavy, 0.5) <= _quantile(plain, 0.5) + slack
+            and _quantile(heavy, 0.99) <= _quantile(plain, 0.99) * 1.25 + slack
         )
         print(
-            f"| {spec} | {group} | {len(calm)}, {len(heavy)} | {_share(calm, 0.5) / SECOND:.3f}, {_share(heavy, 0.5) / SECOND:.3f} "
-            f"| {_share(calm, 0.99) / SECOND:.3f}, {_share(heavy, 0.99) / SECOND:.3f} | {calm_bad}, {heavy_bad} |"
+            f"| {spec} | {group} | {len(plain)}, {len(heavy)} | {_quantile(plain, 0.5) / SECOND:.3f}, {_quantile(heavy, 0.5) / SECOND:.3f} "
+            f"| {_quantile(plain, 0.99) / SECOND:.3f}, {_quantile(heavy, 0.99) / SECOND:.3f} | {plain_failed}, {heavy_failed} |"
         )
     print(*(f"{fault}\n" for fault in faults), sep="", end="")
     print(
@@ -72,7 +73,7 @@
     raise SystemExit(0 if is_good and not faults else 1)
 
 
-def _share(times, share):
+def _quantile(times, share):
     return times[min(len(times) - 1, int(len(times) * share))] if times else timedelta(0)
 
 
--- a/tests/harness/test_soak.py
+++ b/tests/harness/test_soak.py
@@ -6,7 +6,7 @@
 
 from harness.experiments.soak import SoakSpec, play_soak
 from harness.experiments.soak_faults import (
-    Leaving,
+    EdgeShutdown,
     faults_in_logs,
     lost_requests,
     unanswered_requests,
@@ -45,27 +45,27 @@
 
 
 @pytest.mark.parametrize(
-    "leavings",
+    "shutdowns",
     [
         [],
-        [Leaving(OTHER_EDGE, 4.0)],
-        [Leaving(EDGE, 1.0, 4.0)],
-        [Leaving(EDGE, 6.0)],
+        [EdgeShutdown(OTHER_EDGE, 4.0)],
+        [EdgeShutdown(EDGE, 1.0, 4.0)],
+        [EdgeShutdown(EDGE, 6.0)],
     ],
 )
 @pytest.mark.parametrize("rest", [None, Rest(RESTED, LIMIT)])
-def test_a_request_that_was_cut_while_its_edge_stayed_is_reported(leavings, rest):
+def test_a_request_that_was_cut_while_its_edge_stayed_is_reported(shutdowns, rest):
     """Given a cut request that no server ran, on a new connection or on one that may still rest, and an edge that was not leaving
     then, it is reported."""
-    (fault,) = unexplained_cuts([attempt("q1", AttemptEnd.CUT, rest)], {}, leavings, LoopStalls())
+    (fault,) = unexplained_cuts([attempt("q1", AttemptEnd.CUT, rest)], {}, shutdowns, LoopStalls())
     assert "CUT: q1 of lookup" in fault
 
 
 def test_a_request_that_crosses_a_close_is_no_fault():
     """Given requests that no server ran, one cut while its edge left, one on a connection that had rested for longer than the limit that
     its edge may have gone by, and one that was answered, none is reported."""
-    leaving = [Leaving(EDGE, 4.0)]
-    assert unexplained_cuts([attempt("q1", AttemptEnd.CUT)], {}, leaving, LoopStalls()) == []
+    shutdown = [EdgeShutdown(EDGE, 4.0)]
+    assert unexplained_cuts([attempt("q1", AttemptEnd.CUT)], {}, shutdown, LoopStalls()) == []
     assert unexplained_cuts([attempt("q1", AttemptEnd.CUT, Rest(LIMIT + 0.1, LIMIT))], {}, [], LoopStalls()) == []
     assert unexplained_cuts([attempt("q1", AttemptEnd.COMPLETE)], {}, [], LoopStalls()) == []
 
@@ -77,7 +77,7 @@
     stalls = LoopStalls()
     stalls.stalls = [Stall(SENT_AT, SENT_AT + stalled)]
     held = attempt("q1", AttemptEnd.CUT, seconds=0.4)
-    assert bool(unexplained_cuts([held], {}, [Leaving(EDGE, 4.0)], stalls)) is is_reported
+    assert bool(unexplained_cuts([held], {}, [EdgeShutdown(EDGE, 4.0)], stalls)) is is_reported
 
 
 def test_an_answer_that_is_cut_off_at_its_deadline_is_not_lost():
