--- a/harness/commands/allowances.py
+++ b/harness/commands/allowances.py
@@ -1,4 +1,4 @@
-"""`python -m harness.allowances`: the older name of `python -m harness allowances`."""
+"""Runs `python -m harness allowances` under its former name `python -m harness.allowances`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/breaches.py
+++ b/harness/commands/breaches.py
@@ -1,4 +1,4 @@
-"""`python -m harness.breaches`: the older name of `python -m harness breaches`."""
+"""Runs `python -m harness breaches` under its former name `python -m harness.breaches`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/chaos.py
+++ b/harness/commands/chaos.py
@@ -1,4 +1,4 @@
-"""`python -m harness.chaos`: the older name of `python -m harness chaos`."""
+"""Runs `python -m harness chaos` under its former name `python -m harness.chaos`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/city.py
+++ b/harness/commands/city.py
@@ -1,4 +1,4 @@
-"""`python -m harness.city`: the older name of `python -m harness city`."""
+"""Runs `python -m harness city` under its former name `python -m harness.city`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/costs.py
+++ b/harness/commands/costs.py
@@ -1,4 +1,4 @@
-"""`python -m harness.costs`: the older name of `python -m harness costs`."""
+"""Runs `python -m harness costs` under its former name `python -m harness.costs`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/days.py
+++ b/harness/commands/days.py
@@ -1,4 +1,4 @@
-"""`python -m harness.days`: the older name of `python -m harness days`."""
+"""Runs `python -m harness days` under its former name `python -m harness.days`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/digest.py
+++ b/harness/commands/digest.py
@@ -1,4 +1,4 @@
-"""`python -m harness.digest`: the older name of `python -m harness digest`."""
+"""Runs `python -m harness digest` under its former name `python -m harness.digest`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/fuzz.py
+++ b/harness/commands/fuzz.py
@@ -1,4 +1,4 @@
-"""`python -m harness.fuzz`: the older name of `python -m harness fuzz`."""
+"""Runs `python -m harness fuzz` under its former name `python -m harness.fuzz`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/lost_worth.py
+++ b/harness/commands/lost_worth.py
@@ -1,4 +1,4 @@
-"""`python -m harness.lost_worth`: the older name of `python -m harness lost_worth`."""
+"""Runs `python -m harness lost_worth` under its former name `python -m harness.lost_worth`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/model.py
+++ b/harness/commands/model.py
@@ -1,4 +1,4 @@
-"""`python -m harness.model`: the older name of `python -m harness model`."""
+"""Runs `python -m harness model` under its former name `python -m harness.model`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/orders.py
+++ b/harness/commands/orders.py
@@ -1,4 +1,4 @@
-"""`python -m harness.orders`: the older name of `python -m harness orders`."""
+"""Runs `python -m harness orders` under its former name `python -m harness.orders`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/platform_city.py
+++ b/harness/commands/platform_city.py
@@ -1,4 +1,4 @@
-"""`python -m harness.platform_city`: the older name of `python -m harness platform_city`."""
+"""Runs `python -m harness platform_city` under its former name `python -m harness.platform_city`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/policy_ratio.py
+++ b/harness/commands/policy_ratio.py
@@ -1,4 +1,4 @@
-"""`python -m harness.policy_ratio`: the older name of `python -m harness policy_ratio`."""
+"""Runs `python -m harness policy_ratio` under its former name `python -m harness.policy_ratio`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/replacements.py
+++ b/harness/commands/replacements.py
@@ -1,4 +1,4 @@
-"""`python -m harness.replacements`: the older name of `python -m harness replacements`."""
+"""Runs `python -m harness replacements` under its former name `python -m harness.replacements`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/scale.py
+++ b/harness/commands/scale.py
@@ -1,4 +1,4 @@
-"""`python -m harness.scale`: the older name of `python -m harness scale`."""
+"""Runs `python -m harness scale` under its former name `python -m harness.scale`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/scenarios.py
+++ b/harness/commands/scenarios.py
@@ -1,4 +1,4 @@
-"""`python -m harness.scenarios`: the older name of `python -m harness scenarios`."""
+"""Runs `python -m harness scenarios` under its former name `python -m harness.scenarios`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/size.py
+++ b/harness/commands/size.py
@@ -1,4 +1,4 @@
-"""`python -m harness.size`: the older name of `python -m harness size`."""
+"""Runs `python -m harness size` under its former name `python -m harness.size`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/soak.py
+++ b/harness/commands/soak.py
@@ -1,4 +1,4 @@
-"""`python -m harness.soak`: the older form of `python -m harness soak`."""
+"""Runs `python -m harness soak` under its former name `python -m harness.soak`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/storms.py
+++ b/harness/commands/storms.py
@@ -1,4 +1,4 @@
-"""`python -m harness.storms`: the older name of `python -m harness storms`."""
+"""Runs `python -m harness storms` under its former name `python -m harness.storms`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/trials.py
+++ b/harness/commands/trials.py
@@ -1,4 +1,4 @@
-"""`python -m harness.trials`: the older name of `python -m harness trials`."""
+"""Runs `python -m harness trials` under its former name `python -m harness.trials`."""
 
 from harness.__main__ import run_command
 
--- a/harness/commands/twins.py
+++ b/harness/commands/twins.py
@@ -1,4 +1,4 @@
-"""`python -m harness.twins`: the older name of `python -m harness twins`."""
+"""Runs `python -m harness twins` under its former name `python -m harness.twins`."""
 
 from harness.__main__ import run_command
 
--- a/harness/experiments/allowances.py
+++ b/harness/experiments/allowances.py
@@ -220,7 +220,9 @@
         )
         self.p99_wait_ms = waits[int(len(waits) * 0.99)]
         found += [
-            f"{call.tenant}: a call at {call.at} had no answer" for call in simulator.calls if call.answered_at is None
+            f"{call.tenant}: the call at {call.at} got no admission decision"
+            for call in simulator.calls
+            if call.answered_at is None
         ][:1]
         return found
 
@@ -245,7 +247,7 @@
 
 
 def play(seed: int, seconds: int = 60):
-    """Runs one seed.
+    """Injects random faults of one seed into the quota simulator and checks the quota rules.
 
     Returns (seed, deployment, calls by tenant and outcome, calls checked against a floor, 99th percentile of the
     admission wait in ms, violations, injected faults).
@@ -296,7 +298,7 @@
 
 
 def play_deployment(seed: int, seconds: int = 40):
-    """Runs one seed on a whole deployment and returns the same tuple as `play`.
+    """Injects random faults of one seed into a whole deployment with tenants and returns the same tuple as `play`.
 
     No call is checked against a floor, since the faults partition callers, edges and cores at random.
     """
@@ -339,7 +341,7 @@
 
 
 def play_twin(seed: int, place: int, is_flooded: bool, seconds: int = 25):
-    """Runs one seed with or without the flood of a tenant.
+    """Measures the response times of all request groups, with or without a tenant that sends ten times its quota.
 
     Returns (deployment, flooding group, {other group: (seconds to the first byte, calls not answered)}, (calls of the
     flood admitted, calls of the flood refused)).
@@ -393,7 +395,7 @@
             entry[0].extend(times)
             entry[1] += failed
     print(
-        "| city | flooding: let in, refused | group | answered | median s | 99 of 100 within s | not answered |\n|---|---|---|---|---|---|---|"
+        "| deployment | flood: admitted, refused | group | answered | median s | 99th percentile s | not answered |\n|---|---|---|---|---|---|---|"
     )
     for (spec, name, each), pair in sorted(sums.items()):
         (steady, _), (flooded, _) = pair
@@ -454,7 +456,7 @@
     """Prints the table; returns whether every transition took at most half a second."""
     found = list(pool.map(play_turn, seeds))
     print(
-        "| routers | turns | all refuse within ms: median, longest | none refuses after ms: median, longest |\n|---|---|---|---|"
+        "| routers | runs | ms until all refuse: median, longest | ms until none refuses: median, longest |\n|---|---|---|---|"
     )
     for routers in sorted({item[0] for item in found}):
         ups, downs = (sorted(item[place] / SECOND * 1000 for item in found if item[0] == routers) for place in (1, 2))
@@ -483,7 +485,8 @@
         with ProcessPoolExecutor(given.processes) as pool:
             is_good = turns(seeds, pool)
         print(
-            f"{len(seeds)} turns: " + ("all within half a second" if is_good else "some took LONGER than half a second")
+            f"{len(seeds)} load changes: "
+            + ("all within half a second" if is_good else "some took LONGER than half a second")
         )
         raise SystemExit(0 if is_good else 1)
     if given.twins:
@@ -505,7 +508,7 @@
                 print(f"seed {seed} {spec}: {line}", flush=True)
             for line in told if given.tell and found else ():
                 print("       ", *line, flush=True)
-    print("| city | tenant | let in | refused | lost, or refused for another reason |\n|---|---|---|---|---|")
+    print("| deployment | tenant | admitted | refused | lost, or refused for another reason |\n|---|---|---|---|---|")
     for spec, tenant in sorted({key[:2] for key in sums}):
         print(
             f"| {spec} | {tenant} | "
--- a/harness/experiments/lost_worth.py
+++ b/harness/experiments/lost_worth.py
@@ -88,7 +88,7 @@
     for loss in losses:
         groups.setdefault((loss.route, loss.outcome, loss.cause), []).append(loss)
     out = [
-        f"{'route':<12}{'outcome':<9}{'cause':<48}{'count':>6}  most at one server  by {BUCKET_SECONDS} s from {begun_at:%H:%M:%S}"
+        f"{'route':<12}{'outcome':<9}{'cause':<48}{'count':>6}  most affected server  by {BUCKET_SECONDS} s from {begun_at:%H:%M:%S}"
     ]
     for (route, outcome, cause), found in sorted(groups.items(), key=lambda item: -len(item[1])):
         (server, most), *_ = Counter(loss.server for loss in found).most_common(1)
@@ -99,7 +99,7 @@
 
 
 def main() -> None:
-    """Prints the table of one log."""
+    """Prints the table of late and lost requests of one log."""
     parser = argparse.ArgumentParser(prog="python -m harness.lost_worth", description=__doc__)
     parser.add_argument("log", type=Path)
     with parser.parse_args().log.open(errors="replace") as lines:
--- a/harness/experiments/order_history.py
+++ b/harness/experiments/order_history.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class AreaChange:
-    """A call that evacuates an area (`is_left`) or restores it."""
+    """A call that evacuates an area (`is_evacuation`) or restores it."""
 
     zone: str
     is_evacuation: bool
--- a/harness/experiments/scale/plot.py
+++ b/harness/experiments/scale/plot.py
@@ -1,4 +1,4 @@
-"""Draws the plot of docs/CAPACITY.md."""
+"""Draws the plot of docs/CAPACITY.md: costs of a node by mechanism against the fleet size."""
 
 from pathlib import Path
 
--- a/harness/experiments/scale/simulated_fleet.py
+++ b/harness/experiments/scale/simulated_fleet.py
@@ -163,7 +163,7 @@
         return sum(box.machine.state.version < version for box in self.running())
 
     def seconds_until(self, condition, timeout: float):
-        """Returns the virtual seconds, in steps of 0.25, until the condition holds, or None after `most` seconds."""
+        """Returns the virtual seconds, in steps of 0.25, until the condition holds, or None after `timeout` seconds."""
         begun = self.now
         while not condition():
             if self.now - begun >= timedelta(seconds=timeout):
--- a/harness/experiments/scenarios.py
+++ b/harness/experiments/scenarios.py
@@ -55,7 +55,7 @@
     more.is_on = False
     run.end(20)
     done = Counter(call.outcome for call in more.calls)
-    run.figures["of the crowd"] = f"{done['ok']} of {len(more.calls)} answered"
+    run.figures["requests of the load spike"] = f"{done['ok']} of {len(more.calls)} answered"
 
 
 def rare(run):
@@ -74,7 +74,7 @@
             run.deployment._do(run.deployment.boxes["callers"], effect)
     asked = run.callers.calls[before:]
     run.end(40)
-    run.figures["rare asked"] = f"{sum(call.outcome == 'ok' for call in asked)} of {len(asked)} answered"
+    run.figures["one request per model"] = f"{sum(call.outcome == 'ok' for call in asked)} of {len(asked)} answered"
 
 
 def server_crash(run):
@@ -188,7 +188,9 @@
     run.deployment.start("model-1")
     run.deployment.run(1.5)
     _freeze_and_recover(run, run.placer_name(), 10)
-    run.figures["orders under old fences"] = sum(len(record.stale) for record in run.deployment.records.values())
+    run.figures["orders with a stale fencing token"] = sum(
+        len(record.stale) for record in run.deployment.records.values()
+    )
 
 
 def core_swapped(run):
@@ -232,7 +234,7 @@
     run.deployment.start("core-1")
     run.end(35)
     run.figures["acked change kept"] = leader(run.deployment).state.generation >= answer[1]["generation"]
-    run.figures["seats in view"] = len(leader(run.deployment).consensus.members)
+    run.figures["members of the view"] = len(leader(run.deployment).consensus.members)
 
 
 def slow_disks(run):
@@ -330,8 +332,8 @@
         ack = max(ack, acked_at - sent_at)
         run.deployment.run_until(partial(_have_all_edges, run.deployment, generation), 5)
         longest = max(longest, run.deployment.now - acked_at)
-    run.figures["longest order to ack"] = f"{ack / SECOND:.2f} s"
-    run.figures["longest ack to last node"] = f"{longest / SECOND:.2f} s"
+    run.figures["longest time from request to acknowledgement"] = f"{ack / SECOND:.2f} s"
+    run.figures["longest time from acknowledgement to last edge"] = f"{longest / SECOND:.2f} s"
     run.end(5)
 
 
@@ -390,7 +392,7 @@
     back_at = _lose_power(run, ("core", "edge"))
     run.end(25)
     bad = [call.sent_at for call in run.callers.calls if call.sent_at > back_at and call.outcome != "ok"]
-    run.figures["last call not served, after the return"] = f"{(max(bad) - back_at) / SECOND:.2f} s" if bad else "none"
+    run.figures["last failed call, after the restart"] = f"{(max(bad) - back_at) / SECOND:.2f} s" if bad else "none"
 
 
 def _run_power_loss(run, roles, wipe=None):
@@ -399,7 +401,7 @@
     calls = [call for call in run.callers.calls if call.sent_at > back_at and not call.has_moved]
     for kind in ("lookup", "prompt"):
         bad = [call.sent_at for call in calls if call.kind == kind and call.outcome != "ok"]
-        run.figures[f"last {kind} not served, after the return"] = (
+        run.figures[f"last failed {kind}, after the restart"] = (
             f"{(max(bad) - back_at) / SECOND:.2f} s" if bad else "none"
         )
     slow = [
@@ -408,7 +410,9 @@
         if call.kind == "prompt" and call.outcome == "ok" and call.sent_at - back_at < SECOND * 12
     ]
     waits = [(call.first_at or call.ended_at) - call.sent_at for call in slow]
-    run.figures["longest first word of a prompt of the first 12 s"] = f"{max(waits, default=SECOND * 0) / SECOND:.1f} s"
+    run.figures["longest time to the first byte of a prompt of the first 12 s"] = (
+        f"{max(waits, default=SECOND * 0) / SECOND:.1f} s"
+    )
 
 
 def total_with_servers(run):
@@ -447,7 +451,7 @@
             setattr(run.deployment.boxes[name].machine, how, False)
     run.end(20)
     done = Counter(call.outcome for call in more.calls if not call.has_moved)
-    run.figures["of the crowd"] = f"{done['ok']} of {sum(done.values())} answered"
+    run.figures["requests of the load spike"] = f"{done['ok']} of {sum(done.values())} answered"
 
 
 def half_dark(run):
@@ -482,7 +486,7 @@
     run.deployment.kill(box_of(run.deployment, leader(run.deployment)).name)
     run.end(20)
     late = [at for at, _ in run.deployment.arrivals.get("model-2", ()) if at > run.fault_at]
-    run.figures["last sent to it, after the notice"] = (
+    run.figures["last request to the server, after the notice"] = (
         f"{(max(late) - run.fault_at) / SECOND:.2f} s" if late else "nothing"
     )
 
@@ -527,7 +531,7 @@
 
 
 def play(scenario, spec, seed):
-    """Runs one scenario on one deployment and returns the values of its table row."""
+    """Runs one failure scenario on one deployment and returns the values of its table row."""
     run = ScenarioRun(spec, seed)
     scenario(run)
     calls = run.callers.calls
@@ -572,7 +576,7 @@
     if unknown:
         parser.error(f"no scenario is named {', '.join(sorted(unknown))}")
     print(
-        "| scenario | city | calls | answered | not answered | resends to first tries | last bad call, s after the fault | figures | in no log | rules broken |"
+        "| scenario | deployment | calls | answered | not answered | retries per first attempt | last failed call, s after the fault | figures | missing in the log | violations |"
     )
     print("|---|---|---|---|---|---|---|---|---|---|")
     with ProcessPoolExecutor(8) as pool:
@@ -582,7 +586,7 @@
             print(write_row(row.result()), flush=True)
             broken += [(row.result()["scenario"], fault) for fault in row.result()["broken"]]
     for scenario, fault in broken:
-        print(f"broken: {scenario}: {fault}")
+        print(f"violation: {scenario}: {fault}")
     raise SystemExit(1 if broken else 0)
 
 
--- a/harness/experiments/size.py
+++ b/harness/experiments/size.py
@@ -166,7 +166,7 @@
 
 
 def play(story: str, nodes: int, seed: int) -> StoryResult:
-    """Runs one story in a new fleet."""
+    """Runs one failure story in a new fleet; returns its recovery times and traffic."""
     story_fleet = FleetOfSize(nodes, seed)
     story_fleet.settle()
     fleet = story_fleet.fleet
--- a/harness/experiments/soak.py
+++ b/harness/experiments/soak.py
@@ -101,7 +101,7 @@
 
 
 class Soak:
-    """One run; `play` returns its result."""
+    """The soak test of one seed; `play` runs it and returns the result."""
 
     def __init__(self, spec: SoakSpec, work: Path):
         self.spec = spec
@@ -185,16 +185,16 @@
         nodes = self.deployment.nodes
         self.result.actions["restarts"] += 1
         variant = self.random.choice(
-            ("plain", "second SIGTERM", "SIGHUP while it leaves", "SIGHUP as it starts", "SIGTERM as it starts")
+            ("plain", "second SIGTERM", "SIGHUP during shutdown", "SIGHUP during startup", "SIGTERM during startup")
         )
         if variant != "plain":
             self.result.actions[variant] += 1
         async with nodes.restarting(name):
             await self._shut_down(name, variant)
             await nodes.start(name)
-            if variant == "SIGHUP as it starts":
+            if variant == "SIGHUP during startup":
                 await self._signal_within(name, signal.SIGHUP, 1.0)
-            if variant == "SIGTERM as it starts":
+            if variant == "SIGTERM during startup":
                 await asyncio.sleep(self.random.uniform(0.0, 1.5))
                 await self._shut_down(name, "plain")
                 await nodes.start(name)
@@ -218,7 +218,7 @@
         """
         if variant == "second SIGTERM":
             await self._signal_within(name, signal.SIGTERM, 4.0)
-        if variant == "SIGHUP while it leaves":
+        if variant == "SIGHUP during shutdown":
             await self._signal_within(name, signal.SIGHUP, 4.0)
         try:
             code = await asyncio.wait_for(process.wait(), GRACE + EXIT_SLACK)
@@ -255,7 +255,7 @@
             self._change_keys()
             if self.random.random() < TENANT_CHANGE_PORTION:
                 await self.deployment.configure("/Configuration.Update", self._draw_change_of_tenants())
-                self.result.actions["changes of tenants alone"] += 1
+                self.result.actions["changes of tenants only"] += 1
             else:
                 configuration = self._draw_configuration()
                 self.sent_idle_limit_ms = float(configuration["limits"]["idle-timeout-ms"])
--- a/harness/experiments/storms.py
+++ b/harness/experiments/storms.py
@@ -14,7 +14,7 @@
 
 
 def play(seed: int, seconds: float = 60.0, edges=None):
-    """Runs one seed.
+    """Injects random faults of one seed into a deployment under traffic and checks its invariants.
 
     Returns (seed, deployment, calls by outcome, (first attempts, retries), violations, injected faults). The example
     deployment alternates with the seed; every third run ends with a fault and no recovery time after it.
--- a/tests/harness/test_meter.py
+++ b/tests/harness/test_meter.py
@@ -1,4 +1,4 @@
-"""The meter of the capacity runs: what it wraps exists, and it counts what is sent, received and called."""
+"""The meter of the capacity measurement: it wraps existing methods and counts messages and HTTP calls by mechanism."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def running_meter() -> Iterator[meter.Meter]:
-    """A meter that wraps the parts of nodes for one test."""
+    """A meter whose wrapped methods are restored after the test."""
     originals = [(kind, method, getattr(kind, method)) for kind, method in WRAPPED]
     read_frame = node_transport.read_frame
     try:
@@ -30,13 +30,13 @@
         node_transport.read_frame = read_frame
 
 
-def test_parts_that_are_wrapped_exist():
-    """Given the parts whose time is measured, each names a method that its class has."""
+def test_every_wrapped_method_exists():
+    """A renamed component method would no longer be measured; every method that the meter wraps must exist."""
     assert [(kind, method) for kind, method in WRAPPED if not callable(getattr(kind, method, None))] == []
 
 
-def test_a_message_is_counted_when_it_is_packed_and_when_it_is_read(running_meter):
-    """Given one message, its kind, its bytes and the time of its mechanism are counted at both ends."""
+def test_message_is_counted_when_encoded_and_when_decoded(running_meter):
+    """Encoding and decoding a message count its kind and its bytes, and the time to its mechanism."""
     raw = Codec("c", "n", "127.0.0.1:1", 1).pack(("follow", 7, 1))
     frame = node_transport.read_frame("c", raw)
     counts = running_meter.snapshot()
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.parametrize("caller, mechanism", [("watcher", LIST), ("provision", REPORTS)])
-def test_a_call_is_counted_to_its_mechanism(running_meter, caller, mechanism):
-    """Given a call of the reader of the inventory or of the placer, its bytes are counted to that mechanism."""
+def test_http_call_is_counted_to_the_mechanism_of_its_caller(running_meter, caller, mechanism):
+    """Calls of the inventory reader count to the inventory list, those of the provisioner to reports."""
     client = HttpClient(lambda event: None)
     client.fetch(Fetch((caller, 1), "GET", "http://127.0.0.1:1/x", {"a": "b"}, b"", SECOND, SECOND, "whole"))
     assert running_meter.snapshot()["sent"][f"{mechanism} messages"] == 1
