--- a/harness/experiments/lost_worth.py
+++ b/harness/experiments/lost_worth.py
@@ -80,7 +80,7 @@
 
 
 def table(losses: list[Loss]) -> list[str]:
-    """Returns a line per route, outcome and cause: count, the most affected server, and counts per time bucket."""
+    """Returns a line per route, outcome and cause: count, the most at one server, and counts per time bucket."""
     if not losses:
         return ["no request was late or lost"]
     begun_at = min(loss.ended_at for loss in losses)
@@ -88,7 +88,7 @@
     for loss in losses:
         groups.setdefault((loss.route, loss.outcome, loss.cause), []).append(loss)
     out = [
-        f"{'route':<12}{'outcome':<9}{'cause':<48}{'count':>6}  most affected server  by {BUCKET_SECONDS} s from {begun_at:%H:%M:%S}"
+        f"{'route':<12}{'outcome':<9}{'cause':<48}{'count':>6}  most at one server  by {BUCKET_SECONDS} s from {begun_at:%H:%M:%S}"
     ]
     for (route, outcome, cause), found in sorted(groups.items(), key=lambda item: -len(item[1])):
         (server, most), *_ = Counter(loss.server for loss in found).most_common(1)
