--- a/harness/experiments/scale/simulated_fleet.py
+++ b/harness/experiments/scale/simulated_fleet.py
@@ -1,6 +1,4 @@
-"""A whole fleet of one size in virtual time: the real machines of every node, over the real codec, among hollow
-servers.
-"""
+"""A fleet of a given size in virtual time: the real state machines of all nodes over the real codec, with fake servers."""
 
 from collections import Counter
 from datetime import timedelta
@@ -20,15 +18,15 @@
 from sumachook.simulation.platform import Platform
 from sumachook.transport.node_message import wire_kind
 
-MOST_DATAGRAM = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 BETWEEN_ZONES = "bytes between zones"
-TURN = timedelta(seconds=0.25)
+STEP = timedelta(seconds=0.25)
 
 
 class SimulatedFleet(Fleet):
-    """A Fleet that counts by role, mechanism and second what is sent: `traffic[second][role, mechanism, unit]`.
+    """A Fleet that counts the messages sent: `traffic[second][role, mechanism, unit]`.
 
-    Servers and the list have no pulse; the witness does not look on: what is asked here is cost and time, not rules
+    Servers and the platform get no ticks and no invariants are checked, since this fleet only measures costs and times
     (docs/design/simulation.md).
     """
 
@@ -87,10 +85,10 @@
         if box.zone != other.zone:
             counts[box.role, mechanism, BETWEEN_ZONES] += len(raw)
         self.longest[kind] = max(self.longest[kind], len(raw))
-        if not is_cast or len(raw) <= MOST_DATAGRAM:  # as the node port does
+        if not is_cast or len(raw) <= MAX_DATAGRAM_BYTES:  # larger datagrams are dropped, as by the node transport
             self._send(box, other, self._receive_message, other, raw)
 
-    # what is asked of it ----------------------------------------------------------
+    # queries and changes ----------------------------------------------------------
 
     def boxes_of(self, role: str, zone=None) -> list:
         return [box for box in self.boxes.values() if box.role == role and zone in (None, box.zone)]
@@ -121,8 +119,11 @@
             None,
         )
 
-    def acquaint(self):
-        """Everybody knows everybody, and has no news to tell: as in a fleet that has been up for some minutes."""
+    def fill_member_lists(self):
+        """Sets the member list of every node to all running nodes and clears pending gossip.
+
+        This is the state of a fleet that has been up for some minutes.
+        """
         updates = {box.machine.node: box.machine.membership.local_member.to_update() for box in self.running()}
         for box in self.running():
             membership = box.machine.membership
@@ -131,12 +132,15 @@
             }
             membership.gossip.clear()
 
-    def unaware(self, groups=None) -> int:
-        """How many running nodes do not hold just the running nodes of their own group as live, in their present lives."""
+    def count_unaware(self, groups=None) -> int:
+        """Counts the running nodes whose live members are not exactly the running nodes of their own group.
+
+        A member counts as known only with its current restart epoch.
+        """
         count = 0
         for group in groups or [[box.name for box in self.running()]]:
             boxes = [self.boxes[name] for name in group if self.boxes[name].machine is not None]
-            truth = {box.machine.node: box.machine.restart_epoch for box in boxes}
+            expected = {box.machine.node: box.machine.restart_epoch for box in boxes}
             for box in boxes:
                 known = {
                     node: member.restart_epoch
@@ -144,38 +148,38 @@
                     if member.status in LIVE_STATUSES
                 }
                 known[box.machine.node] = box.machine.restart_epoch
-                count += known != truth
+                count += known != expected
         return count
 
-    def untrusting(self, names=None) -> int:
-        """Edges that do not hold their state for fresh."""
+    def count_stale_edges(self, names=None) -> int:
+        """Counts the running edges, all or those in `names`, that do not consider their state fresh."""
         return sum(
             box.machine.follower.trust(self.now) != "fresh"
             for box in self.boxes_of("edge")
             if box.machine and (names is None or box.name in names)
         )
 
-    def behind(self, version: int) -> int:
+    def count_behind(self, version: int) -> int:
         return sum(box.machine.state.version < version for box in self.running())
 
-    def seconds_until(self, is_reached, most: float):
-        """Virtual seconds, in quarters, or None."""
+    def seconds_until(self, condition, timeout: float):
+        """Returns the virtual seconds, in steps of 0.25, until the condition holds, or None after `timeout` seconds."""
         begun = self.now
-        while not is_reached():
-            if self.now - begun >= timedelta(seconds=most):
+        while not condition():
+            if self.now - begun >= timedelta(seconds=timeout):
                 return None
-            self.run(TURN.total_seconds())
+            self.run(STEP.total_seconds())
         return (self.now - begun).total_seconds()
 
-    def spent(self, start: int, end: int) -> dict:
-        """{"role mechanism unit": count} of the seconds from `start` up to `end`."""
-        whole = Counter()
+    def traffic_between(self, start: int, end: int) -> dict:
+        """Returns {"role mechanism unit": count} of the seconds from `start` to before `end`."""
+        total = Counter()
         for second in range(start, end):
-            whole.update(self.traffic.get(second, {}))
-        return {" ".join(key): count for key, count in sorted(whole.items())}
+            total.update(self.traffic.get(second, {}))
+        return {" ".join(key): count for key, count in sorted(total.items())}
 
     def change(self, version: int):
-        """An operator's change at the leader, applied or not yet."""
+        """Proposes an operator's change at the leader, if there is one; returns before the change is committed."""
         leader = self.leader()
         if leader is not None:
             doc = {"version": version, "httpRoutes": [self.site.route(100 + version)]}
--- a/harness/experiments/scale/socket_run.py
+++ b/harness/experiments/scale/socket_run.py
@@ -1,4 +1,7 @@
-"""One size on loopback: three cores in full, edges hollow but for two real processes, servers and list hollow."""
+"""A measurement of one fleet size on loopback.
+
+Three full cores, two edges as real processes, all other edges with fake traffic, and fakes of servers and inventory.
+"""
 
 import json
 import time
@@ -10,36 +13,35 @@
 from harness.experiments.scale.site import REAL_EDGES, Site
 from harness.experiments.scale.size import Size
 
-METERED, MOST_HOSTS, EDGES_A_HOST = 12, 4, 60
-TICK, SLOW_TICK, MOST_AT_FULL_TICK = 50, 200, 150
-WINDOW, QUIET, SETTLE_WITHIN = 12.0, 3.0, 120.0
+METERED_EDGES, MAX_HOSTS, EDGES_PER_HOST = 12, 4, 60
+TICK, SLOW_TICK, MAX_NODES_AT_FULL_TICK = 50, 200, 150
+PHASE_S, QUIET_S, SETTLE_TIMEOUT_S = 12.0, 3.0, 120.0
 RATES = (0.25, 1.0)
-COLD_LOADS, CHANGES, WHOLES = 10, 8, 2
+COLD_LOADS, CHANGES, FULL_CHANGES = 10, 8, 2
 
 
 class SocketRun:
-    """`take()` gives what was measured: a dictionary of phases, each with what cores, metered edges and real edges did
-    in it.
+    """`take()` runs the measurement and returns its phases with the figures of cores, metered edges and real edges.
 
-    The first host's few edges are those that are metered; in a large fleet the others pulse less often, so that none is
-    short of processor time. What they say comes by its own timers, at most one of their pulses late.
+    Only the edges of the first host process are metered. In a large fleet the other edges tick less often, so that no
+    process runs short of processor time; their messages follow timers and are at most one tick late.
     """
 
-    __slots__ = ("site", "work", "cores", "hosts", "real", "stand", "versions", "shares")
+    __slots__ = ("site", "work", "cores", "hosts", "real", "platform", "versions", "shares")
 
     def __init__(self, size: Size, work: Path):
         self.site, self.work, self.versions = Site(size), work, 0
-        self.cores, self.hosts, self.shares, self.real, self.stand = {}, [], [], {}, None
+        self.cores, self.hosts, self.shares, self.real, self.platform = {}, [], [], {}, None
 
     def take(self) -> dict:
         try:
-            found = self._play()
+            found = self._measure()
         finally:
-            said = self._end()
-        return found | said | {"disk": self._disk()}
+            reply = self._end()
+        return found | reply | {"disk": self._disk()}
 
     def _disk(self) -> dict:
-        """Bytes of all cores' files, by what they are: consensus, ledger, day."""
+        """Returns the bytes of all cores' files by kind: consensus, ledger, day."""
         sizes = {}
         for core in self.site.cores:
             for file in (self.work / core).iterdir():
@@ -48,15 +50,15 @@
         return sizes
 
     def _end(self) -> dict:
-        """Ends what was started; gives the stand's last word: loads, and breaches of room."""
+        """Ends all child processes; returns the fake platform's counts of model loads and memory limit violations."""
         for child in self.real.values():
             child.process.terminate()
         for child in [*self.hosts, *self.cores.values(), *self.real.values()]:
             child.stop()
-        lines = self.stand.stop().split() if self.stand else []
+        lines = self.platform.stop().split() if self.platform else []
         return json.loads("".join(lines)) if lines else {}
 
-    def _play(self):
+    def _measure(self):
         site, size = self.site, self.site.size
         begun = time.monotonic()
         self._start()
@@ -75,19 +77,19 @@
             "phases": {},
         }
         self._all("calm")
-        time.sleep(QUIET)
-        self._phase(found, "rest", lambda: time.sleep(WINDOW))
+        time.sleep(QUIET_S)
+        self._phase(found, "rest", lambda: time.sleep(PHASE_S))
         for rate in RATES:
             self._rate(rate * size.requests)
-            time.sleep(QUIET)
-            self._phase(found, f"requests {rate}", lambda: time.sleep(WINDOW))
+            time.sleep(QUIET_S)
+            self._phase(found, f"requests {rate}", lambda: time.sleep(PHASE_S))
         found["state"] = self._footprints()
         self._rate(0.0)
-        time.sleep(QUIET * 2)
+        time.sleep(QUIET_S * 2)
         self._phase(found, "loads", self._load_cold)
         found["changes"] = []
         self._phase(found, "changes", lambda: found["changes"].extend(self._change(False) for _ in range(CHANGES)))
-        self._phase(found, "wholes", lambda: found["changes"].extend(self._change(True) for _ in range(WHOLES)))
+        self._phase(found, "wholes", lambda: found["changes"].extend(self._change(True) for _ in range(FULL_CHANGES)))
         totals = self._all("mark")[len(self.cores) :]
         found |= {
             "asked": sum(each["asked"] for each in totals),
@@ -100,8 +102,8 @@
 
     def _start(self):
         site, nodes, restart_epoch = self.site, str(self.site.size.nodes), str(time.time_ns() // 1_000_000)
-        self.stand = Child("harness.experiments.scale.fake_platform", nodes, log=self.work / "stand.log")
-        self.stand.answer()
+        self.platform = Child("harness.experiments.scale.fake_platform", nodes, log=self.work / "stand.log")
+        self.platform.answer()
         for name in site.cores:
             self.cores[name] = Child(
                 "harness.experiments.scale.host",
@@ -116,9 +118,9 @@
             file = self.work / f"{name}.json"
             file.write_text(json.dumps(site.settings(name)))
             self.real[name] = Child("sumachook", "edge", "--params", str(file), log=self.work / f"{name}.log")
-        metered, others = site.edges[REAL_EDGES : REAL_EDGES + METERED], site.edges[REAL_EDGES + METERED :]
-        hosts = min(MOST_HOSTS, -(-len(others) // EDGES_A_HOST))
-        tick = TICK if site.size.nodes <= MOST_AT_FULL_TICK else SLOW_TICK
+        metered, others = site.edges[REAL_EDGES : REAL_EDGES + METERED_EDGES], site.edges[REAL_EDGES + METERED_EDGES :]
+        hosts = min(MAX_HOSTS, -(-len(others) // EDGES_PER_HOST))
+        tick = TICK if site.size.nodes <= MAX_NODES_AT_FULL_TICK else SLOW_TICK
         for place, (each, names) in enumerate(
             [(TICK, metered), *((tick, others[place::hosts]) for place in range(hosts))]
         ):
@@ -142,8 +144,11 @@
         return [child.answer() for child in children]
 
     def _settle(self):
-        """Everybody knows everybody, the list, the catalogue and what stands where."""
-        end, size = time.monotonic() + SETTLE_WITHIN, self.site.size
+        """Waits until all nodes know each other, the inventory, the catalogue and the models of each server.
+
+        Exits with an error after SETTLE_WITHIN seconds.
+        """
+        end, size = time.monotonic() + SETTLE_TIMEOUT_S, self.site.size
         while time.monotonic() < end:
             found = self._all("ready")
             if (
@@ -154,7 +159,7 @@
             ):
                 return
             time.sleep(0.5)
-        raise SystemExit(f"{size.nodes} nodes did not settle within {SETTLE_WITHIN} s: {found}")
+        raise SystemExit(f"{size.nodes} nodes did not settle within {SETTLE_TIMEOUT_S} s: {found}")
 
     # phases ---------------------------------------------------------------------
 
@@ -207,7 +212,7 @@
             host.tell("cold", name=name)
             host.answer()
             time.sleep(1.0)
-        time.sleep(QUIET)
+        time.sleep(QUIET_S)
 
     def _change(self, is_whole) -> dict:
         if is_whole:
@@ -220,7 +225,11 @@
         return found
 
     def _configure(self, doc, is_part) -> dict:
-        """One order, at one core after the other until it is answered; the seconds until every edge confirmed it."""
+        """Sends a configuration to one core after the other until one accepts it.
+
+        Returns its size and the seconds until all edges confirmed it. Exits with an error if it is refused or after
+        60 attempts.
+        """
         body = json.dumps(
             {"request": f"v{doc['version']}", "doc": doc, "part": is_part, "ifVersion": self.versions}
         ).encode()
@@ -234,21 +243,21 @@
                     ),
                     timeout=15,
                 ) as answer:
-                    said = json.loads(answer.read())
+                    reply = json.loads(answer.read())
                     self.versions = doc["version"]
                     return {
                         "isPart": is_part,
                         "bytes": len(body),
                         "seconds": round(time.monotonic() - begun, 3),
-                        "unconfirmed": len(said["unconfirmed"]),
+                        "unconfirmed": len(reply["unconfirmed"]),
                     }
             except urllib.error.HTTPError as error:
-                if error.code < 500 and error.code != 307:  # a long order is handed on to the leader
+                if error.code < 500 and error.code != 307:  # 307: the core redirects a large request to the leader
                     raise SystemExit(f"a configuration was refused: {error.read()[:400]}") from None
             except OSError:
                 pass
             time.sleep(0.5)
-        raise SystemExit("no core takes a configuration")
+        raise SystemExit("no core accepted the configuration within 60 attempts")
 
 
 def _difference(before, after):
--- a/tests/nodes/test_operator_changes.py
+++ b/tests/nodes/test_operator_changes.py
@@ -578,7 +578,7 @@
     def fault_of(*orders, present=(), refuse_after=False):
         history = OrderHistory(5, orders=list(orders))
         if refuse_after:
-            history.note_answer(orders[0], SECOND * 3, 412, True)
+            history.record_answer(orders[0], SECOND * 3, 412, True)
         return history.faults({"httpRoutes": [{"name": mark} for mark in present]})
 
     def order(mark, base, version, *kinds, **more):
