--- a/harness/fakes/__init__.py
+++ b/harness/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes of all that is around the system on the users' platform, written after its pages; real sockets, one process."""
+"""Fakes of the users' platform around the system, written from its documentation: real sockets in one process."""
--- a/harness/fakes/balancer.py
+++ b/harness/fakes/balancer.py
@@ -1,4 +1,4 @@
-"""Which edge node a client's new connection goes to."""
+"""A fake load balancer: chooses the edge node for each new connection of a client."""
 
 import asyncio
 from zlib import crc32
@@ -9,9 +9,11 @@
 
 
 class Balancer:
-    """Asks every node's readiness once a second; `choose` gives the front of a node of the client's zone, by a hash.
+    """Probes the readiness of every edge node once a second; `choose` returns the front address of a node in the
+    client's zone, selected by a hash of the client.
 
-    Where fewer than half of a zone's nodes are in, all of them are used; where none is, those of all zones.
+    If fewer than half of a zone's nodes are ready, all of its nodes are used; if none is ready, the ready nodes of all
+    zones are used.
     """
 
     __slots__ = ("nodes", "misses", "tasks", "stirred")
--- a/harness/fakes/call_history.py
+++ b/harness/fakes/call_history.py
@@ -1,4 +1,4 @@
-"""What clients and servers saw, each for itself, and where that breaks a rule."""
+"""Records what fake clients sent and fake servers ran, and reports where the two records break a rule."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a client; `is_promised_not_run`: its answer promised that it has not run and never will."""
+    """One attempt of a client. `is_promised_not_run`: its response promised that it has not run and never will."""
 
     kind: RequestKind
     path: str
@@ -20,7 +20,9 @@
 
 
 class CallHistory:
-    """`violations` compares what was asked with what ran, and adds what fakes and clients noted on the spot.
+    """Compares the requests that clients sent with those that servers ran.
+
+    `violations` also includes the violations that fakes and clients noted as they happened.
 
     >>> call_history = CallHistory(loads_per_s=2.0)
     >>> call_history.ran("t1", "i-1", "records", "/x/", "0")
--- a/harness/fakes/client.py
+++ b/harness/fakes/client.py
@@ -1,4 +1,4 @@
-"""One client: a request with its retries, and the checks of what comes back."""
+"""A fake client that sends a request, retries it, and checks each response."""
 
 import asyncio
 from itertools import count
@@ -19,7 +19,7 @@
 
 
 class Client:
-    """`ask(kind)` makes one request within its deadline, and says what it met: in time, late, refused or failed."""
+    """`ask(kind)` makes one request within its deadline and returns its outcome: in time, late, refused or failed."""
 
     __slots__ = ("name", "zone", "host", "call_history", "balancer", "random", "session")
 
@@ -35,7 +35,7 @@
         self.random = Random(name)
 
     async def ask(self, kind: RequestKind):
-        """(outcome, seconds to the answer or the first event, or None, the last status)."""
+        """Returns (outcome, seconds to the response or its first event or None, status of the last attempt)."""
         loop = asyncio.get_running_loop()
         begun, until = loop.time(), loop.time() + kind.deadline.total_seconds()
         path, body, headers, total = self._draw_request(kind)
@@ -74,7 +74,7 @@
         return path, body, headers, event_count(tokens_out)
 
     async def _try(self, kind, path, body, headers, reading, until, number) -> bool:
-        """Whether a further try is allowed, if time is left."""
+        """Makes one attempt; returns whether another one is allowed if time is left before the deadline."""
         request = f"{self.random.getrandbits(64):016x}"
         asked = self.call_history.attempts[request] = Attempt(kind, path, digest_of(body), credential=STANDING_KEYS[0])
         left = until - asyncio.get_running_loop().time()
@@ -115,17 +115,17 @@
         back = answer.headers.get(REQUEST)
         if 200 <= answer.status < 300:
             if SEAL not in answer.headers:
-                self._note(kind, request, f"a success ({answer.status}) without a seal")
+                self._note(kind, request, f"a success response ({answer.status}) without a seal")
             elif not answer.headers[SEAL].endswith("." + request):
                 self._note(kind, request, f"the seal of another request, {answer.headers[SEAL]}")
             elif answer.headers[SEAL] not in self.call_history.bodies:
-                self._note(kind, request, f"a seal that no server gave, {answer.headers[SEAL]}")
+                self._note(kind, request, f"a seal that no server issued, {answer.headers[SEAL]}")
             if back != request:
                 self._note(kind, request, f"the id of another request, {back}")
         elif back not in (None, request):
-            self._note(kind, request, f"a refusal with the id of another request, {back}")
+            self._note(kind, request, f"a rejection with the id of another request, {back}")
         if "Content-Encoding" in answer.headers:
-            self._note(kind, request, "a body that was encoded on its way")
+            self._note(kind, request, "a body that was re-encoded in transit")
 
     async def _read(self, kind, request, answer, reading):
         loop = asyncio.get_running_loop()
@@ -135,7 +135,7 @@
             sealed = self.call_history.bodies.get(answer.headers.get(SEAL))
             reading.is_whole = body == sealed
             if sealed not in (None, body):
-                self._note(kind, request, f"a body of {len(body)} bytes that is not the server's")
+                self._note(kind, request, f"a body of {len(body)} bytes that differs from the one the server sent")
             return
         silence = max(2.0, 4 * kind.aim.total_seconds(), 8 * kind.gap.total_seconds())
         while line := await asyncio.wait_for(answer.content.readuntil(b"\n\n"), silence):
@@ -144,7 +144,7 @@
         reading.is_whole = reading.events == reading.total
         if not reading.is_whole:
             self._note(
-                kind, request, f"a stream that ends as complete after {reading.events} of {reading.total} events"
+                kind, request, f"a stream that ended as complete after {reading.events} of {reading.total} events"
             )
 
     def _note(self, kind, request, reason):
--- a/harness/fakes/delayed_view.py
+++ b/harness/fakes/delayed_view.py
@@ -1,4 +1,4 @@
-"""A view of something that lags behind it."""
+"""A view that shows the value of a function with a fixed delay."""
 
 import asyncio
 from collections import deque
@@ -7,7 +7,10 @@
 
 
 class DelayedView:
-    """Looks twenty times a second from `begin` to `end`; `shown` is what it saw `lag` seconds ago, or first."""
+    """Polls `look()` twenty times a second between `begin` and `end`.
+
+    `shown` returns the value from `lag` seconds ago, or the initial value until then.
+    """
 
     __slots__ = ("look", "lag", "seen", "task")
 
--- a/harness/fakes/deployment.py
+++ b/harness/fakes/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment on the users' platform: what there is, what is configured, who calls."""
+"""A small deployment among fakes of the users' platform: its nodes and servers, its configuration and its clients."""
 
 import asyncio
 import json
@@ -140,8 +140,9 @@
 
 
 class Deployment:
-    """`async with Deployment(work, edges)` stands, and leaves nothing behind; `ask(kind, number)` makes one request,
-    `call(kind, seconds, pace)` many at the kind's rate.
+    """`async with Deployment(work, edges)` starts the fakes and the nodes, and stops all of them at its end.
+
+    `ask(kind, number)` makes one request; `call(kind, seconds, pace)` makes requests at the kind's rate times `pace`.
     """
 
     __slots__ = (
@@ -207,19 +208,19 @@
             await server.end()
 
     async def configure(self, path: str, doc: dict):
-        """Sends an order of configuration until it is clearly answered, and keeps what stands from then on."""
+        """Sends a configuration change until it gets a conclusive response; records the document if acknowledged."""
         tenant_keys = self.call_history.tenant_keys
         wanted = self._with_change(doc)
         tenant_keys.note_sent(wanted.get("tenants", []))
         answer = await self.operator.order("POST", path, {"Sumachook-Base-Version": str(self.version)}, doc)
         if answer is None or answer[0] != 200:
-            self.call_history.noted.append(f"no acknowledgement of version {doc['version']}: {answer}")
+            self.call_history.noted.append(f"configuration version {doc['version']} was not acknowledged: {answer}")
             return
         self.version, self.document = doc["version"], wanted
         tenant_keys.note_acknowledged()
 
     def _with_change(self, doc: dict) -> dict:
-        """The whole that a change makes of the document that stands."""
+        """Returns the full document that results from applying a change to the current one."""
         if "upserts" not in doc:
             return doc
         changed = {**self.document, "version": doc["version"]}
@@ -229,7 +230,7 @@
         return changed
 
     async def add_route(self):
-        """A route more, while clients ask."""
+        """Adds one route while clients send requests."""
         await self.configure(
             "/Configuration.Update", {"version": self.version + 4, "upserts": {"routes": [ADDED.route(HOST)]}}
         )
@@ -238,7 +239,7 @@
         answer = await self.operator.order("GET", "/Configuration.Read", within=10.0)
         if answer is None or answer[0] != 200 or _sorted(json.loads(answer[1])) != _sorted(self.document):
             self.call_history.noted.append(
-                f"CONFIG: version {self.version} is not read back as it was acknowledged: {str(answer)[:200]}"
+                f"CONFIG: version {self.version} as read back differs from the acknowledged one: {str(answer)[:200]}"
             )
 
     async def ask(self, kind: RequestKind, number: int):
@@ -247,7 +248,7 @@
         self.outcomes.setdefault(kind.name, []).append(await client.ask(kind))
 
     async def call(self, kind: RequestKind, seconds: float, pace: float):
-        """Requests of one kind at random moments; returns when all are answered."""
+        """Makes requests of one kind as a Poisson process; returns when all have ended."""
         loop, random, number = asyncio.get_running_loop(), Random(kind.name), 0
         until = loop.time() + seconds
         async with asyncio.TaskGroup() as asked:
@@ -269,7 +270,7 @@
 
 
 def _edge_address(net: str, place: int) -> str:
-    """The first edges lie beside the servers, the others in the networks after theirs."""
+    """Returns an edge's IP address: the first 50 are in the servers' /24 network, others in the networks after it."""
     if place < EDGES_BESIDE_SERVERS:
         return f"{net}.{41 + place}"
     further = place - EDGES_BESIDE_SERVERS
@@ -278,7 +279,7 @@
 
 
 def _free_network() -> str:
-    """Loopback addresses that no other deployment on this machine has."""
+    """Returns the first three octets of a loopback /24 network that no other deployment on this machine uses."""
     random = Random()
     while True:
         net = f"127.{random.randint(2, 250)}.{random.randint(1, 240)}"
--- a/harness/fakes/instance_list.py
+++ b/harness/fakes/instance_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers."""
+"""A fake of the platform's HTTP list of servers."""
 
 import asyncio
 from collections import deque
@@ -11,8 +11,9 @@
 
 
 class InstanceList:
-    """`GET /instances`, page by page, as things stood `lag` seconds ago: empty at first; more calls than `rate` a
-    second get 429.
+    """Serves `GET /instances` in pages, with the state of the servers from `lag` seconds ago.
+
+    The list is empty at first. Calls beyond `rate` per second are answered with status 429.
     """
 
     __slots__ = ("address", "servers", "rate", "calls", "history", "runner", "count")
--- a/harness/fakes/kept_client.py
+++ b/harness/fakes/kept_client.py
@@ -1,4 +1,4 @@
-"""A client that goes on using its connections until they are closed, and tells how each of its requests ended."""
+"""A fake client that reuses its connection until it is closed, and records how each of its requests ended."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,17 +13,17 @@
 from harness.fakes.tenants import CREDENTIAL, NO_KEY, TENANT, TenantKeys
 
 CONNECT_WITHIN = 1.0  # seconds
-WAIT_AFTER_DEADLINE = 1.0  # seconds, for the answer that tells of it
-SHORT_REST, LONG_REST_PORTION = 0.15, 0.25  # mean seconds of most rests; how many last up to the idle limit instead
-MAX_REST_OF_LIMIT = 0.8  # of the idle limit: what clients of the users' platform keep to
+WAIT_AFTER_DEADLINE = 1.0  # seconds, for the response that reports the exceeded deadline
+SHORT_REST, LONG_REST_PORTION = 0.15, 0.25  # mean idle seconds; share that idle up to the limit
+MAX_REST_OF_LIMIT = 0.8  # share of the idle limit that clients of the users' platform do not exceed
 LIMIT_BYTES = 1 << 25
-FORGED_TENANT_PORTION = 0.1  # of requests that name a tenant themselves
-SHARED_TOKENS = 200  # of each prompt
+FORGED_TENANT_PORTION = 0.1  # share of requests that carry a tenant header of their own
+SHARED_TOKENS = 200  # prompt tokens that all requests have in common
 HEAD_END, CHUNK_END = b"\r\n\r\n", b"\r\n"
 
 
 class AttemptEnd(StrEnum):
-    """How a request ended for its client."""
+    """How a request ended from the client's point of view."""
 
     COMPLETE = "a whole answer"
     CUT = "its connection ended without a whole answer"
@@ -33,8 +33,8 @@
 
 
 class IdleLimits(NamedTuple):
-    """For how many seconds a connection may rest: by the limit that is acknowledged, which clients know, and by the
-    shortest that an edge may go by already.
+    """How many seconds a connection may be idle: by the acknowledged limit, which clients know, and by the shortest
+    limit that some edge may already apply.
     """
 
     known: float
@@ -42,7 +42,7 @@
 
 
 class Rest(NamedTuple):
-    """For how many seconds a connection had rested, and the shortest limit that an edge may have gone by."""
+    """How many seconds a connection had been idle, and the shortest idle limit that an edge may have applied."""
 
     seconds: float
     shortest_limit: float
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptAttempt:
-    """One request; times are the loop's, in seconds.
+    """One request and its end; times are seconds of the event loop's clock.
 
-    `rest` is that of its connection since the answer before, None on a new connection. Its connection stood, for all
-    that the client could see, as the request was written.
+    `rest` is the idle time of its connection since the previous response, None on a new connection. As far as the
+    client could see, the connection was open when the request was written.
     """
 
     request_id: str
@@ -68,48 +68,48 @@
 
     @property
     def seconds(self) -> float:
-        """From its sending to its end."""
+        """Seconds from sending the request to its end."""
         return self.ended_at - self.started_at
 
     @property
     def was_kept(self) -> bool:
-        """Whether its connection had carried another request before."""
+        """Whether the request was sent on a connection that had carried an earlier one."""
         return self.rest is not None
 
 
 class _Connection:
-    """One connection; when it began to rest, and the shortest idle limit then."""
+    """One connection, the time since when it is idle, and the shortest idle limit at that time."""
 
     __slots__ = ("edge", "reader", "writer", "resting_since", "shortest_limit")
 
     def __init__(self, edge: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
         self.edge, self.reader, self.writer = edge, reader, writer
-        self.resting_since: float | None = None  # None: no answer has come on it
+        self.resting_since: float | None = None  # None: no response has arrived on this connection
         self.shortest_limit = 0.0
 
     @property
     def has_ended(self) -> bool:
-        """Whether the other side has closed it, as far as has come through."""
+        """Whether a close by the other side has been received."""
         return self.reader.at_eof() or self.reader.exception() is not None
 
     def begin_rest(self, now: float, shortest_limit: float) -> None:
-        """An answer has come to its end."""
+        """Marks the connection as idle after the end of a response."""
         self.resting_since, self.shortest_limit = now, shortest_limit
 
     def rest(self, now: float) -> Rest | None:
-        """How long it has rested since its last answer."""
+        """Returns the idle time since the last response, or None before the first response."""
         return None if self.resting_since is None else Rest(now - self.resting_since, self.shortest_limit)
 
 
 class _Answer(NamedTuple):
-    """The status of an answer, and whether its connection ends with it."""
+    """The status of a response, and whether the connection closes after it."""
 
     status: int
     is_last: bool
 
 
 class KeptClient:
-    """`run(until)` sends requests of drawn kinds, one after the other, mostly on the connection of the one before."""
+    """`run(until)` sends requests of random kinds one after the other, mostly on the same connection."""
 
     __slots__ = (
         "zone",
@@ -127,13 +127,13 @@
     def __init__(self, name: str, zone: str, host: str, kinds, call_history: CallHistory, balancer, idle_limit):
         self.name, self.zone, self.host, self.kinds = name, zone, host, kinds
         self.call_history, self.balancer = call_history, balancer
-        self.idle_limit = idle_limit  # gives the `IdleLimits` now
+        self.idle_limit = idle_limit  # returns the current `IdleLimits`
         self.random = Random(name)
         self.attempts: list[KeptAttempt] = []
         self.connection: _Connection | None = None
 
     async def run(self, until: float):
-        """Asks until the loop's time is this."""
+        """Sends requests until the event loop's clock reaches `until` (seconds)."""
         loop = asyncio.get_running_loop()
         weights = [kind.rate for kind in self.kinds]
         try:
@@ -198,7 +198,7 @@
             self.connection = None
 
     def _draw_request(self, kind: RequestKind, credential: str) -> tuple[str, bytes]:
-        """Its id, and its bytes."""
+        """Returns the id and the encoded bytes of a new request."""
         request_id = f"{self.random.getrandbits(64):016x}"
         is_lookup = kind.form == "idempotent"
         body = b"" if is_lookup else b'{"text":"%s"}' % (b"x" * self.random.randint(1, 400))
@@ -217,7 +217,7 @@
         return request_id, "\r\n".join(head).encode() + HEAD_END + body
 
     def _draw_prompt(self, kind: RequestKind) -> dict[str, str]:
-        """The headers that tell of the model and the prompt."""
+        """Returns headers for a randomly drawn model, its token counts and its prompt prefix."""
         (model,) = self.random.choices([name for name, _ in kind.models], [share for _, share in kind.models])
         own, tokens_out = self.random.randint(20, 200), self.random.randint(12, 60)
         return {
@@ -227,7 +227,7 @@
         }
 
     async def _read_answer(self, connection: _Connection, request_id: str) -> _Answer:
-        """The answer; raises where it does not come to its end."""
+        """Reads one response; raises OSError, EOFError or ValueError if it is not complete."""
         reader = connection.reader
         head = (await reader.readuntil(HEAD_END)).decode("latin-1").split("\r\n")
         status = int(head[0].split(" ")[1])
@@ -239,5 +239,5 @@
         else:
             await reader.readexactly(int(headers["content-length"]))
         if 200 <= status < 300 and not headers.get(SEAL.lower(), "").endswith("." + request_id):
-            self.call_history.noted.append(f"MIXED: {request_id} got another request's answer on a kept connection")
+            self.call_history.noted.append(f"MIXED: {request_id} got another request's response on a reused connection")
         return _Answer(status, headers.get("connection", "").lower() == "close")
--- a/harness/fakes/loop_stalls.py
+++ b/harness/fakes/loop_stalls.py
@@ -1,26 +1,26 @@
-"""When the event loop of this process stood still: what its clocks measured meanwhile says nothing of others."""
+"""Records stalls of this process's event loop: durations measured meanwhile say nothing about other processes."""
 
 import asyncio
 from typing import NamedTuple
 
-INTERVAL = 0.05  # seconds between two looks
+INTERVAL = 0.05  # seconds between two readings of the clock
 SHORTEST_STALL = 0.25  # seconds
 
 
 class Stall(NamedTuple):
-    """A time in which the loop ran nothing, by its own clock in seconds."""
+    """An interval in which the event loop ran nothing, in seconds of its own clock."""
 
     since: float
     until: float
 
     @property
     def seconds(self) -> float:
-        """How long it lasted."""
+        """The length of the stall in seconds."""
         return self.until - self.since
 
 
 class LoopStalls:
-    """Looks at the clock again and again, as a task of the loop; `stalls` are the times in which it could not."""
+    """A task of the event loop that reads the clock at a fixed interval; a late reading is recorded in `stalls`."""
 
     __slots__ = ("stalls", "looked_at", "task")
 
@@ -30,12 +30,12 @@
         self.task: asyncio.Task | None = None
 
     def begin(self):
-        """Looks from now on."""
+        """Starts reading the clock."""
         self.looked_at = asyncio.get_running_loop().time()
         self.task = asyncio.get_running_loop().create_task(self._look())
 
     def end(self):
-        """Looks no more."""
+        """Stops reading the clock."""
         if self.task is not None:
             self.task.cancel()
 
@@ -45,20 +45,20 @@
             self.note(asyncio.get_running_loop().time())
 
     def note(self, now: float):
-        """The loop runs now."""
+        """Records that the event loop ran at `now`, and a stall if that is 0.25 s or more after the due time."""
         due_at = self.looked_at + INTERVAL
         if now - due_at >= SHORTEST_STALL:
             self.stalls.append(Stall(due_at, now))
         self.looked_at = now
 
     def seconds_within(self, since: float, until: float) -> float:
-        """For how long the loop stood still between two times."""
+        """Returns for how many seconds the event loop was stalled between two times."""
         return sum(max(0.0, min(until, stall.until) - max(since, stall.since)) for stall in self.stalls)
 
     def describe(self) -> str:
-        """How often it stood still, and for how long."""
+        """Returns a sentence with the number, the total and the maximum duration of the stalls."""
         if not self.stalls:
-            return "this process never stood still"
+            return "this process never stalled"
         seconds = [stall.seconds for stall in self.stalls]
         total, longest = sum(seconds), max(seconds)
-        return f"this process stood still {len(seconds)} times, for {total:.2f} s in all, {longest:.2f} s at most"
+        return f"this process stalled {len(seconds)} times, for {total:.2f} s in all, {longest:.2f} s at most"
--- a/harness/fakes/model_cache.py
+++ b/harness/fakes/model_cache.py
@@ -1,4 +1,4 @@
-"""The models that a fake model server has loaded, and the one order that it carries out at a time."""
+"""The models that a fake model server has loaded, and the single load or unload order in progress."""
 
 import asyncio
 
@@ -6,10 +6,10 @@
 
 
 class ModelCache:
-    """`take(order)` gives the status of the answer; `is_held` and `is_moving` say how a model, or model/adapter,
-    stands.
+    """Executes load and unload orders one at a time.
 
-    It notes itself where an order breaks a rule.
+    `take(order)` returns the HTTP status of the response. `is_held` and `is_moving` return whether a model, or an
+    adapter of it, is loaded or is being loaded or unloaded. Orders that break a rule are noted in the call history.
     """
 
     __slots__ = (
@@ -37,7 +37,7 @@
         return model in self.models and (not adapter or adapter in self.models[model])
 
     def is_moving(self, model: str, adapter: str = "") -> bool:
-        """Whether the order under way concerns a request for this."""
+        """Whether the order in progress loads or unloads the model or the adapter that a request needs."""
         return self.order is not None and self.order[1] == model and self.order[2] in ("", adapter)
 
     def add_run(self, model: str, change: int):
@@ -62,7 +62,7 @@
             return 412
         if fence == self.fence and self.holder not in ("", holder):
             self.call_history.noted.append(
-                f"ONE: {self.instance} had orders of {self.holder} and {holder} under fence {fence}"
+                f"ONE: {self.instance} got orders from {self.holder} and {holder} with the same fencing token {fence}"
             )
         self.fence, self.holder = fence, holder
         order = (doc["operation"] == "loading", doc["model"], doc.get("adapter") or "")
@@ -101,11 +101,11 @@
         more = item["adapter-size-mb"] if adapter else item["weights-mb"]
         if used + more > self.engine["weights-mb"] + 1e-6:
             self.call_history.noted.append(
-                f"LIMIT: {self.instance} was ordered {item['name']} {adapter} over its room, {used} + {more} MB"
+                f"LIMIT: {self.instance} was ordered {item['name']} {adapter} beyond its memory, {used} + {more} MB"
             )
         if adapter and sum(map(len, self.models.values())) >= self.engine["adapter-slot-count"]:
             self.call_history.noted.append(
-                f"LIMIT: {self.instance} was ordered {item['name']} {adapter} over its places"
+                f"LIMIT: {self.instance} was ordered {item['name']} {adapter} beyond its adapter slots"
             )
 
     def _seconds(self, order, item) -> float:
@@ -121,7 +121,7 @@
 
     async def _carry_out(self, order, seconds):
         is_load, model, adapter = order
-        self.stirred.set()  # those who wait for what the order concerns are turned away
+        self.stirred.set()  # queued requests for the affected model or adapter are rejected
         while not is_load and not adapter and self.running.get(model):
             self.stirred.clear()
             await self.stirred.wait()
--- a/harness/fakes/model_server.py
+++ b/harness/fakes/model_server.py
@@ -1,4 +1,4 @@
-"""A fake model server: one batch, a prompt cache, models loaded under orders, streams of events."""
+"""A fake model server with one batch, a prompt cache, models loaded by orders, and event streams as responses."""
 
 import asyncio
 from heapq import heappop, heappush
@@ -16,7 +16,7 @@
 
 
 class ModelServer(Server):
-    """Streams answers for the models it holds; the more run, the slower each token comes."""
+    """Streams responses for its loaded models; the more requests run, the slower the tokens are produced."""
 
     __slots__ = ("engine", "model_cache", "prompt_cache", "queue", "running", "order", "cache_used", "history")
 
@@ -136,7 +136,7 @@
                 place.set_result(True)
 
     def _give_back(self, place):
-        """A place that came about too late, or never will."""
+        """Withdraws a request from admission; frees its slot if it has been admitted."""
         if not place.done():
             place.set_result(False)
         elif place.result():
@@ -147,7 +147,10 @@
         self._admit()
 
     async def _run(self, request, name, body, until, model, tokens_out):
-        """It has run from its first token on; what was read of the prompt before is dropped with the connection."""
+        """Runs an admitted request: prefill, then a stream of events.
+
+        The request counts as run from its first token on; a prefill that exceeds the deadline counts as not run.
+        """
         parts = tuple(
             (part.partition(":")[0], int(part.partition(":")[2]))
             for part in request.headers.get("Sumachook-Prompt-Prefix", "").split(",")
--- a/harness/fakes/operator.py
+++ b/harness/fakes/operator.py
@@ -1,4 +1,4 @@
-"""The platform's operator."""
+"""A fake of the platform's operator, which sends orders to the control nodes."""
 
 import asyncio
 
@@ -9,8 +9,9 @@
 
 
 class Operator:
-    """`order(method, path, headers, document)`: (status, document) of the first clear answer, from any node that serves
-    `control`.
+    """`order(method, path, headers, document)` returns (status, body) of the first conclusive response.
+
+    Any node that serves `control` may answer; the nodes are tried in turn, with a growing pause between attempts.
     """
 
     __slots__ = ("controls", "session", "turn")
@@ -29,7 +30,10 @@
             pause = min(LONGEST_PAUSE, 2 * pause)
 
     async def _ask(self, method, path, headers, doc):
-        """None: no clear answer, so it moves on to another node; a redirection is followed twice."""
+        """Returns (status, body), or None without a conclusive response: the next attempt goes to another node.
+
+        At most two redirections are followed.
+        """
         url = f"http://{self.controls[self.turn % len(self.controls)]}{path}"
         try:
             for _ in range(3):
--- a/harness/fakes/plain_server.py
+++ b/harness/fakes/plain_server.py
@@ -1,4 +1,4 @@
-"""A stand-in server of a plain service."""
+"""A fake server of a service without models."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class PlainServer(Server):
-    """Works on `slots` requests at a time, queues as many, and answers each after `work` seconds."""
+    """Runs up to `slots` requests concurrently, queues as many more, and answers each after `work` seconds."""
 
     __slots__ = ("gate", "in_hand", "work")
 
--- a/harness/fakes/prompt_cache.py
+++ b/harness/fakes/prompt_cache.py
@@ -2,7 +2,7 @@
 
 
 class PromptCache:
-    """`take` reads a prompt's parts and returns the tokens that were not cached.
+    """`take` adds the parts of a prompt to the cache and returns the number of tokens that were not cached.
 
     The least recently used parts are evicted.
 
--- a/harness/fakes/request_kind.py
+++ b/harness/fakes/request_kind.py
@@ -1,4 +1,4 @@
-"""A kind of request that clients make."""
+"""A kind of request that the fake clients send, with its route, deadlines and rate."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -6,8 +6,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """`aim`: within which an answer, or a stream's first event, is in time; `gap`: longest pause between events that
-    still is; `models`: (model or model/adapter, share) asked for, none for a plain service; `rate`: requests a second.
+    """A kind of request.
+
+    `aim` is the target latency of the response or of a stream's first event. `gap` is the longest pause between events
+    that counts as in time. `models` are (model or model/adapter, weight) pairs to draw from, empty for a service
+    without models. `rate` is the number of requests per second.
     """
 
     name: str
@@ -28,7 +31,7 @@
         return self.form == "idempotent" or self.is_resumable
 
     def route(self, host: str) -> dict:
-        """As the operator writes it."""
+        """Returns the route for this kind as an entry of the configuration document."""
         aim, deadline, gap = (int(time / timedelta(milliseconds=1)) for time in (self.aim, self.deadline, self.gap))
         stream = (
             {"sticky-sessions": True, "resumable": self.is_resumable, "gap-target-ms": gap}
--- a/harness/fakes/response_chunks.py
+++ b/harness/fakes/response_chunks.py
@@ -1,5 +1,6 @@
-"""What streams consist of: the same request gives the same pieces at every server, so that a resumed stream can be
-checked.
+"""The events of a response stream.
+
+Every server produces the same events for the same request, so that a client can check a resumed stream.
 """
 
 from hashlib import sha256
@@ -12,12 +13,13 @@
 
 
 def event_count(tokens_out: int) -> int:
-    """Events of a whole stream."""
+    """Returns the number of events of a complete stream."""
     return max(1, -(-tokens_out // STRIDE))
 
 
 def event_data(digest: str, number: int) -> str:
-    """
+    """Returns the data of the event with this number, counted from 1.
+
     >>> event_data("5c1e", 3)
     '5c1e.3'
     """
--- a/harness/fakes/response_reader.py
+++ b/harness/fakes/response_reader.py
@@ -1,10 +1,10 @@
-"""What a client has read so far of the answer to one request."""
+"""Reads the event stream of one response and checks the order and content of its events."""
 
 from harness.fakes.response_chunks import event_data
 
 
 class ResponseReader:
-    """`take(lines of one event, now)` gives a reason if the event is not the next one, else "".
+    """`take(lines of one event, now)` returns why the event is not the expected one, or "" if it is.
 
     >>> reading = ResponseReader(None, "5c", 2)
     >>> reading.take(b"id: 1\\ndata: 5c.1\\n\\n", 0.5), reading.take(b"id: 1\\ndata: 5c.1\\n\\n", 0.9)
@@ -30,7 +30,7 @@
         self.restart()
 
     def restart(self):
-        """A further try that does not resume begins anew."""
+        """Discards all events read so far, before an attempt that does not resume the stream."""
         self.events, self.first_at, self.last_at, self.longest_gap = 0, None, None, 0.0
 
     def take(self, lines: bytes, now: float) -> str:
--- a/harness/fakes/server.py
+++ b/harness/fakes/server.py
@@ -1,4 +1,6 @@
-"""What all fake servers share: start, end, identity, seals and the answers that say a request was not run."""
+"""The base class of the fake servers: start, stop, identity, response seals, and responses that promise a request was
+not run.
+"""
 
 import asyncio
 from itertools import count
@@ -16,7 +18,7 @@
 
 
 class Server:
-    """One run of one server; `listen` begins it, `end` ends it as a crash does."""
+    """One incarnation of a fake server; `listen` starts it, `end` stops it abruptly, as a crash does."""
 
     __slots__ = ("instance", "service", "address", "zone", "slots", "call_history", "runner", "seals")
 
@@ -44,7 +46,7 @@
             await self.runner.cleanup()
 
     def entry(self) -> dict:
-        """As the platform lists it."""
+        """Returns the entry for this server in the platform's list of instances."""
         return {
             "instance-id": self.instance,
             "service": self.service,
@@ -63,7 +65,7 @@
         return web.Response(headers={INSTANCE: self.instance})
 
     async def _ask(self, request):
-        """Checks whom the request is meant for; what a kind of server does with it is `_serve`."""
+        """Rejects a request without an id or for another instance; passes all others to the subclass's `_serve`."""
         name = request.headers.get(REQUEST, "")
         if not name:
             return self._refuse(400, name)
@@ -85,7 +87,7 @@
 
 
 async def sleep_within(seconds: float, until: float) -> bool:
-    """Whether the time was there before the deadline (loop time); waits for what comes first."""
+    """Sleeps for `seconds`, at most until the deadline (loop time); returns whether the deadline left enough time."""
     now = asyncio.get_running_loop().time()
     await asyncio.sleep(max(0.0, min(seconds, until - now)))
     return now + seconds <= until
--- a/harness/fakes/tenants.py
+++ b/harness/fakes/tenants.py
@@ -1,8 +1,8 @@
-"""Tenants of a fake deployment: the keys that its clients bear, and where what became of their requests breaks a rule.
+"""Tenants of a fake deployment: the API keys that its clients send, and the check of which requests ran under them.
 
-Some keys are held all the time, some are taken away for good, some are given once, and one is never held. A
-configuration may be in force from its sending until `APPLY_WITHIN_S` after the acknowledgement of its successor; what
-none of these allows is a fault.
+Some keys are valid all the time, some are revoked for good, some are added once, and one is never valid. A
+configuration may be in force from the time it is sent until `APPLY_WITHIN_S` after its successor is acknowledged. A
+request that runs although no configuration in force allows it is a violation.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 CREDENTIAL, TENANT = "Sumachook-Credential", "Sumachook-Tenant"
 UNAUTHORIZED = 401
-# cores are restarted all the time, so the bound for changes is the one of an unsettled core
+# cores are restarted continually, so the bound for changes is the one that applies while the cores are unsettled
 APPLY_WITHIN_S = (BOUNDS["config-apply-ms"] + BOUNDS["outer-bound-ms"]) / 1000
 QUOTA_WINDOW_S, QUOTA_OVERSHOOT, QUOTA_SLACK = 5.0, 0.1, 20
 METERED_RATE, METERED_BURST = 10, 10
@@ -44,7 +44,7 @@
 
 
 class Run(NamedTuple):
-    """A request at a server that ran it: when, and what it was told of the tenant."""
+    """One run of a request at a server: its time, its tenant headers, and whether the API key reached the server."""
 
     at: float
     tenants: tuple[str, ...]
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class HeldKeys:
-    """The keys of one configuration; `replaced_at` is when its successor was acknowledged."""
+    """The API keys of one configuration; `replaced_at` is the time at which its successor was acknowledged."""
 
     keys: frozenset[str]
     sent_at: float
@@ -61,7 +61,7 @@
 
 
 class Judged(NamedTuple):
-    """A request as its client saw it."""
+    """A request with its key, its times and its status as seen by the client."""
 
     request_id: str
     kind: RequestKind
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class TenantKeys:
-    """The keys in force over time, and what ran under them."""
+    """The API keys of each configuration over time, and the requests that servers ran."""
 
     held: list[HeldKeys] = field(default_factory=list)
     runs: dict[str, list[Run]] = field(default_factory=dict)
@@ -81,7 +81,10 @@
     # the operator ---------------------------------------------------------------------------
 
     def document(self, leaving: int = len(LEAVING_KEYS), joining: int = 0) -> list[dict[str, Any]]:
-        """The platform's list of tenants, with this many of the keys that leave and of those that join."""
+        """Returns the tenants of a configuration document.
+
+        `leaving` is how many of the keys to be revoked it still contains, `joining` how many of those to be added.
+        """
         keys = {
             STANDING: STANDING_KEYS,
             METERED: METERED_KEYS,
@@ -100,12 +103,12 @@
         ]
 
     def note_sent(self, tenants: list[dict[str, Any]]) -> None:
-        """A configuration with these tenants goes out for the first time."""
+        """Records that a configuration with these tenants is sent for the first time."""
         keys = frozenset(key for tenant in tenants for key in tenant["api-keys"])
         self.held.append(HeldKeys(keys, asyncio.get_running_loop().time()))
 
     def note_acknowledged(self) -> None:
-        """The one that was sent last is acknowledged."""
+        """Records that the configuration sent last is acknowledged."""
         for earlier in self.held[:-1]:
             earlier.replaced_at = min(earlier.replaced_at, asyncio.get_running_loop().time())
 
@@ -113,14 +116,14 @@
 
     @staticmethod
     def draw(random: Random, kind: RequestKind) -> str:
-        """A client's key for a request of this kind; half of those on public routes bear none."""
+        """Draws the API key for a request of this kind; half of the requests on public routes have none."""
         if kind.is_public and random.random() < 0.5:
             return NO_KEY
         (key,) = random.choices(list(KEY_WEIGHTS), list(KEY_WEIGHTS.values()))
         return str(key)
 
     def note_run(self, request_id: str, headers: Mapping[str, str]) -> None:
-        """A server begins a request."""
+        """Records that a server starts a request with these headers."""
         told = tuple(value for name, value in headers.items() if name.lower() == TENANT.lower())
         has_key = any(name.lower() == CREDENTIAL.lower() for name in headers)
         self.runs.setdefault(request_id, []).append(Run(asyncio.get_running_loop().time(), told, has_key))
@@ -128,16 +131,16 @@
     # judging --------------------------------------------------------------------------------
 
     def told_wrong(self, request_id: str, credential: str) -> Iterator[str]:
-        """Runs of a request with this key, or none, whose server got the key, or another tenant's name."""
+        """Yields a violation for each run of a request whose server received the API key or a wrong tenant name."""
         tenant = TENANT_BY_KEY.get(credential)
         for run in self.runs.get(request_id, ()):
             if run.has_key:
-                yield f"UNASKED: a server was handed the key of {request_id}"
+                yield f"UNASKED: a server received the API key of {request_id}"
             if run.tenants != ((tenant,) if tenant is not None else ()):
-                yield f"UNASKED: a server was told {run.tenants} of {request_id}, whose tenant is {tenant}"
+                yield f"UNASKED: a server received the tenants {run.tenants} for {request_id}, its tenant is {tenant}"
 
     def violations(self, requests: list[Judged]) -> Iterator[str]:
-        """What ran or was refused as no configuration in force has it, and what went beyond a quota."""
+        """Yields requests that ran or got 401 contrary to every configuration in force, and excess over a quota."""
         for request in requests:
             for run in self.runs.get(request.request_id, ()):
                 yield from self._of_run(request, run)
@@ -151,7 +154,7 @@
             yield f"ROUTE or CONFIG: a server ran {what}, sent at {request.sent_at:.3f} s"
 
     def _in_force(self, since: float, until: float) -> list[HeldKeys]:
-        """Configurations that may be in force somewhere in a time."""
+        """Returns the configurations that may be in force on some node between two times."""
         return [held for held in self.held if held.sent_at <= until and since <= held.replaced_at + APPLY_WITHIN_S]
 
     @staticmethod
@@ -172,12 +175,12 @@
         for since, _ in runs:
             count = sum(sent_at >= since and at <= since + QUOTA_WINDOW_S for sent_at, at in runs)
             if count > allowed:
-                what = f"{count} requests of {METERED} were sent and run in {QUOTA_WINDOW_S:g} s"
+                what = f"{count} requests of tenant {METERED} were sent and run within {QUOTA_WINDOW_S:g} s"
                 yield f"QUOTA: {what} from {since:.3f} s, allowed {allowed:g}"
                 return
 
     def counts(self, requests: list[Judged]) -> dict[str, int]:
-        """How much there was to judge, by kind."""
+        """Returns how many requests each check could judge, by description."""
         last = self.held[-1].keys if self.held else frozenset()
         gone = {
             key: min(each.replaced_at for each in self.held if key in each.keys and key not in last)
@@ -189,9 +192,9 @@
             for request in requests
         )
         return {
-            "requests refused for their key": sum(request.status == UNAUTHORIZED for request in requests),
+            "requests rejected for their key": sum(request.status == UNAUTHORIZED for request in requests),
             "requests run for a tenant": sum(bool(run.tenants) for runs in self.runs.values() for run in runs),
-            "requests under keys long gone": late,
+            "requests with keys revoked long before": late,
         }
 
 
--- a/tests/harness/test_platform_fakes.py
+++ b/tests/harness/test_platform_fakes.py
@@ -156,8 +156,8 @@
     "half a body": (lambda name, headers, body: (headers, body[: len(body) // 2]), "MIXED"),
     "twice": (lambda name, headers, body: (headers, body), "TWICE"),
     "refused though run": (lambda name, headers, body: None, "REFUSED"),
-    "key passed on": (None, "was handed the key"),
-    "another tenant": (None, "was told"),
+    "key passed on": (None, "received the API key"),
+    "another tenant": (None, "received the tenants"),
 }
 
 
