--- a/harness/__init__.py
+++ b/harness/__init__.py
@@ -1,13 +1,13 @@
-"""Checks and measurements of the product, outside it: local clusters, fault injection, model checking, fuzzing,
-mutation tests.
+"""Checks and measurements of the product that are not part of it: local clusters, fault injection, model checking,
+fuzzing, mutation tests.
 
 `python -m harness` lists the commands (harness/__main__.py). Folders: `local_cluster` starts real processes on
-loopback, `fakes` stands for the users' platform, `experiments` measures and injects faults in virtual time,
-`model_checking`, `fuzzing` and `mutations` hold the three checkers, `ci` what CI loads, `commands` the commands' older
-names.
+loopback, `fakes` simulates the users' platform, `experiments` measures and injects faults in virtual time,
+`model_checking`, `fuzzing` and `mutations` contain the three checkers, `ci` a pytest plugin for CI, `commands` the
+older names of the commands.
 """
 
 from pathlib import Path
 
-# `python -m harness.storms` and its like are found in harness/commands, which holds nothing but these names.
+# Commands in their older form, such as `python -m harness.storms`, are found in harness/commands.
 __path__.append(str(Path(__file__).parent / "commands"))
--- a/harness/__main__.py
+++ b/harness/__main__.py
@@ -1,21 +1,21 @@
 """`python -m harness COMMAND ...`: every command of the harness, in one table.
 
 `python -m harness` alone prints the table; `python -m harness COMMAND --help` explains one command. Each command also
-keeps its older form `python -m harness.COMMAND`, by a module of that name in harness/commands. A command line that a
-command does not accept ends with exit code 2.
+has an older form `python -m harness.COMMAND`, through a module of that name in harness/commands. An invalid command
+line ends with exit code 2.
 """
 
 import sys
 from importlib import import_module
 from typing import NamedTuple
 
-USAGE_ERROR = 2  # as argparse ends
+USAGE_ERROR = 2  # the exit code that argparse uses
 RULES = "0: no rule was broken; 1: one was, or nothing was checked"
 FIGURES = "0: the figures were printed; 1: they could not be measured"
 
 
 class Command(NamedTuple):
-    """One command: the module whose `main()` it runs, what it does, and what its exit codes mean."""
+    """One command: its module, whose `main()` it runs, its summary, and the meaning of its exit codes."""
 
     name: str
     module: str
@@ -28,106 +28,133 @@
     Command(
         "city",
         "harness.local_cluster.city",
-        "a fleet of real processes under the traffic of one of the example sites",
-        "0: no rule was broken and every process ended cleanly; 1: not so, or nothing was checked",
+        "runs a fleet of real processes under the traffic of one of the example sites",
+        "0: no rule was broken and every process exited with 0; 1: otherwise, or nothing was checked",
     ),
     Command(
         "platform_city",
         "harness.local_cluster.platform_city",
-        "cores and edges as deploy/system.toml starts them, among fakes of the users' platform",
-        "0: no rule was broken and every node ended cleanly; 1: not so, or nothing was checked",
+        "runs cores and edges as deploy/system.toml starts them, among fakes of the users' platform",
+        "0: no rule was broken and every node exited with 0; 1: otherwise, or nothing was checked",
     ),
     Command(
         "trials",
         "harness.local_cluster.trials",
-        "real processes under load while they are restarted, killed, frozen, reconfigured and evacuated",
+        "runs real processes under load while they are restarted, killed, stopped, reconfigured and evacuated",
         RULES,
     ),
     Command(
         "soak",
         "harness.experiments.soak",
-        "real processes and kept connections under signals, restarts and changes in overlapping series",
-        "0: no fault in any seed; 1: one was found, or nothing was checked",
+        "runs real processes with persistent connections under overlapping signals, restarts and changes",
+        "0: no fault with any seed; 1: one was found, or nothing was checked",
     ),
     # Fault injection and load in virtual time
     Command(
         "scenarios",
         "harness.experiments.scenarios",
-        "every failure of the brief at the full size of both example sites; prints the table of docs/measurements.md",
+        "plays each failure scenario at the full size of both example sites; prints the table of docs/measurements.md",
         RULES,
     ),
-    Command("storms", "harness.experiments.storms", "seeded random faults over whole deployments", RULES),
+    Command("storms", "harness.experiments.storms", "injects seeded random faults into whole deployments", RULES),
     Command(
         "twins",
         "harness.experiments.twins",
-        "each storm without and with a flood of heavy requests: how long light requests wait",
-        "0: light requests stay within the slack and no rule was broken; 1: not so, or nothing was checked",
+        "plays each storm with and without a flood of heavy requests and compares the latency of light requests",
+        "0: light requests stay within the slack and no rule was broken; 1: otherwise, or nothing was checked",
+    ),
+    Command(
+        "allowances",
+        "harness.experiments.allowances",
+        "injects seeded random faults and checks quotas and their leases",
+        RULES,
+    ),
+    Command(
+        "chaos",
+        "harness.experiments.chaos",
+        "injects dense faults into the cores alone and checks the order of changes",
+        RULES,
     ),
-    Command("allowances", "harness.experiments.allowances", "seeded random faults over quotas and their leases", RULES),
-    Command("chaos", "harness.experiments.chaos", "dense faults over the cores alone: the order of changes", RULES),
     Command(
         "orders",
         "harness.experiments.orders",
-        "operators' orders under lost answers, kills and races, checked against a history of what each operator saw",
+        "sends operators' orders under lost responses, kills and races, and checks them against what each operator saw",
         RULES,
     ),
     Command(
         "replacements",
         "harness.experiments.replacements",
-        "how long the replacement of a lost core takes",
-        "0: every replacement came within the limit; 1: one was late",
+        "measures how long the replacement of a lost core takes",
+        "0: every replacement was complete within the limit; 1: one was not",
     ),
     Command(
         "days",
         "harness.experiments.days",
         "plays the days of examples/days on the users' bench",
-        "0: no rule was broken; 1: one was, a report is missing, or nothing was played",
+        "0: no rule was broken; 1: one was, a report is missing, or no day was played",
     ),
     # Checkers
     Command(
         "model",
         "harness.model_checking.__main__",
-        "the model checker: walk, explore and replay over the real control state machines",
+        "model-checks the real control state machines: walk, explore and replay",
         "0: no rule was broken; 1: one was, or nothing was checked",
     ),
-    Command("fuzz", "harness.fuzzing.__main__", "faulty servers and clients, over real sockets, before an edge", RULES),
+    Command(
+        "fuzz", "harness.fuzzing.__main__", "tests an edge with faulty servers and clients over real sockets", RULES
+    ),
     Command(
         "breaches",
         "harness.mutations.runner",
-        "the mutation tests: takes one guard out at a time and runs the tests that should fail",
-        "0: every mutation was caught; 1: one was not, or could not be tried",
+        "mutation tests: removes one guard at a time and runs the tests that should fail",
+        "0: every mutation was detected; 1: one was not, or could not be applied",
     ),
     # Measurements
     Command(
         "digest",
         "harness.experiments.digest",
-        "one number for all that the fleet sends in four storms: the same before and after a refactoring",
-        "0: the four numbers were printed; 1: a storm had no effect at all",
+        "prints one hash of all effects in each of four storms, which a refactoring must not change",
+        "0: the four hashes were printed; 1: a storm had no effects",
+    ),
+    Command(
+        "costs",
+        "harness.experiments.costs",
+        "measures messages, bytes and disk syncs when idle, per request and per change",
+        FIGURES,
     ),
-    Command("costs", "harness.experiments.costs", "messages, bytes and syncs at rest, per request and change", FIGURES),
     Command(
         "size",
         "harness.experiments.size",
-        "hundreds of nodes in virtual time: time to recover and bytes between zones while much of the fleet fails",
-        "0: every fleet came back; 1: one did not within the story",
+        "simulates hundreds of nodes and measures recovery time and bytes between zones while much of the fleet fails",
+        "0: every fleet recovered; 1: one did not recover within its run",
+    ),
+    Command(
+        "scale",
+        "harness.experiments.scale.__main__",
+        "measures the cost of each role and mechanism at 380 nodes",
+        FIGURES,
+    ),
+    Command(
+        "lost_worth", "harness.experiments.lost_worth", "lists late and lost requests from the logs of edges", FIGURES
     ),
-    Command("scale", "harness.experiments.scale.__main__", "what each role and mechanism costs at 380 nodes", FIGURES),
     Command(
-        "lost_worth", "harness.experiments.lost_worth", "from edges' logs: which requests were late or lost", FIGURES
+        "policy_ratio",
+        "harness.experiments.policy_ratio",
+        "compares the speed of compiled policies with interpreting their syntax tree",
+        FIGURES,
     ),
-    Command("policy_ratio", "harness.experiments.policy_ratio", "policies' bytecode against walking the tree", FIGURES),
 )
 COMMANDS = {command.name: command for command in _COMMANDS}
 
 
 def run_command(name: str) -> None:
-    """Runs one command with the arguments of this process; ends the process with its exit code."""
+    """Runs one command with the arguments of this process and exits with its exit code."""
     main = import_module(COMMANDS[name].module).main
     raise SystemExit(main() or 0)
 
 
 def describe_commands() -> str:
-    """The table of all commands, as text."""
+    """Returns the table of all commands as text."""
     lines = ["usage: python -m harness COMMAND ...", ""]
     for command in COMMANDS.values():
         lines.append(f"{command.name:<15}{command.summary}")
@@ -136,7 +163,7 @@
 
 
 def main() -> None:
-    """Runs the command that the first argument names; without one, or with an unknown one, prints the table."""
+    """Runs the command named by the first argument; prints the table if there is none or it is unknown."""
     arguments = sys.argv[1:]
     if not arguments or arguments[0] in ("-h", "--help"):
         print(describe_commands())
--- a/harness/ci/__init__.py
+++ b/harness/ci/__init__.py
@@ -1,1 +1,1 @@
-"""What CI loads: the pytest plugin that excuses the failures listed in KNOWN-RED.txt."""
+"""A pytest plugin for CI that tolerates the test failures listed in KNOWN-RED.txt."""
--- a/harness/ci/known_red.py
+++ b/harness/ci/known_red.py
@@ -1,4 +1,4 @@
-"""What KNOWN-RED.txt at the root says: the tests that may fail, one line each, `test id | cause | issue`."""
+"""Reads KNOWN-RED.txt at the root: the tests that may fail, one per line, as `test id | cause | issue`."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class KnownRed:
-    """Judges a run by the list; blank lines and lines that begin with `#` say nothing."""
+    """Judges a test run by the list of known failures; ignores blank lines and lines that begin with `#`."""
 
     __slots__ = ("listed",)
 
@@ -17,12 +17,13 @@
                 continue
             cells = [cell.strip() for cell in line.split("|")]
             if len(cells) != 3 or not all(cells) or cells[0] in self.listed:
-                raise pytest.UsageError(f"{FILE}:{number}: 'test id | cause | issue' is needed, each test once: {line}")
+                raise pytest.UsageError(f"{FILE}:{number}: expected 'test id | cause | issue', each test once: {line}")
             self.listed[cells[0]] = line.strip()
 
     def judge(self, passed: set, failed: set, broken: set):
-        """The lines to print, and whether any failure is not listed; `failed` in their own call, `broken` in any other
-        way.
+        """Returns the lines to print, and whether any failure is not excused.
+
+        `failed` are tests that failed in their own call, `broken` those that failed in any other way.
         """
         lines = []
         for test, line in self.listed.items():
--- a/harness/ci/red_report.py
+++ b/harness/ci/red_report.py
@@ -1,8 +1,7 @@
-"""pytest -p harness.ci.red_report: the tests that KNOWN-RED.txt lists may fail; they are printed, and any other failure
-counts.
+"""pytest -p harness.ci.red_report: tolerates failures of the tests that KNOWN-RED.txt lists and prints them.
 
-Only a listed test that fails in its own call is excused: not one that could not be collected, set up or ended, and no
-crash of its process.
+A listed test is excused only if it fails in its own call, not if its collection, setup or teardown fails or its process
+crashes. Any other failure fails the run.
 """
 
 from pathlib import Path
@@ -13,8 +12,9 @@
 
 
 class RedReport:
-    """What pytest calls: collects reports, excuses a run whose only failures are listed, prints the lines before the
-    closing one.
+    """Pytest hooks that collect reports and turn a run into a pass if all its failures are listed.
+
+    The lines about listed tests are printed before pytest's closing line.
     """
 
     __slots__ = ("known", "passed", "failed", "broken")
@@ -47,6 +47,6 @@
 
 def pytest_configure(config):
     if hasattr(config, "workerinput"):
-        return  # a worker of several: its controller judges
+        return  # a pytest-xdist worker: its controller judges the run
     file = Path(config.rootpath) / FILE
     config.pluginmanager.register(RedReport(KnownRed(file.read_text() if file.exists() else "")))
--- a/harness/fuzzing/__init__.py
+++ b/harness/fuzzing/__init__.py
@@ -1,1 +1,1 @@
-"""A fuzzer of the forwarding path over real sockets on loopback."""
+"""A fuzzer for the forwarding path of an edge, over real sockets on loopback."""
--- a/harness/fuzzing/__main__.py
+++ b/harness/fuzzing/__main__.py
@@ -1,6 +1,4 @@
-"""python -m harness.fuzz: plays cases of clients and servers that misbehave through a real edge, and reports broken
-rules.
-"""
+"""python -m harness.fuzz: runs misbehaving clients and servers against a real edge and reports broken rules."""
 
 import argparse
 import sys
@@ -10,12 +8,14 @@
 
 
 def main() -> int:
-    """Parses the command line and plays."""
+    """Parses the command line, runs the cases and returns the exit code: 1 if a rule was broken, else 0."""
     parser = argparse.ArgumentParser(prog="python -m harness.fuzz", description=__doc__)
-    parser.add_argument("--cases", type=int, default=1000, help="how many connections of clients are played")
-    parser.add_argument("--seed", type=int, default=1, help="the same seed plays the same cases")
-    parser.add_argument("--first", type=int, default=0, help="the number of the first case, to play a part again")
-    parser.add_argument("--calm", type=float, default=CALM, help="the share of arrivals that servers serve well")
+    parser.add_argument("--cases", type=int, default=1000, help="number of cases; each is one client connection")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the cases; the same seed produces the same cases")
+    parser.add_argument("--first", type=int, default=0, help="number of the first case, to repeat part of a run")
+    parser.add_argument(
+        "--calm", type=float, default=CALM, help="share of requests that servers answer without a fault (0 to 1)"
+    )
     given = parser.parse_args()
     began = time.monotonic()
     report = play_cases(given.seed, range(given.first, given.first + given.cases), given.calm)
--- a/harness/fuzzing/client.py
+++ b/harness/fuzzing/client.py
@@ -1,4 +1,4 @@
-"""A client that plays one case: requests one by one or pipelined, or in part, read fast, slowly or not to the end."""
+"""A client that runs one case: sequential, pipelined or partial requests, with fast, slow or aborted reads."""
 
 import asyncio
 from random import Random
@@ -9,12 +9,12 @@
 from harness.fuzzing.server import reset, turns
 
 READ_SIZE = 65536
-SLOW_READ = 700  # bytes at once by a client that reads slowly
+SLOW_READ = 700  # bytes per read of a client that reads slowly
 WHOLE_CONNECTION = frozenset({ClientFault.NONE, ClientFault.KEPT, ClientFault.HALF_CLOSE})
 
 
 class FuzzClient:
-    """Plays a case against one address and enters what it saw in the oracle."""
+    """Runs a case against one address and records the requests and responses in the oracle."""
 
     def __init__(self, case: Case, address: tuple[str, int], oracle: Oracle) -> None:
         self.case, self.address, self.oracle = case, address, oracle
@@ -23,7 +23,7 @@
         self.writer: asyncio.StreamWriter
 
     async def play(self) -> None:
-        """Runs the case to its end."""
+        """Runs the case until its connection ends."""
         self.reader, self.writer = await asyncio.open_connection(*self.address)
         try:
             await self._play()
@@ -127,7 +127,7 @@
         self.oracle.asked[request.request_id].ended_at = asyncio.get_running_loop().time()
 
     def _read_back(self) -> None:
-        """Pairs what came with what was asked, in order: a connection holds no other key."""
+        """Matches the received responses to the requests by their order, the only key on an HTTP/1.1 connection."""
         reading = read_responses(bytes(self.received), [request.method for request in self.case.requests])
         for request, response in zip(self.case.requests, reading.responses, strict=False):
             self.oracle.receive(request, response)
@@ -137,4 +137,6 @@
             and not left_early
             and self.case.fault not in (ClientFault.PARTIAL_CLOSE, ClientFault.PARTIAL_RESET)
         ):
-            self.oracle.note("MIXED", f"case {self.case.number}: bytes beyond its answers: {reading.rest[:80]!r}")
+            self.oracle.note(
+                "MIXED", f"case {self.case.number}: surplus bytes after its responses: {reading.rest[:80]!r}"
+            )
--- a/harness/fuzzing/edge_host.py
+++ b/harness/fuzzing/edge_host.py
@@ -1,4 +1,4 @@
-"""Hosts a real edge with its front and its forwarder in this process, as the daemon does."""
+"""Hosts a real edge with its proxy server and its HTTP client in this process, as the daemon does."""
 
 import asyncio
 from datetime import timedelta
@@ -27,12 +27,12 @@
 
 TICK = timedelta(seconds=0.02)
 TIMEOUT_MS, TARGET_MS = 900, 100
-PLENTY = 1e9  # resends are not what is tried here
+PLENTY = 1e9  # a balance that never runs out: the retry budget is not under test
 ROUTE_KINDS = {"plain": "repeatable", "once": "once", "loose": "stream", "chat": "stream"}
 
 
 def catalogue(max_attempts: dict[str, int]) -> dict:
-    """One route of each kind, all to one service."""
+    """Returns a catalogue document with one route of each kind, all to one service."""
     routes = [
         {
             "name": name,
@@ -57,7 +57,7 @@
 
 
 class EdgeHost:
-    """An edge before the given servers (name: address), its front and its forwarder on real sockets."""
+    """Runs an edge in front of the given servers ({name: address}), its proxy server and HTTP client on real sockets."""
 
     def __init__(self, servers: dict[str, str], max_attempts: dict[str, int], seed: int) -> None:
         self.clock = Clock()
@@ -92,11 +92,11 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where clients connect."""
+        """The (host, port) to which clients connect."""
         return split_address(self.front.address)
 
     async def start(self) -> None:
-        """Serves, and tells the edge that it is in touch."""
+        """Starts serving, with the edge's view of the control state marked as fresh."""
         loop = asyncio.get_running_loop()
         self._tick()
         runs = (self.front.run(), self.front.sweep(), self.streaming_client.run(), self._ticks())
@@ -104,13 +104,13 @@
         await wait_until_serving(lambda: self.front.listener is not None and self.streaming_client.is_open, *self.tasks)
 
     async def stop(self) -> None:
-        """Ends all tasks."""
+        """Cancels all tasks and waits until they have ended."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def settle(self) -> None:
-        """Waits until no request is in hand."""
+        """Waits until no request is in progress."""
         while self.edge.proxy_pipeline.table.requests or self.front.exchanges:
             await asyncio.sleep(TICK.total_seconds())
 
--- a/harness/fuzzing/http_text.py
+++ b/harness/fuzzing/http_text.py
@@ -1,11 +1,9 @@
-"""A strict reader of HTTP/1.1 responses of its own, so that the fuzzer does not judge the product by the product's
-library.
-"""
+"""A strict parser of HTTP/1.1 responses, separate from the product's, so that both cannot share a parsing fault."""
 
 import re
 from dataclasses import dataclass
 
-HEAD_END = re.compile(rb"\r?\n\r?\n")  # a bare line feed may end a line too (RFC 9112, 2.2)
+HEAD_END = re.compile(rb"\r?\n\r?\n")  # a bare line feed may also end a line (RFC 9112, 2.2)
 LINE_END = re.compile(rb"\r?\n")
 STATUS_LINE = re.compile(rb"HTTP/1\.1 ([1-9]\d\d) [^\r\n]*")
 HEADER_LINE = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\r\n]*?)[ \t]*")
@@ -15,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One response as it stands in the bytes; a body without its end is what came of it."""
+    """One response as parsed; the body of an incomplete response is the part that was received."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -23,25 +21,25 @@
     is_complete: bool
 
     def values(self, name: bytes) -> list[bytes]:
-        """All values of a header, by its name in lower case."""
+        """Returns all values of a header, given its name in lower case."""
         return [value for found, value in self.headers if found == name]
 
     def value(self, name: bytes) -> bytes | None:
-        """The only value of a header, or None where there is none or more than one."""
+        """Returns the only value of a header, or None if the header is missing or repeated."""
         found = self.values(name)
         return found[0] if len(found) == 1 else None
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """The responses in a run of bytes, and what follows the last one that could be read."""
+    """The responses parsed from a byte string, and the remaining bytes after them."""
 
     responses: tuple[Response, ...]
     rest: bytes
 
 
 def read_responses(raw: bytes, methods: list[str], is_closed: bool = True) -> Reading:
-    """Reads one final response for each method, skipping informational ones.
+    """Parses one final response for each request method, skipping informational responses.
 
     >>> reading = read_responses(b"HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nokHTTP", ["GET", "GET"])
     >>> reading.responses[0].body, reading.responses[0].is_complete, reading.rest
@@ -100,7 +98,9 @@
     if len(lengths) == 1 and lengths[0].isdigit() and not codings:
         length = int(lengths[0])
         return Response(status, headers, raw[:length], len(raw) >= length), raw[length:]
-    return Response(status, headers, raw, False), b""  # no end that could be told from a cut
+    return Response(
+        status, headers, raw, False
+    ), b""  # without a length, the end cannot be distinguished from a cut connection
 
 
 def _read_chunks(raw: bytes) -> tuple[bytes, bytes, bool]:
--- a/harness/fuzzing/oracle.py
+++ b/harness/fuzzing/oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of a fuzz run: who asked what, what each server ran and sent, and what each client received."""
+"""The oracle of a fuzz run: records requests sent, requests run, and responses, and judges them by the rules."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """One request as it reached a server."""
+    """One request as received by a server, and whether the server ran it."""
 
     server: str
     method: str
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class ServedAnswer:
-    """One answer of a server, as composed and as its bytes went out."""
+    """One response of a server: as composed, and the bytes that were actually sent."""
 
     request_id: str
     seal: str
@@ -36,14 +36,14 @@
     sent: bytearray = field(default_factory=bytearray)
 
     def readable(self) -> Response | None:
-        """The whole answer that stands in the bytes that went out, by the fuzzer's own strict reader."""
+        """Returns the complete response in the sent bytes according to the fuzzer's parser, or None."""
         reading = read_responses(bytes(self.sent), [self.method], is_closed=True)
         return reading.responses[0] if reading.responses and reading.responses[0].is_complete else None
 
 
 @dataclass(slots=True)
 class Asked:
-    """A request that a client wrote, and what came back."""
+    """A request that a client sent, whether it was sent completely, and its start and end times in seconds."""
 
     request: PlannedRequest
     is_whole: bool = False
@@ -52,12 +52,12 @@
 
 
 def stream_event(number: int, owner: str) -> bytes:
-    """One event of a stream; `owner` tells the runs apart where they may not be joined."""
+    """Returns one event of a stream; `owner` identifies the run if events of several runs must not be combined."""
     return b"id: %d\ndata: %s\n\n" % (number, owner.encode())
 
 
 class Oracle:
-    """Collects what both ends saw and judges it; it knows nothing of the product."""
+    """Collects the records of clients and servers and judges them, independently of the product's code."""
 
     def __init__(self) -> None:
         self.asked: dict[str, Asked] = {}
@@ -68,20 +68,20 @@
         self.outcomes: dict[str, int] = defaultdict(int)
 
     def ask(self, request: PlannedRequest) -> Asked:
-        """A client is about to write a request."""
+        """Records that a client is about to send a request."""
         entry = self.asked[request.request_id] = Asked(request)
         return entry
 
     def receive(self, request: PlannedRequest, response: Response) -> None:
-        """A client read this response in the place of that request's."""
+        """Records the response that a client received for a request."""
         self.received[request.request_id] = response
 
     def note(self, rule: str, what: str) -> None:
-        """A broken rule."""
+        """Records the violation of a rule."""
         self.violations.append(f"{rule}: {what}")
 
     def judge(self) -> list[str]:
-        """All broken rules, once nothing is under way any more."""
+        """Judges all records after the last request has ended, and returns all violations."""
         for request_id, arrivals in self.arrivals.items():
             self._judge_arrivals(request_id, arrivals)
         for request_id, response in self.received.items():
@@ -91,15 +91,16 @@
     def _judge_arrivals(self, request_id: str, arrivals: list[Arrival]) -> None:
         entry = self.asked.get(request_id)
         if entry is None:
-            self.note("UNASKED", f"{request_id!r} arrived, and no client sent it")
+            self.note("UNASKED", f"{request_id!r} reached a server, but no client sent it")
             return
         request = entry.request
         for arrival in arrivals:
             if not entry.is_whole:
-                self.note("UNASKED", f"{request_id} arrived though its client never sent all of it")
+                self.note("UNASKED", f"{request_id} reached a server although its client sent only a part of it")
             if (arrival.method, arrival.path, arrival.body) != (request.method, request.path, request.body):
                 self.note(
-                    "UNASKED", f"{request_id} arrived as {arrival.method} {arrival.path} with {len(arrival.body)} bytes"
+                    "UNASKED",
+                    f"{request_id} reached a server as {arrival.method} {arrival.path} with {len(arrival.body)} bytes",
                 )
         runs = sum(arrival.has_run for arrival in arrivals)
         if runs > 1 and not request.is_repeatable:
@@ -112,18 +113,18 @@
         name, ran = request.request_id, any(arrival.has_run for arrival in self.arrivals.get(request.request_id, ()))
         self.outcomes[f"{response.status}{'' if response.is_complete else ' cut'}"] += 1
         if response.status < 200:
-            self.note("MIXED", f"{name} got an informational or switching answer, {response.status}")
+            self.note("MIXED", f"{name} got an informational response as the final one, {response.status}")
         if any(value != name.encode() for value in response.values(REQUEST_ID)):
-            self.note("MIXED", f"{name} got an answer that bears the id {response.values(REQUEST_ID)}")
+            self.note("MIXED", f"{name} got a response with the request id {response.values(REQUEST_ID)}")
         if response.status in NOT_RUN_PROMISES and ran and not request.is_repeatable:
-            self.note("REFUSED", f"{name} got {response.status} and has run")
+            self.note("REFUSED", f"{name} got {response.status} although it has run")
         seals = response.values(SEAL)
         if response.status < 300:
             self._judge_success(request, response, seals)
         elif seals:
             self._judge_sealed_failure(request, response, seals)
         elif response.status not in OWN_FAILURES:
-            self.note("DENIED", f"{name} got {response.status} from the node itself")
+            self.note("DENIED", f"{name} got {response.status} from the edge itself")
 
     def _judge_success(self, request: PlannedRequest, response: Response, seals: list[bytes]) -> None:
         name = request.request_id
@@ -138,28 +139,28 @@
             self.note(
                 "MIXED",
                 f"{name} got a complete {response.status} of {len(response.body)} bytes with the seal {seals[0]!r}; "
-                f"given: {given}; it begins {response.body[:40]!r} and ends {response.body[-40:]!r}",
+                f"servers sent: {given}; it begins {response.body[:40]!r} and ends {response.body[-40:]!r}",
             )
         elif not response.is_complete and not any(
             body.startswith(response.body) for body in self._begun_bodies(request, seals[0], candidates)
         ):
-            self.note("ORDER", f"{name} got the beginning of an answer that no server gave: {response.body[:80]!r}")
+            self.note("ORDER", f"{name} got a partial response that no server sent: {response.body[:80]!r}")
 
     def _judge_sealed_failure(self, request: PlannedRequest, response: Response, seals: list[bytes]) -> None:
         given = self._whole_answers(request, seals[0])
         if not any(status == response.status for status, _ in given):
             self.note(
                 "MIXED",
-                f"{request.request_id} got {response.status} with a seal whose server gave "
+                f"{request.request_id} got {response.status} with the seal of a response with status "
                 f"{[status for status, _ in given]}",
             )
         elif response.is_complete and not any(
             (status, body) == (response.status, response.body) for status, body in given
         ):
-            self.note("MIXED", f"{request.request_id} got a sealed {response.status} with another body")
+            self.note("MIXED", f"{request.request_id} got a sealed {response.status} whose body no server sent")
 
     def _whole_answers(self, request: PlannedRequest, seal: bytes) -> list[tuple[int, bytes]]:
-        """(status, body) of the whole answers to this request that went out with this seal."""
+        """Returns (status, body) of the complete responses to this request that servers sent with this seal."""
         found = []
         for answer in self.answers.get(request.request_id, ()):
             read = answer.readable()
--- a/harness/fuzzing/plan.py
+++ b/harness/fuzzing/plan.py
@@ -1,4 +1,4 @@
-"""What a fuzz run brings about: drawn from a seed, so that the same seed plays the same cases."""
+"""Draws the cases and server faults of a fuzz run from a seed; the same seed gives the same cases."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,7 +13,7 @@
 
 
 class ServerFault(StrEnum):
-    """What a server does with one request that reaches it."""
+    """How a server misbehaves with one request that it receives."""
 
     NONE = "none"
     CUT = "cut"
@@ -51,7 +51,7 @@
 
 
 class ClientFault(StrEnum):
-    """How a client uses its connection."""
+    """How a client uses or misuses its connection."""
 
     NONE = "none"
     KEPT = "kept connection"
@@ -67,32 +67,32 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """One try of a client."""
+    """One request of a client, sent once."""
 
     request_id: str
     route: str
     method: str
     body: bytes
     is_chunked: bool
-    size: int  # bytes of a whole answer, or events of a stream
+    size: int  # bytes of the complete response, or events of a stream
 
     @property
     def path(self) -> str:
-        """The request's target; it names the request, so that a swapped target shows."""
+        """The request target; it contains the request id, so that a swapped target is detected."""
         return f"/{self.route}/{self.request_id}"
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.route in REPEATABLE
 
     @property
     def is_stream(self) -> bool:
-        """Whether its answer is a series of events."""
+        """Whether the response is a stream of events."""
         return self.route in STREAMS
 
     def encode(self, is_last: bool) -> bytes:
-        """The request's bytes."""
+        """Returns the request as HTTP/1.1 bytes; the last one of a connection asks to close it."""
         lines = [f"{self.method} {self.path} HTTP/1.1", "Host: a.example", f"X-Request-Id: {self.request_id}"]
         if is_last:
             lines.append("Connection: close")
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One connection of a client: its requests in order, and where in the bytes its fault falls (0 to 1)."""
+    """One client connection: its requests in order, and its fault; `position` is a fraction of the bytes (0 to 1)."""
 
     number: int
     fault: ClientFault
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerMove:
-    """What a server does with one arrival; `position` says where in the answer's bytes (0 to 1)."""
+    """How a server handles one request; `position` of the fault is a fraction of the response bytes (0 to 1)."""
 
     fault: ServerFault
     position: float
@@ -133,7 +133,7 @@
 
 
 def draw_case(seed: int, number: int) -> Case:
-    """The case of a number under a seed."""
+    """Returns the case with this number for a seed."""
     random = Random(f"client/{seed}/{number}")
     fault = random.choice(tuple(ClientFault))
     is_many = fault in (ClientFault.KEPT, ClientFault.PIPELINED, ClientFault.PIECES, ClientFault.SLOW_READER)
@@ -153,7 +153,7 @@
 
 
 def draw_move(seed: int, request_id: str, arrival: int, calm: float) -> ServerMove:
-    """What a server does with the given arrival of a request; `calm` is the share of arrivals that are served well."""
+    """Draws how a server handles the n-th arrival of a request; `calm` is the share of arrivals without a fault."""
     random = Random(f"server/{seed}/{request_id}/{arrival}")
     fault = ServerFault.NONE if random.random() < calm else random.choice(tuple(ServerFault))
     return ServerMove(
--- a/harness/fuzzing/run.py
+++ b/harness/fuzzing/run.py
@@ -1,4 +1,4 @@
-"""Plays cases against a real edge on loopback and returns what the oracle says."""
+"""Runs cases against a real edge on loopback and reports the violations that the oracle finds."""
 
 import asyncio
 import gc
@@ -17,12 +17,12 @@
 AT_ONCE = 40
 CASES_AN_EDGE = 400
 CALM = 0.35
-CASE_BOUND = 20.0  # seconds; a case that takes longer hangs
+CASE_BOUND = 20.0  # seconds after which a case counts as hanging
 
 
 @dataclass(slots=True)
 class FuzzReport:
-    """What a run found."""
+    """The counts, outcomes and violations of a run."""
 
     cases: int = 0
     requests: int = 0
@@ -33,7 +33,7 @@
     violations: list[str] = field(default_factory=list)
 
     def add(self, oracle: Oracle) -> None:
-        """Takes in the oracle of one edge."""
+        """Adds the counts and violations of the oracle of one edge."""
         self.requests += len(oracle.asked)
         self.arrivals += sum(map(len, oracle.arrivals.values()))
         self.runs += sum(arrival.has_run for arrivals in oracle.arrivals.values() for arrival in arrivals)
@@ -43,18 +43,18 @@
         self.longest_hold = max([self.longest_hold, *holds])
 
     def faults(self) -> list[str]:
-        """What broke a rule, and what a run without anything to judge lacks."""
+        """Returns the violations, and a fault for each kind of item that the run never judged."""
         judged = {"cases": self.cases, "requests": self.requests, "runs": self.runs}
         return [*self.violations, *find_unchecked(judged)]
 
     def lines(self) -> list[str]:
-        """The figures, for people."""
+        """Returns the report as lines of text."""
         outcomes = ", ".join(f"{name}: {count}" for name, count in sorted(self.outcomes.items()))
         figures = f"{self.cases} cases, {self.requests} requests, {self.arrivals} arrivals, {self.runs} runs"
         return [
             figures,
-            f"answers: {outcomes}",
-            f"longest hold {self.longest_hold:.2f} s (timeout {TIMEOUT_MS / 1000} s)",
+            f"responses by status: {outcomes}",
+            f"longest response time {self.longest_hold:.2f} s (timeout {TIMEOUT_MS / 1000} s)",
             f"{len(self.violations)} broken rules",
             *self.faults(),
         ]
@@ -88,7 +88,7 @@
 
 
 def play_cases(seed: int, numbers: Iterable[int], calm: float = CALM) -> FuzzReport:
-    """Plays the cases of these numbers, some hundred on each edge."""
+    """Runs the cases with these numbers, up to 400 on each edge, and returns the report."""
     report, left = FuzzReport(), list(numbers)
     while left:
         now, left = left[:CASES_AN_EDGE], left[CASES_AN_EDGE:]
--- a/harness/fuzzing/server.py
+++ b/harness/fuzzing/server.py
@@ -1,4 +1,4 @@
-"""A server that answers as its moves say: well, broken off, spoiled, late, twice, or with another's answer."""
+"""A server that injects faults: truncated, corrupted, late, duplicate or swapped responses."""
 
 import asyncio
 import re
@@ -9,7 +9,7 @@
 from harness.fuzzing.oracle import Arrival, Oracle, ServedAnswer, stream_event
 from harness.fuzzing.plan import ServerFault, ServerMove, draw_move
 
-TURNS_OF_A_PAUSE = 6  # of the event loop: the other side has read what was written
+TURNS_OF_A_PAUSE = 6  # iterations of the event loop after which the other side has read what was written
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 CONTENT_LENGTH = re.compile(rb"(?i)\r\ncontent-length: (\d+)")
 CHUNKED = re.compile(rb"(?i)\r\ntransfer-encoding: chunked")
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A request as its bytes came in."""
+    """A request as parsed from the received bytes."""
 
     method: str
     path: str
@@ -27,33 +27,33 @@
 
     @property
     def request_id(self) -> str:
-        """The id that its client gave it."""
+        """The request id from the client's header, or ""."""
         return self.headers.get("x-request-id", "")
 
     @property
     def route(self) -> str:
-        """The first part of the path."""
+        """The first segment of the path."""
         return self.path.split("/")[1]
 
 
 class ConnectionOverError(Exception):
-    """This connection is to be closed."""
+    """Raised to close the connection."""
 
 
 async def turns(count: int = TURNS_OF_A_PAUSE) -> None:
-    """Lets everything that is ready run, so often."""
+    """Yields to the event loop `count` times, so that tasks that are ready can run."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Closes with a reset."""
+    """Closes the connection with a TCP reset."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     writer.transport.abort()
 
 
 class FaultyServer:
-    """One server on loopback; every arrival and every byte sent is written into the oracle."""
+    """A server on loopback that records every received request and every sent byte in the oracle."""
 
     def __init__(self, name: str, seed: int, oracle: Oracle, calm: float) -> None:
         self.name, self.seed, self.oracle, self.calm = name, seed, oracle, calm
@@ -61,16 +61,16 @@
         self.connections: set[asyncio.Task[None]] = set()
         self.listener: asyncio.Server | None = None
         self.seals = 0
-        self.earlier = ""  # the id answered last
+        self.earlier = ""  # id of the request that was answered last
 
     async def start(self) -> None:
-        """Listens on a free port."""
+        """Listens on a free loopback port and sets `address`."""
         self.listener = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self.listener.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Ends all connections."""
+        """Closes the listener and all connections."""
         assert self.listener is not None
         self.listener.close()
         for task in self.connections:
@@ -90,20 +90,20 @@
             writer.close()
 
     def next_seal(self) -> str:
-        """A seal that no other answer bears."""
+        """Returns a response seal that no other response has."""
         self.seals += 1
         return f"{self.name}.{self.seals}"
 
 
 class ServerConnection:
-    """One connection to a server: requests in turn, each with its own move."""
+    """One connection to a server: sequential requests, each with its own fault."""
 
     def __init__(self, server: FaultyServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.server, self.reader, self.writer = server, reader, writer
         self.idle_fault: ServerFault | None = None
 
     async def run(self) -> None:
-        """Serves until the connection is over."""
+        """Serves requests until the connection is closed."""
         while True:
             head = await self.reader.readuntil(b"\r\n\r\n")
             await self._one(head)
@@ -132,7 +132,7 @@
             raise ConnectionOverError
 
     async def _fail_on_reuse(self, arrival: Arrival, move: ServerMove) -> None:
-        """A kept connection that is dead by the time it is used again."""
+        """Fails the second request on a persistent connection: hangs or closes, by the fault of the first one."""
         arrival.has_run = move.does_run
         if self.idle_fault is ServerFault.SILENT_IDLE:
             await self.hang()
@@ -149,19 +149,19 @@
         return await self.reader.readexactly(int(length[1])) if length else b""
 
     async def hang(self) -> None:
-        """Says nothing more until the other side gives the connection up."""
+        """Sends nothing more until the other side closes the connection."""
         while await self.reader.read(65536):
             pass
         raise ConnectionOverError
 
     def _compose(self, received: Received, move: ServerMove) -> ServedAnswer:
-        """The whole answer that this move begins from, entered in the oracle."""
+        """Composes the response of a move, without faults in sending, and records it in the oracle."""
         answer = compose(received, move, self.server.next_seal(), self.server.oracle)
         self.server.oracle.answers[received.request_id].append(answer)
         return answer
 
     def compose(self, received: Received, move: ServerMove) -> ServedAnswer:
-        """An answer to this request."""
+        """Composes the response of a move and records it in the oracle."""
         return self._compose(received, move)
 
     def _write(self, answer: ServedAnswer | None, raw: bytes) -> None:
@@ -170,19 +170,19 @@
         self.writer.write(raw)
 
     def write(self, answer: ServedAnswer | None, raw: bytes) -> None:
-        """Sends bytes; those of an answer are entered in the oracle."""
+        """Sends bytes; appends them to the record of `answer` if there is one."""
         self._write(answer, raw)
 
 
 class MovePlayer:
-    """Plays one move on one connection."""
+    """Executes one server move on one connection."""
 
     def __init__(self, connection: ServerConnection, received: Received, move: ServerMove) -> None:
         self.connection, self.received, self.move = connection, received, move
         self.answer = connection.compose(received, move)
 
     async def play(self) -> None:
-        """Sends what the move says."""
+        """Sends the response with the fault of the move."""
         special = {
             ServerFault.CUT: self._cut,
             ServerFault.RESET: self._reset,
@@ -206,7 +206,10 @@
             raise ConnectionOverError
 
     def _at(self) -> int:
-        """A place in the bytes: for a spoiled stream within its head, where it cannot pass for another event."""
+        """Returns the offset of the fault in the response bytes.
+
+        A corrupted stream is changed only in its head: changed bytes in the body could be a valid event.
+        """
         length = len(self.answer.raw)
         is_spoiled_stream = self.move.fault in (ServerFault.GARBLE, ServerFault.INSERT) and self.received.route in (
             "chat",
@@ -260,9 +263,9 @@
         self.connection.write(None, self.answer.raw)
 
     def _foreign(self, is_over: bool = True) -> bytes:
-        """A whole answer that belongs to another request, one that is over or any.
+        """Returns a complete response to another request: to a finished one, or to any if not `is_over`.
 
-        One that is not over may yet be asked on this very connection, and would then be answered with it.
+        An unfinished request may yet be sent on this very connection, and the response would then be taken for its own.
         """
         server = self.connection.server
         names = server.oracle.received if is_over else server.oracle.asked
@@ -325,7 +328,7 @@
 
 
 def compose(received: Received, move: ServerMove, seal: str, oracle: Oracle) -> ServedAnswer:
-    """The answer's bytes, with the faults that lie in how it is composed."""
+    """Composes a response, with the faults that affect its status, headers, body or framing."""
     fault, name = move.fault, received.request_id
     entry = oracle.asked.get(name)
     size = entry.request.size if entry is not None else 1
@@ -341,7 +344,7 @@
 
 
 def _content(received: Received, move: ServerMove, seal: str, size: int) -> tuple[int, bytes, list[str]]:
-    """(status, body, further headers)."""
+    """Returns (status, body, further headers) of the response."""
     fault, name = move.fault, received.request_id
     if fault is ServerFault.NOT_RUN:
         return NOT_RUN_STATUSES[move.byte % 3], b"", ["X-Not-Run: 1"]
@@ -367,7 +370,7 @@
 
 
 def _framed(received: Received, move: ServerMove, body: bytes, status: int) -> tuple[list[str], bytes]:
-    """(headers that frame the body, the body as it is sent)."""
+    """Returns (headers that frame the body, body with its framing)."""
     fault = move.fault
     is_chunked = (received.route in ("loose", "chat") and status < 300) or move.byte % 4 == 0
     if fault is ServerFault.NO_LENGTH:
--- a/harness/local_cluster/__init__.py
+++ b/harness/local_cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes of the product on loopback, their traffic, and the checks of what they did."""
+"""Starts real processes of the product on loopback, sends them traffic, and checks the results."""
--- a/harness/local_cluster/allowance_trial.py
+++ b/harness/local_cluster/allowance_trial.py
@@ -1,6 +1,4 @@
-"""The trial of allowances: routers come, go and restart mid-shift while an office sends ten times its share over all of
-them.
-"""
+"""The trial of allowances: edges are added, killed and restarted while a tenant sends ten times its allowance."""
 
 import json
 import shutil
@@ -16,20 +14,20 @@
 from sumachook.runtime.clock import Clock
 from sumachook.simulation.quota_invariant_checker import Ask, Bounds, QuotaInvariantChecker, Run
 
-ALLOWED, SENT = 20.0, 200.0  # requests a second: an office's allowance, and what it sends
-INSIDE = 8.0  # what another office sends, inside its floor
-ADDED = 3  # routers that come later in the shift
+ALLOWED, SENT = 20.0, 200.0  # requests per second: a tenant's allowance, and its rate when it floods
+INSIDE = 8.0  # requests per second of the other tenant, below its guaranteed floor
+ADDED = 3  # edges that are started later in the trial
 CLOSED = (
     "refused",
     "connect-timeout",
     "draining",
     "not-ready",
-)  # nobody let it in or asked; its caller goes on elsewhere
-OF_WINDOW = 0.4  # seconds between a call's sending and its being let in
+)  # not admitted and not counted by any edge; the caller tries another edge
+OF_WINDOW = 0.4  # seconds from sending a call to its admission
 
 
 class Shift:
-    """One shift of two offices; `take(trial)` plays it and prints its table."""
+    """Two tenants, of which one floods; `take()` runs the trial and prints its table of rates per phase."""
 
     __slots__ = ("trial", "marks", "calls")
 
@@ -71,7 +69,7 @@
         self._report(read_catalogue(merge(fleet.spec.catalogue, part))[0])
 
     def _call_in(self, name, caller, rate, place):
-        """Callers of one office that look claims up, at all doors: who meets a closed one goes on elsewhere."""
+        """Starts callers of one tenant that send lookups to all edges; a rejected caller tries another edge."""
         fleet, folder = self.trial.fleet, self.trial.work / f"office-{name}"
         folder.mkdir()
         shutil.copy(fleet.folder / "catalogue.json", folder)
@@ -103,26 +101,26 @@
         print(what, flush=True)
 
     def _play(self, fleet, edges):
-        self._mark(f"{len(edges) - ADDED} routers")
+        self._mark(f"{len(edges) - ADDED} edges")
         time.sleep(8)
-        self._mark("three added")
+        self._mark("three edges added")
         for name in edges[-ADDED:]:
             fleet.start(name)
             time.sleep(2)
         time.sleep(4)
-        self._mark("three restarted one by one")
+        self._mark("three edges restarted one by one")
         for name in edges[:3]:
             fleet.stop(name)
             fleet.start(name)
             fleet.wait_for(partial(fleet.are_ready, "edge", [name]), 20)
-        self._mark("one killed, back after 3 s")
+        self._mark("one edge killed, restarted after 3 s")
         fleet.kill(edges[3])
         time.sleep(3)
         fleet.start(edges[3])
         time.sleep(3)
         shown = json.loads(fleet.operate("show", "allowances").stdout)
         lender = shown["holder"].rpartition("-")[0]
-        self._mark(f"the accountant ({lender}) killed")
+        self._mark(f"the issuer of allowances ({lender}) killed")
         fleet.kill(lender)
         time.sleep(9)
         fleet.start(lender)
@@ -132,8 +130,8 @@
         self._mark("end")
         for name, tenant in shown.items():
             print(
-                f"show allowances, {name}: a second {tenant['requestsPerS']}, let in {tenant['admitted']}, "
-                f"refused {tenant['refused']}, by router "
+                f"show allowances, {name}: {tenant['requestsPerS']} requests/s, admitted {tenant['admitted']}, "
+                f"refused {tenant['refused']}, by edge "
                 + ", ".join(
                     f"{edge} {router['admitted']}/{router['refused']}" for edge, router in tenant["routers"].items()
                 )
@@ -143,8 +141,8 @@
         fleet, terms, second = self.trial.fleet, QuotaTerms.by_tenant(catalogue), timedelta(seconds=1)
         print(
             "| phase | s | "
-            + " | ".join(f"{name}: sent, let in, refused a second" for name in self.calls)
-            + " | inside: slowest answer ms |"
+            + " | ".join(f"{name}: sent, admitted, refused per second" for name in self.calls)
+            + " | inside: slowest response ms |"
         )
         print("|---|---|" + "---|" * (len(self.calls) + 1))
         for (since, what), (until, _) in pairwise(self.marks):
@@ -181,7 +179,7 @@
                 )
             )
             self.trial.expect(
-                f"{name}: some calls were let in, {len(calls)} judged", any(call["outcome"] == "ok" for call in calls)
+                f"{name}: some calls were admitted, {len(calls)} judged", any(call["outcome"] == "ok" for call in calls)
             )
-            self.trial.expect(f"{name}: never more than the bound in 1, 3 and 10 s{over[:1] or ''}", not over)
-            self.trial.expect(f"{name}: nobody inside the floor refused{short[:1] or ''}", not short)
+            self.trial.expect(f"{name}: admitted calls within the bound in any 1, 3 and 10 s{over[:1] or ''}", not over)
+            self.trial.expect(f"{name}: no call within the floor refused{short[:1] or ''}", not short)
--- a/harness/local_cluster/city.py
+++ b/harness/local_cluster/city.py
@@ -1,4 +1,7 @@
-"""python -m harness.city CITY: a whole fleet of real processes, callers at the city's rates, outcomes, a clean stop."""
+"""python -m harness.city CITY: runs all processes of an example city, sends traffic at its rates, reports outcomes.
+
+The run fails if a rule was broken or a process did not exit with code 0.
+"""
 
 import argparse
 import signal
@@ -12,18 +15,22 @@
 def main():
     parser = argparse.ArgumentParser(prog="python -m harness.city", description=__doc__)
     parser.add_argument("city", choices=["kosice", "central-java"])
-    parser.add_argument("--seconds", type=float, default=30.0, help="how long callers call (at most 600)")
-    parser.add_argument("--pace", type=float, default=1.0, help="times the city's rates (at most 5)")
-    parser.add_argument("--keep", action="store_true", help="no callers: keep the fleet up until Ctrl-C")
+    parser.add_argument("--seconds", type=float, default=30.0, help="duration of the traffic in seconds (at most 600)")
+    parser.add_argument("--pace", type=float, default=1.0, help="factor on the city's request rates (at most 5)")
+    parser.add_argument(
+        "--keep", action="store_true", help="send no traffic and keep the processes running until Ctrl-C"
+    )
     parser.add_argument(
-        "--empty", action="store_true", help="servers hold nothing at first; all loads come at the store's pace"
+        "--empty",
+        action="store_true",
+        help="model servers start without models; all loads are limited by the store's rate",
     )
-    parser.add_argument("--work", help="folder for params, data and logs; a new temporary one by default")
+    parser.add_argument("--work", help="folder for settings, data and logs; by default a new temporary one")
     given = parser.parse_args()
     work = Path(given.work or tempfile.mkdtemp(prefix="sumachook-"))
     fleet = Processes(Path(__file__).parents[2] / "examples" / given.city, work, given.empty)
     try:
-        print(f"up in {fleet.bring_up():.1f} s, {len(fleet.running)} processes, logs in {work}", flush=True)
+        print(f"ready in {fleet.bring_up():.1f} s, {len(fleet.running)} processes, logs in {work}", flush=True)
         if given.keep:
             print("cores", *fleet.http_addresses("core"), "edges", *fleet.http_addresses("edge"), flush=True)
             signal.sigwait({signal.SIGINT, signal.SIGTERM})
@@ -35,7 +42,10 @@
     finally:
         codes = fleet.stop_all()
         bad = {name: code for name, code in codes.items() if code}
-        print(f"stopped {len(codes)} processes" + (f", not cleanly: {bad}" if bad else ", all cleanly"))
+        print(
+            f"stopped {len(codes)} processes"
+            + (f", exit codes other than 0: {bad}" if bad else ", all with exit code 0")
+        )
     raise SystemExit(0 if verdict.is_good and codes and not bad else 1)
 
 
--- a/harness/local_cluster/initial_placement.py
+++ b/harness/local_cluster/initial_placement.py
@@ -1,11 +1,11 @@
-"""What the servers of a city that has been up for long hold: what the product's own plan puts there."""
+"""Computes the models that servers of a long-running city hold, by the product's own placement plan."""
 
 from sumachook.configuration.catalogue import read_catalogue
 from sumachook.placement.plan import plan_adapters, plan_pairs
 
 
 def initial_placement(spec) -> dict:
-    """{model server: names of models and adapters}, where nothing was asked for yet (docs/design/placement.md)."""
+    """Returns {model server: names of its models and adapters} for a city without demand (docs/design/placement.md)."""
     catalogue, _ = read_catalogue(spec.catalogue)
     servers = {server["name"]: {"leaving": False, **server} for server in spec.servers if server["kind"] == "model"}
     pairs = plan_pairs(catalogue, servers, (), (), {}, {}, {})
--- a/harness/local_cluster/log_excerpts.py
+++ b/harness/local_cluster/log_excerpts.py
@@ -1,4 +1,4 @@
-"""Excerpts of nodes' logs, added to the failure of a test of real processes: the logs are gone later."""
+"""Adds excerpts of the nodes' logs to the failure of a test with real processes, as the logs are deleted after it."""
 
 import contextlib
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 @contextlib.contextmanager
 def with_logs_on_failure(work: Path, stalls: LoopStalls) -> Iterator[None]:
-    """Adds the noteworthy lines of all nodes' logs below `work` to a failure, and when this process stood still."""
+    """Adds the noteworthy lines of all nodes' logs below `work` and the stalls of this process to a test failure."""
     try:
         yield
     except (AssertionError, TimeoutError) as error:
@@ -22,7 +22,7 @@
 
 
 def noteworthy_lines(work: Path) -> list[str]:
-    """The last warnings, errors, starts and ends of each log, and what is no line of a log at all, as a traceback."""
+    """Returns the last warnings, errors, start and stop messages and non-JSON lines (e.g. tracebacks) of each log."""
     lines = []
     for log in sorted(work.rglob("*.log")):
         found = [line for line in log.read_text(errors="replace").splitlines() if _is_noteworthy(line)]
--- a/harness/local_cluster/loopback.py
+++ b/harness/local_cluster/loopback.py
@@ -1,19 +1,19 @@
-"""Addresses on loopback for what is tried over real sockets, and waiting until somebody serves there."""
+"""Free loopback addresses for tests over real sockets, and waiting until a server listens."""
 
 import asyncio
 import socket
 from collections.abc import Callable
 from random import SystemRandom
 
-PORTS = range(10_000, 32_768)  # below those that Linux gives to sockets that ask for none
+PORTS = range(10_000, 32_768)  # below the range from which Linux assigns ephemeral ports
 MAX_DRAWS = 1000
 
 
 def free_address() -> str:
-    """An address where nobody listens.
+    """Returns an address on which no process listens.
 
-    Its port is none that the kernel gives out: between this call and the server's start another process may open any
-    number of connections and listeners without a port of their own.
+    Its port is outside the kernel's ephemeral range: between this call and the server's start, other processes may open
+    any number of sockets with ephemeral ports.
 
     Raises:
         OSError: no port was free in `MAX_DRAWS` draws.
@@ -31,10 +31,10 @@
 
 
 async def wait_until_serving(is_serving: Callable[[], bool], *servers: asyncio.Task[None]) -> None:
-    """Waits until `is_serving`; what ended one of the tasks that are to serve is raised at once."""
+    """Waits until `is_serving()` is true; raises at once if one of the `servers` tasks ends before that."""
     while not is_serving():
         for server in servers:
             if server.done():
                 server.result()
-                raise RuntimeError(f"{server.get_name()} has ended before it served")
+                raise RuntimeError(f"{server.get_name()} ended before it was serving")
         await asyncio.sleep(0)
--- a/harness/local_cluster/nodes.py
+++ b/harness/local_cluster/nodes.py
@@ -1,4 +1,4 @@
-"""The system's own nodes, started as the deploy file says."""
+"""Runs the system's nodes as processes, started by the roles of deploy/system.toml."""
 
 import asyncio
 import contextlib
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).parents[2]
 GRACE = 8.0
-LEAVING = b"Leaving"  # in the line of a node that has heard the signal to leave
+LEAVING = b"Leaving"  # part of the line that a node logs when it handles the signal to leave
 PORTS = {"front": 8144, "readiness": 8140, "control": 8146}
 INNER = [7660, 7675]
 BOUNDS = {
@@ -44,8 +44,10 @@
 
 
 class Nodes:
-    """One process a machine and role: `start_all`, `stop_all`. Settings, data and logs lie under `work`; `machines` is
-    {name: (class, zone, ip)}."""
+    """Starts, signals and stops one process for each machine and role.
+
+    Settings, data and logs are stored under `work`. `machines` is {name: (class, zone, ip)}.
+    """
 
     __slots__ = ("work", "machines", "zones", "cloud", "running", "roles", "seeds", "in_restart", "log_starts")
 
@@ -55,12 +57,12 @@
         self.roles = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]
 
     def addresses(self, serves: str, what: str) -> list:
-        """(zone, address) of all machines with a role that serves this."""
+        """Returns (zone, address) of every machine whose role serves `serves`; `what` selects the port."""
         classes = {role["on"] for role in self.roles.values() if serves in role.get("serves", ())}
         return [(zone, f"{ip}:{PORTS[what]}") for kind, zone, ip in self.machines.values() if kind in classes]
 
     def front_address(self, machine) -> str:
-        """Where a machine takes clients, if it does."""
+        """Returns the address on which a machine accepts clients, if it is an edge."""
         return f"{self.machines[machine][2]}:{PORTS['front']}"
 
     async def start_all(self):
@@ -70,9 +72,10 @@
                     await self._start(machine, role, said)
 
     def signal(self, machine, number):
-        """Signals a process that has not ended.
+        """Sends a signal to a process that has not ended.
 
-        By its id: asyncio's `send_signal` would take the exit code of one that just ends from whoever waits for it.
+        It uses the process id, because asyncio's `send_signal` reaps a process that has just ended, and whoever awaits
+        it would not get its exit code.
         """
         process = self.running[machine]
         if process.returncode is None:
@@ -80,11 +83,11 @@
                 os.kill(process.pid, number)
 
     def has_handled_stop(self, machine) -> bool:
-        """Whether the log of its process says that it leaves; one that was signalled before it listens does not."""
+        """Whether the process has logged that it is leaving; one that was signalled before it listens logs nothing."""
         return LEAVING in self._log_of_process(machine)
 
     def has_spoken(self, machine) -> bool:
-        """Whether its process wrote anything: before its first lines the interpreter's own handlers are in force."""
+        """Whether the process has logged a line; until then, the interpreter's default signal handlers apply."""
         return bool(self._log_of_process(machine))
 
     def _log_of_process(self, machine) -> bytes:
@@ -95,7 +98,7 @@
 
     @contextlib.asynccontextmanager
     async def restarting(self, machine):
-        """While this stands, nobody else restarts the machine."""
+        """Marks the machine as restarting within the context, so that no other task restarts it."""
         self.in_restart.add(machine)
         try:
             yield
@@ -103,7 +106,7 @@
             self.in_restart.discard(machine)
 
     def reorder_seeds(self, machine, random):
-        """The settings of the machine name the same seeds in another order from now on; its process is not told."""
+        """Rewrites the settings file of a machine with its seeds in another order; does not signal its process."""
         seeds = [address for _, address in self.addresses("control", "control")]
         self.seeds[machine] = random.sample(seeds, min(len(seeds), 3))
         kind = self.machines[machine][0]
@@ -112,7 +115,10 @@
                 (self.work / f"{machine}.toml").write_text(self._settings(machine, role, said, False))
 
     async def stop_all(self) -> dict:
-        """The short warning, then the end; {name: exit code}. Those that ended before are among them."""
+        """Sends SIGTERM to all processes and kills those that run 8 s later.
+
+        Returns {name: exit code}, also of those that had ended before.
+        """
         for machine in self.running:
             self.signal(machine, signal.SIGTERM)
         return dict(zip(self.running, await asyncio.gather(*map(self._wait, self.running.values())), strict=True))
@@ -125,7 +131,7 @@
             return await process.wait()
 
     async def start(self, machine):
-        """Starts a machine once more, as one that has been up before."""
+        """Restarts the process of a machine, with settings that say it is not its first start."""
         kind = self.machines[machine][0]
         for role, said in self.roles.items():
             if said["on"] == kind:
@@ -135,7 +141,8 @@
         settings = self.work / f"{machine}.toml"
         settings.write_text(self._settings(machine, role, said, is_first))
         program, *arguments = said["run"].split(" ")
-        program = sys.executable if program == "python3" else program  # the one that has what requirements.txt lists
+        # this interpreter has the packages of requirements.txt
+        program = sys.executable if program == "python3" else program
         kept = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
         with open(self.work / f"{machine}.log", "ab") as log:
             self.log_starts[machine] = log.tell()
@@ -196,7 +203,7 @@
         }
         lines = [
             f"{name} = {json.dumps(value)}" for name, value in top.items()
-        ]  # strings, numbers and lists are alike in TOML
+        ]  # JSON strings, numbers and lists are valid TOML
         for table, items in tables.items():
             lines += [f"[{table}]", *(f"{name} = {json.dumps(value)}" for name, value in items.items())]
         return "\n".join(lines) + "\n"
--- a/harness/local_cluster/platform_city.py
+++ b/harness/local_cluster/platform_city.py
@@ -1,7 +1,8 @@
-"""python -m harness.platform_city: the system as the users' platform runs it, among stand-ins, on loopback.
+"""python -m harness.platform_city: runs the system as the users' platform does, among fakes, on loopback.
 
-Three cores and some edges are started by deploy/system.toml; the list, servers, operator and clients are of this
-process. Prints what each kind of request met and what broke a rule, and ends all that it started.
+Three cores and some edges are started as processes by deploy/system.toml; the list of servers, the servers, the
+operator and the clients are fakes in this process. Prints the outcomes of each kind of request and the broken rules,
+and stops everything it started.
 """
 
 import argparse
@@ -19,32 +20,32 @@
 
 
 async def play(work: Path, seconds: float, pace: float, edges: int) -> Deployment:
-    """One short day: the first configuration, traffic, a route more in the middle, the configuration read back."""
+    """Applies the first configuration, sends traffic, adds a route meanwhile, and reads the configuration back."""
     deployment, loop = Deployment(work, edges), asyncio.get_running_loop()
-    for number in (signal.SIGINT, signal.SIGTERM):  # what was started is ended first
+    for number in (signal.SIGINT, signal.SIGTERM):  # stop the started processes before this one exits
         loop.add_signal_handler(number, asyncio.current_task().cancel)
     begun = loop.time()
     async with deployment:
         await asyncio.wait_for(deployment.configure("/Configuration.Replace", FIRST), UP_WITHIN)
         await asyncio.wait_for(deployment.balancer.all_in(), UP_WITHIN)
-        print(f"up in {loop.time() - begun:.1f} s, {len(deployment.nodes.running)} nodes", flush=True)
+        print(f"ready in {loop.time() - begun:.1f} s, {len(deployment.nodes.running)} nodes", flush=True)
         async with asyncio.TaskGroup() as calls:
             for kind in KINDS:
                 calls.create_task(deployment.call(kind, seconds, pace))
             await asyncio.sleep(seconds / 3)
             await deployment.add_route()
-            await asyncio.sleep(2.0)  # from then on every edge obeys it
+            await asyncio.sleep(2.0)  # by then every edge applies the new route
             calls.create_task(deployment.call(ADDED, max(1.0, seconds * 2 / 3 - 2.0), pace))
         await deployment.read_back()
         early = [name for name, process in deployment.nodes.running.items() if process.returncode is not None]
     deployment.call_history.noted += [
-        f"{name} ended by itself, its log: {_tail(work / (name + '.log'))}" for name in early
+        f"{name} exited during the run, end of its log: {_tail(work / (name + '.log'))}" for name in early
     ]
     return deployment
 
 
 def faults_of(deployment) -> list:
-    """What broke a rule, and the kinds of request of which none came back in time: of those nothing was judged."""
+    """Returns the broken rules, and each kind of request without a response in time, as nothing was judged for it."""
     in_time = {
         f"requests of {kind.name} in time": sum(
             outcome == OUTCOMES[0] for outcome, _, _ in deployment.outcomes.get(kind.name, ())
@@ -61,7 +62,7 @@
     lines = [
         f"{'kind':<10}{'asked':>7}"
         + "".join(f"{outcome:>9}" for outcome in OUTCOMES)
-        + "  first, median  first, last  not served by"
+        + "  first, median  first, max   failed with"
     ]
     for kind in (*KINDS, ADDED):
         found = deployment.outcomes.get(kind.name, [])
@@ -74,12 +75,12 @@
         )
     runs = sum(map(len, deployment.call_history.runs.values()))
     lines.append(
-        f"servers ran {runs} requests, {runs - len(deployment.call_history.runs)} of them again; "
+        f"servers ran {runs} requests, {runs - len(deployment.call_history.runs)} of them repeated; "
         f"{len(deployment.call_history.loads)} loads from the store, "
-        f"{deployment.list.count} calls to the list"
+        f"{deployment.list.count} calls to the list of servers"
     )
     breaches = faults_of(deployment)
-    return [*lines, f"breaches: {len(breaches)}", *breaches]
+    return [*lines, f"broken rules: {len(breaches)}", *breaches]
 
 
 def _tail(log: Path) -> str:
@@ -88,9 +89,9 @@
 
 def main():
     parser = argparse.ArgumentParser(prog="python -m harness.platform_city", description=__doc__)
-    parser.add_argument("--seconds", type=float, default=20.0, help="how long clients ask (at most 300)")
-    parser.add_argument("--pace", type=float, default=1.0, help="times the usual rates (at most 10)")
-    parser.add_argument("--edges", type=int, default=3, help="edge nodes (at most 9)")
+    parser.add_argument("--seconds", type=float, default=20.0, help="duration of the traffic in seconds (at most 300)")
+    parser.add_argument("--pace", type=float, default=1.0, help="factor on the usual request rates (at most 10)")
+    parser.add_argument("--edges", type=int, default=3, help="number of edge nodes (at most 9)")
     parser.add_argument("--work", help="keep settings, data and logs in this folder")
     given = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="sumachook-") as folder:
@@ -100,11 +101,11 @@
         try:
             deployment = asyncio.run(asyncio.wait_for(play(work, seconds, pace, edges), 3 * UP_WITHIN + seconds))
         except asyncio.CancelledError:
-            raise SystemExit("ended before its time") from None
+            raise SystemExit("interrupted before the end of the run") from None
     print(*report(deployment), sep="\n")
     codes = {name: process.returncode for name, process in deployment.nodes.running.items()}
     bad = {name: code for name, code in codes.items() if code}
-    print(f"stopped {len(codes)} nodes" + (f", not cleanly: {bad}" if bad else ", all cleanly"))
+    print(f"stopped {len(codes)} nodes" + (f", exit codes other than 0: {bad}" if bad else ", all with exit code 0"))
     raise SystemExit(1 if bad or not codes or faults_of(deployment) else 0)
 
 
--- a/harness/local_cluster/processes.py
+++ b/harness/local_cluster/processes.py
@@ -1,4 +1,4 @@
-"""A city's fleet as real processes."""
+"""Runs the nodes, the platform and the model servers of an example city as real processes."""
 
 import json
 import os
@@ -14,23 +14,23 @@
 from harness.local_cluster.server_record import PATH, ServerRecord, read_server_record
 from sumachook.simulation.deployment import DeploymentSpec
 
-ANSWER_WITHIN = 10.0  # seconds; a stand-in that was just started has so long to answer
+ANSWER_WITHIN = 10.0  # seconds within which a fake server that was just started must answer
 PROGRAM = [sys.executable, "-m", "sumachook"]
 
 
 class UnknownNodeError(Exception):
-    """No node of the city has this role and one of these names: nothing can be said of its state."""
+    """No node of the city has the given role and one of the given names, so its state is unknown."""
 
     def __init__(self, role: str, names):
         super().__init__(f"no node of role {role!r}" + (f" is named {', '.join(names)}" if names else ""))
 
 
 class Processes:
-    """Starts, signals and stops the processes of one city; logs and data lie under `work`.
+    """Starts, signals and stops the processes of one city; logs and data are stored under `work`.
 
-    Unless the city is empty, its model servers hold their share when they are started first, as those of a city that
-    has been up for long: loading everything takes the weights' gigabytes over the store's pace, which no fleet may
-    exceed (docs/design/placement.md).
+    Unless `is_empty`, the model servers hold their planned models at the first start, like those of a long-running
+    city: loading all models takes the gigabytes of their weights divided by the store's rate, which no fleet may exceed
+    (docs/design/placement.md).
     """
 
     __slots__ = ("folder", "spec", "work", "running", "commands", "is_empty")
@@ -70,7 +70,7 @@
             self.running[name] = subprocess.Popen(PROGRAM + self.commands[name] + list(more), stdout=log, stderr=log)
 
     def start_all(self):
-        """Started once more, a model server comes back with nothing; so only now it is told what it holds."""
+        """Starts all processes. Model servers get initial models only here: one restarted later is empty."""
         holding = self.work / "holding.json"
         held = {} if self.is_empty else initial_placement(self.spec)
         holding.write_text(
@@ -87,7 +87,7 @@
         self.running.pop(name).wait()
 
     def stop(self, name: str, wait=15.0) -> int:
-        """The short warning, then the end; gives the exit code."""
+        """Sends SIGTERM, kills the process after `wait` seconds if it still runs, and returns the exit code."""
         self.running[name].terminate()
         return self._wait(name, wait)
 
@@ -109,7 +109,7 @@
         return [node["door"] for node in self.spec.nodes if node["role"] == role]
 
     def get(self, http_address: str, path: str, key: str = "", doc=None):
-        """(status, document), or None where nothing answers; with a document it is a POST."""
+        """Returns (status, document), or None if there is no response; sends a POST if a document is given."""
         body = json.dumps(doc).encode() if doc is not None else None
         request = urllib.request.Request(
             f"http://{http_address}{path}", body, {"Authorization": f"Bearer {key}"} if key else {}
@@ -157,7 +157,7 @@
         )
 
     def are_pairs_held(self) -> bool:
-        """Whether every pair of the placer's is loaded where it belongs."""
+        """Whether every planned replica (a model on a server) is loaded on its server."""
         for http_address in self.http_addresses("core"):
             answer = self.get(http_address, "/show/pairs")
             if answer and answer[0] == 200:
@@ -169,20 +169,20 @@
         return False
 
     def bring_up(self) -> float:
-        """Founds the fleet, applies the catalogue and waits until all pairs are held; gives the seconds it took.
+        """Starts all processes, applies the catalogue and waits until every planned replica is loaded.
 
-        The bound is the check that nothing but the store's pace holds a start up.
+        Returns the seconds this took. The time limit checks that only the store's rate delays the start.
         """
         bound = 120 if self.is_empty else 20
         begun = time.monotonic()
         self.start_all()
         if not self.wait_for(lambda: self.are_ready("core"), 30):
-            raise SystemExit("the cores found no view within 30 s; see " + str(self.work))
+            raise SystemExit("the cores did not form a view within 30 s; logs in " + str(self.work))
         answer = self.operate("apply", str(self.folder / "catalogue.json"))
         if answer.returncode:
-            raise SystemExit("apply failed: " + answer.stderr)
+            raise SystemExit("applying the catalogue failed: " + answer.stderr)
         if not self.wait_for(lambda: self.are_ready("edge") and self.are_pairs_held(), bound):
-            raise SystemExit(f"pairs were not held within {bound} s; see {self.work}")
+            raise SystemExit(f"planned replicas were not loaded within {bound} s; logs in {self.work}")
         return time.monotonic() - begun
 
     def call_in(
@@ -212,7 +212,7 @@
         return subprocess.Popen(PROGRAM + command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
 
     def server_record(self, server: dict) -> ServerRecord:
-        """The record of one model server; raises ServerRecordError where it gives none."""
+        """Fetches the record of one model server; raises ServerRecordError if it does not return one."""
         answers = []
 
         def has_answered():
@@ -223,7 +223,7 @@
         return read_server_record(server["name"], answers[-1])
 
     def server_records(self) -> dict[str, ServerRecord]:
-        """The records of the model servers that should be up, by name; raises ServerRecordError where one has none."""
+        """Fetches the records of all running model servers, by name; raises ServerRecordError if one returns none."""
         return {
             server["name"]: self.server_record(server)
             for server in self.spec.servers
--- a/harness/local_cluster/run_verdict.py
+++ b/harness/local_cluster/run_verdict.py
@@ -1,4 +1,4 @@
-"""Judges the calls of a run by the model servers' records: what ran twice, what ran unknown to its caller."""
+"""Judges the calls of a run by the model servers' records: calls run twice, and calls reported as not run that ran."""
 
 import json
 from collections import Counter
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RunVerdict:
-    """What was judged and what is wrong: tags of calls, lines of servers.
+    """The verdict on a run: tags of wrongly executed calls, and the servers' lines about orders beyond their memory.
 
-    `answered` calls answered and `prompts` run are what was judged; a run without one of them shows nothing.
+    The verdict is based on `answered` calls and `prompts` run; a run without either proves nothing.
     """
 
     answered: int
@@ -31,17 +31,17 @@
         return self.has_judged and not (self.run_twice or self.run_unknown or self.beyond_room)
 
     def describe(self) -> str:
-        """One line for a report."""
+        """Returns the verdict as one line of a report."""
         line = (
             f"model servers ran {self.prompts} prompts for {self.answered} calls answered: "
-            f"{len(self.run_twice)} unsafe ones "
-            f"run twice, {len(self.run_unknown)} told 'not run' that ran, {len(self.beyond_room)} orders beyond room"
+            f"{len(self.run_twice)} non-idempotent calls run twice, "
+            f"{len(self.run_unknown)} calls run but reported as not run, {len(self.beyond_room)} orders beyond memory"
         )
         return line if self.has_judged else line + "; NOTHING WAS JUDGED"
 
 
 def judge_runs(calls: Sequence[dict], records: Collection[ServerRecord]) -> RunVerdict:
-    """Judges the lines of a call log by the records of all servers that ran them."""
+    """Judges the calls of a call log by the records of all model servers."""
     runs: Counter[str] = Counter()
     for record in records:
         runs.update(record.runs)
@@ -55,5 +55,5 @@
 
 
 def read_calls(log: Path) -> list[dict]:
-    """The calls of a log with one JSON document a line."""
+    """Reads the calls from a log with one JSON document per line."""
     return [json.loads(line) for line in log.read_text().splitlines()]
--- a/harness/local_cluster/server_record.py
+++ b/harness/local_cluster/server_record.py
@@ -1,4 +1,4 @@
-"""What a fake model server answers at `/proof`: its own record of what it ran and was ordered."""
+"""Reads the record that a fake model server keeps of its runs and orders and returns at `/proof`."""
 
 from collections.abc import Iterable
 
@@ -9,17 +9,18 @@
 
 
 class ServerRecordError(Exception):
-    """A fake server that should be up gave no record."""
+    """A fake model server that should be running did not return its record."""
 
     def __init__(self, server: str, reason: str):
-        super().__init__(f"{server} gave no record of its runs: {reason}")
+        super().__init__(f"{server} returned no record of its runs: {reason}")
         self.server, self.reason = server, reason
 
 
 class ServerRecord(msgspec.Struct, rename="camel"):
-    """The record of one model server; every field must be in the answer.
+    """The record of one model server; every field must be in the response.
 
-    `runs` {tag of a call: times run}, `broken` orders that it must never be given, `stale` orders under an old fence.
+    `runs` is {tag of a call: times run}; `broken` lists orders that break a rule, `stale` orders with an old fencing
+    token.
     """
 
     runs: dict[str, int]
@@ -31,13 +32,14 @@
 
     @property
     def prompts(self) -> int:
-        """How many prompts were run, each time counted."""
+        """The number of prompt runs; a prompt that ran twice counts twice."""
         return sum(self.runs.values())
 
 
 def read_server_record(server: str, answer: tuple[int, object] | None) -> ServerRecord:
-    """The record in an answer (status, document), None where nothing answered; raises ServerRecordError if it holds
-    none.
+    """Decodes the record from a response (status, document).
+
+    Raises ServerRecordError if the response is None, has another status than 200 or holds no valid record.
     """
     if answer is None:
         raise ServerRecordError(server, "no answer")
@@ -51,5 +53,5 @@
 
 
 def count_prompts(records: Iterable[ServerRecord]) -> int:
-    """How many prompts all servers ran."""
+    """Returns the number of prompt runs on all servers."""
     return sum(record.prompts for record in records)
--- a/harness/local_cluster/trials.py
+++ b/harness/local_cluster/trials.py
@@ -1,5 +1,6 @@
-"""python -m harness.trials: real processes under load: rolling restart, SIGKILL, SIGSTOP; memory and open files
-recorded.
+"""python -m harness.trials: runs real processes under load through restarts, SIGKILL, SIGSTOP and other faults.
+
+Records memory and open files of the nodes at the start and the end of each trial.
 """
 
 import argparse
@@ -23,14 +24,14 @@
 
 
 class NoLeaderError(Exception):
-    """No core said in time that it leads: what was to be done to the leader cannot be done."""
+    """No core reported itself as the leader in time, so the trial cannot apply its fault to the leader."""
 
     def __init__(self):
-        super().__init__(f"no core led within {LEADER_WITHIN} s")
+        super().__init__(f"no core reported itself as the leader within {LEADER_WITHIN} s")
 
 
 class Trial:
-    """One fleet under callers, while things are done to it; `run` tells what came of it."""
+    """Runs one fleet under load while a trial applies its faults; `run` returns whether the run broke no rule."""
 
     __slots__ = ("fleet", "work", "samples", "back_at", "failed")
 
@@ -44,7 +45,7 @@
         )
 
     def run(self, name: str, do, seconds: float) -> bool:
-        print(f"up in {self.fleet.bring_up():.1f} s", flush=True)
+        print(f"ready in {self.fleet.bring_up():.1f} s", flush=True)
         calls = self.work / "calls.jsonl"
         callers = self.fleet.call_in(seconds, 1.0, calls)
         try:
@@ -53,7 +54,7 @@
             do(self)
             self.sample()
             if callers.poll() is not None:
-                print(f"{name}: callers ended before it was over")
+                print(f"{name}: the callers ended before the faults were over")
             out, _ = callers.communicate(timeout=seconds + 400)
             records = self.fleet.server_records()
         finally:
@@ -83,19 +84,19 @@
             and call["tag"] not in logged
             and (runs[call["tag"]] or call["seconds"] > 0.5)
         ]
-        print(f"{name}: {len(final)} calls, {len(failed)} safe ones not answered; {verdict.describe()}")
+        print(f"{name}: {len(final)} calls, {len(failed)} idempotent ones not answered; {verdict.describe()}")
         print(
-            f"{len(unlogged)} calls that reached a node and were not answered are in no day's log "
-            f"(but for those of the node's last half second of which nothing ran): {unlogged[:5]}"
+            f"{len(unlogged)} calls that reached a node and were not answered are missing from the daily logs "
+            f"(except calls shorter than half a second that did not run): {unlogged[:5]}"
         )
         bad = [call["at"] for call in final if call["outcome"] != "ok"]
         if self.back_at is not None:
             last = max((at - self.back_at for at in bad if at > self.back_at), default=None)
             print(
-                "after the return of all, the last call not answered was made at "
-                + (f"{last:.1f} s" if last is not None else "no time")
+                "time from the restart of all nodes to the last call that was not answered: "
+                + (f"{last:.1f} s" if last is not None else "none")
             )
-        print("memory (MB) and open files at the begin and the end: " + self.growth())
+        print("memory (MB) and open files at the start and the end: " + self.growth())
         logs = list(self.work.glob("*.log"))
         uncaught = [path.name for path in logs if "Traceback" in path.read_text()]
         self.expect(
@@ -106,7 +107,9 @@
             f"exit codes other than 0: { {name: code for name, code in codes.items() if code} or 'none' }, "
             f"tracebacks in {uncaught or 'no log'}"
         )
-        print(f"expectations not met: {self.failed or 'none'}; calls in no log: {len(unlogged)}", flush=True)
+        print(
+            f"expectations not met: {self.failed or 'none'}; calls missing from the logs: {len(unlogged)}", flush=True
+        )
         return verdict.is_good and not (uncaught or self.failed or unlogged)
 
     def expect(self, what: str, is_so: bool):
@@ -115,7 +118,7 @@
             self.failed.append(what)
 
     def sample(self):
-        """(resident MB, open files) of each running node."""
+        """Appends (resident memory in MB, open files) of each running node to the samples."""
         found = {}
         for node in self.fleet.spec.nodes:
             process = self.fleet.running.get(node["name"])
@@ -139,14 +142,14 @@
         return [node["name"] for node in self.fleet.spec.nodes if node["role"] == role]
 
     def leader(self) -> str:
-        """The name of the core that leads; raises NoLeaderError where none says so in time."""
+        """Returns the name of the leader; raises NoLeaderError if no core reports itself as the leader in time."""
         found = []
         if not self.fleet.wait_for(lambda: found.extend(self._leading()) or bool(found), LEADER_WITHIN):
             raise NoLeaderError
         return found[0]
 
     def _leading(self) -> list[str]:
-        """The cores that say that they lead."""
+        """Returns the names of the cores that report themselves as the leader."""
         names = []
         for node in self.fleet.spec.nodes:
             answer = self.fleet.get(node["door"], "/condition") if node["role"] == "core" else None
@@ -156,7 +159,7 @@
 
 
 def rolling(trial: Trial):
-    """Every node of ours is stopped in order and started again, one at a time."""
+    """Stops every edge and core with SIGTERM and starts it again, one at a time."""
     for name in trial.names("edge") + trial.names("core"):
         code = trial.fleet.stop(name)
         trial.fleet.start(name)
@@ -167,7 +170,7 @@
 
 
 def kills(trial: Trial):
-    """SIGKILL an edge, the leader, a model server; each comes back."""
+    """Sends SIGKILL to an edge, the leader, a model server and another edge in turn, and restarts each of them."""
     for name in ("edge-2", trial.leader(), "model-1", "edge-5"):
         trial.fleet.kill(name)
         print(f"{name} killed", flush=True)
@@ -177,17 +180,17 @@
 
 
 def freezes(trial: Trial):
-    """SIGSTOP and SIGCONT for five seconds: an edge, the leader, a model server."""
+    """Stops an edge, the leader and a model server in turn for five seconds with SIGSTOP and SIGCONT."""
     for name in ("edge-3", trial.leader(), "model-2"):
         trial.fleet.signal(name, signal.SIGSTOP)
-        print(f"{name} frozen", flush=True)
+        print(f"{name} stopped with SIGSTOP", flush=True)
         time.sleep(5)
         trial.fleet.signal(name, signal.SIGCONT)
         time.sleep(5)
 
 
 def total(trial: Trial):
-    """SIGKILL of all of our nodes at once; all return three seconds later."""
+    """Sends SIGKILL to all cores and edges at once and restarts all of them three seconds later."""
     names = trial.names("core") + trial.names("edge")
     for name in names:
         trial.fleet.signal(name, signal.SIGKILL)
@@ -204,7 +207,7 @@
 
 
 def warned(trial: Trial):
-    """SIGTERM, and SIGKILL a second later: an edge and a core; then a model server is listed as leaving and killed."""
+    """Sends SIGTERM and a second later SIGKILL to an edge and a core, then drains and kills a model server."""
     for name in ("edge-2", "core-2"):
         trial.fleet.signal(name, signal.SIGTERM)
         time.sleep(1)
@@ -218,7 +221,7 @@
     time.sleep(4)
     after = trial.fleet.server_record(_server(trial, "model-1")).prompts
     trial.expect(
-        f"nothing new on the leaving server from 3.6 s after its notice on ({before} prompts before)",
+        f"no new prompts on the leaving server from 3.6 s after its notice ({before} prompts before)",
         0 < before == after,
     )
     trial.fleet.kill("model-1")
@@ -232,7 +235,7 @@
 
 
 def _change(trial, number, more=None):
-    """One partial configuration with a caller of its own; gives whether it was acknowledged."""
+    """Applies a partial configuration that replaces the probe caller; returns whether it was acknowledged."""
     callers = [
         {
             "name": f"probe-{number}",
@@ -249,8 +252,9 @@
 
 
 def _obeys(trial, number) -> list:
-    """The edges that do not know the newest key or still know the one before: 403 is a key that is known and may not
-    look up.
+    """Returns the edges that reject the newest key as unknown or still accept the previous one.
+
+    Status 403 means that the key is known but not allowed to look up records; 401 means that it is unknown.
     """
     asked = {
         http_address: [
@@ -263,8 +267,8 @@
 
 
 def configured(trial: Trial):
-    """A storm of changes, obeying checked from outside two seconds after each tenth ack, once with the leader killed
-    right after it; then an area is evacuated and restored.
+    """Applies 30 changes; two seconds after each tenth acknowledgement, checks that all edges apply it, once with the
+    leader killed right after the acknowledgement. Then evacuates and restores an area.
     """
     target = trial.fleet.spec.catalogue["models"][0]["name"]
     for number in range(1, 31):
@@ -277,7 +281,8 @@
                 trial.fleet.kill(lost)
             time.sleep(2)
             trial.expect(
-                f"all edges obey change {number} two seconds after its ack", is_acked and _obeys(trial, number) == []
+                f"all edges apply change {number} two seconds after its acknowledgement",
+                is_acked and _obeys(trial, number) == [],
             )
             if lost:
                 trial.fleet.start(lost)
@@ -289,13 +294,13 @@
     servers = [server for server in trial.fleet.spec.servers if server["kind"] == "model" and server["area"] == zone]
     before = [trial.fleet.server_record(server).prompts for server in servers]
     trial.expect(
-        "edges in the evacuated area let nobody in",
+        "edges in the evacuated area reject all requests",
         bool(inside) and all(trial.fleet.get(http_address, "/records/x")[0] == 503 for http_address in inside),
     )
     time.sleep(4)
     after = [trial.fleet.server_record(server).prompts for server in servers]
     trial.expect(
-        f"nothing runs in the evacuated area from five seconds on ({sum(before)} prompts before)",
+        f"no prompt runs in the evacuated area after five seconds ({sum(before)} prompts before)",
         sum(before) > 0 and before == after,
     )
     trial.fleet.operate("restore", zone)
@@ -303,41 +308,44 @@
 
 
 def swapped(trial: Trial):
-    """SIGKILL of a core right after an ack, its disk lost: what was acked is there, and it votes again."""
+    """Kills a core right after an acknowledgement and deletes its data: the change survives, the core votes again."""
     trial.expect("the change is acknowledged", _change(trial, 1))
     trial.fleet.kill("core-3")
     shutil.rmtree(trial.work / "core-3")
     trial.fleet.start("core-3")
     trial.expect(
-        "the blank core is seated", trial.fleet.wait_for(lambda: trial.fleet.are_ready("core", ["core-3"]), 40)
+        "the core without its disk is a voting member again",
+        trial.fleet.wait_for(lambda: trial.fleet.are_ready("core", ["core-3"]), 40),
     )
     trial.fleet.kill("core-1")
     time.sleep(4)
-    trial.expect("edges obey the acked change with another core lost", _obeys(trial, 1) == [] or _obeys(trial, 1) == [])
-    trial.expect("changes go on", _change(trial, 2))
+    trial.expect(
+        "edges apply the acknowledged change with another core down", _obeys(trial, 1) == [] or _obeys(trial, 1) == []
+    )
+    trial.expect("further changes are acknowledged", _change(trial, 2))
     trial.fleet.start("core-1")
     time.sleep(4)
 
 
 def crowd(trial: Trial):
-    """Four more cities' worth of callers for ten seconds."""
+    """Adds traffic of four times the city's request rates for ten seconds."""
     more = trial.fleet.call_in(10, 4.0, trial.work / "crowd.jsonl", 2, 2)
     time.sleep(16)
     more.communicate(timeout=120)
     calls = [json.loads(line) for line in (trial.work / "crowd.jsonl").read_text().splitlines()]
     answered = sum(call["outcome"] == "ok" for call in calls)
-    trial.expect(f"some of the crowd are answered: {answered} of {len(calls)}", answered > 0)
+    trial.expect(f"some of the additional calls are answered: {answered} of {len(calls)}", answered > 0)
 
 
 def soak(trial: Trial):
-    """Nothing but load, for minutes."""
+    """Runs load without faults for three minutes and samples memory and open files every 15 s."""
     for _ in range(12):
         time.sleep(15)
         trial.sample()
 
 
 def allowances(trial: Trial):
-    """A tenant sends ten times its allowance while edges are added, restarted and killed and the issuer is lost."""
+    """Sends ten times a tenant's allowance while edges are added, restarted and killed and the issuer is killed."""
     Shift(trial).take()
 
 
@@ -357,7 +365,7 @@
 
 def main():
     parser = argparse.ArgumentParser(prog="python -m harness.trials", description=__doc__)
-    parser.add_argument("names", nargs="*", choices=[*TRIALS, []], help="which; all but soak by default")
+    parser.add_argument("names", nargs="*", choices=[*TRIALS, []], help="trials to run; by default all except soak")
     parser.add_argument("--city", default="kosice", choices=["kosice", "central-java"])
     given = parser.parse_args()
     is_good = True
--- a/harness/run_checks.py
+++ b/harness/run_checks.py
@@ -1,11 +1,11 @@
-"""Checks that every run of the harness makes: that it judged anything at all, and that it was given any seed."""
+"""Checks for every run of the harness: that it judged at least one item and that its range of seeds is not empty."""
 
 import argparse
 from collections.abc import Mapping
 
 
 def find_unchecked(counts: Mapping[str, int]) -> list[str]:
-    """One fault for each kind of thing of which a run judged none.
+    """Returns one fault for each kind of item that a run never judged.
 
     >>> find_unchecked({"calls answered": 3, "prompts run": 0})
     ['nothing was judged: 0 prompts run']
@@ -14,8 +14,8 @@
 
 
 def seed_range(parser: argparse.ArgumentParser, first: int, last: int, most: int) -> range:
-    """The seeds from first to last, at most so many after the first; a command without any is refused."""
+    """Returns the seeds from `first` to `last`, at most `first + most`; exits with a usage error if there are none."""
     seeds = range(first, min(last, first + most) + 1)
     if not seeds:
-        parser.error(f"no seed lies from {first} to {last}")
+        parser.error(f"no seed in the range from {first} to {last}")
     return seeds
