--- a/harness/experiments/soak.py
+++ b/harness/experiments/soak.py
@@ -27,11 +27,11 @@
     unanswered_requests,
     unexplained_cuts,
 )
-from harness.fakes.deployment import FIRST, HOST, KINDS, ZONES, Deployment
+from harness.fakes.deployment import FIRST_CONFIGURATION, HOST, KINDS, ZONES, Deployment
 from harness.fakes.kept_client import AttemptEnd, IdleLimits, KeptAttempt, KeptClient
 from harness.fakes.loop_stalls import LoopStalls
 from harness.fakes.request_kind import RequestKind
-from harness.fakes.tenants import JOINING_KEYS, LEAVING_KEYS, Judged
+from harness.fakes.tenants import JOINING_KEYS, LEAVING_KEYS, JudgedRequest
 from harness.local_cluster.nodes import GRACE
 from harness.run_checks import find_unchecked, seed_range
 
@@ -110,16 +110,17 @@
         self.work = work
         self.result = SoakResult(spec)
         self.until = 0.0
-        self.base_routes = list(FIRST["routes"])
-        self.sent_idle_limit_ms = float(FIRST["limits"]["idle-timeout-ms"])  # of the change that was sent last
+        self.base_routes = list(FIRST_CONFIGURATION["routes"])
+        # of the change that was sent last
+        self.sent_idle_limit_ms = float(FIRST_CONFIGURATION["limits"]["idle-timeout-ms"])
         self.leaving_keys, self.joining_keys = len(LEAVING_KEYS), 0  # how many of them are held
 
     async def play(self) -> SoakResult:
         """Starts everything, lets clients call while all is restarted and changed, and judges what was seen."""
         deployment = self.deployment
         async with deployment:
-            await asyncio.wait_for(deployment.configure("/Configuration.Replace", FIRST), UP_WITHIN)
-            await asyncio.wait_for(deployment.balancer.all_in(), UP_WITHIN)
+            await asyncio.wait_for(deployment.configure("/Configuration.Replace", FIRST_CONFIGURATION), UP_WITHIN)
+            await asyncio.wait_for(deployment.balancer.wait_until_all_ready(), UP_WITHIN)
             loop = asyncio.get_running_loop()
             self.until = loop.time() + self.spec.seconds
             self.result.stalls.begin()
@@ -228,7 +229,7 @@
     def _was_stopped_at_start(self, name: str, code: int) -> bool:
         """Whether the signal found a process that did not listen to it yet: it served nobody."""
         nodes = self.deployment.nodes
-        is_hung_up = code == ENDED_BY_HUP and not nodes.has_spoken(name)
+        is_hung_up = code == ENDED_BY_HUP and not nodes.has_logged(name)
         return is_hung_up or (code == ENDED_BY_TERM and not nodes.has_handled_stop(name))
 
     async def _signal_within(self, name: str, number: int, seconds: float):
@@ -287,9 +288,15 @@
             ).route(HOST)
             for number in random.sample(range(100), count)
         ]
-        limits = {**FIRST["limits"], "idle-timeout-ms": random.choice(IDLE_LIMITS_MS)}
+        limits = {**FIRST_CONFIGURATION["limits"], "idle-timeout-ms": random.choice(IDLE_LIMITS_MS)}
         routes, tenants = [*self.base_routes, *extra], self._tenants()
-        return {**FIRST, "version": self._next_version(), "routes": routes, "limits": limits, "tenants": tenants}
+        return {
+            **FIRST_CONFIGURATION,
+            "version": self._next_version(),
+            "routes": routes,
+            "limits": limits,
+            "tenants": tenants,
+        }
 
     # judging --------------------------------------------------------------------------------
 
@@ -306,7 +313,7 @@
         result.faults += unexplained_cuts(result.attempts, history.runs, result.leavings, result.stalls)
         result.faults += unanswered_requests(result.attempts, result.stalls)
         judged = [
-            Judged(each.request_id, each.kind, each.credential, each.started_at, each.ended_at, each.status)
+            JudgedRequest(each.request_id, each.kind, each.credential, each.started_at, each.ended_at, each.status)
             for each in result.attempts
         ]
         result.faults += history.tenant_keys.violations(judged)
--- a/harness/fakes/balancer.py
+++ b/harness/fakes/balancer.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-EVERY, MISSES = 1.0, 2
+PROBE_INTERVAL, MAX_MISSES = 1.0, 2
 
 
 class Balancer:
@@ -16,41 +16,41 @@
     zones are used.
     """
 
-    __slots__ = ("nodes", "misses", "tasks", "stirred")
+    __slots__ = ("nodes", "misses", "tasks", "changed")
 
     def __init__(self, nodes: list):
         self.nodes = nodes  # (zone, front, readiness)
-        self.misses, self.tasks, self.stirred = {front: MISSES for _, front, _ in nodes}, [], asyncio.Event()
+        self.misses, self.tasks, self.changed = {front: MAX_MISSES for _, front, _ in nodes}, [], asyncio.Event()
 
     def begin(self):
-        self.tasks = [asyncio.ensure_future(self._watch(front, readiness)) for _, front, readiness in self.nodes]
+        self.tasks = [asyncio.ensure_future(self._probe(front, readiness)) for _, front, readiness in self.nodes]
 
     def end(self):
         for task in self.tasks:
             task.cancel()
 
-    async def all_in(self):
+    async def wait_until_all_ready(self):
         while any(self.misses.values()):
-            self.stirred.clear()
-            await self.stirred.wait()
+            self.changed.clear()
+            await self.changed.wait()
 
     def choose(self, zone: str, client: str) -> str:
         own = [front for where, front, _ in self.nodes if where == zone]
-        ready = [front for front in own if self.misses[front] < MISSES]
+        ready = [front for front in own if self.misses[front] < MAX_MISSES]
         fronts = ready if 2 * len(ready) >= len(own) else own
         if not ready:
-            fronts = [front for _, front, _ in self.nodes if self.misses[front] < MISSES] or own
+            fronts = [front for _, front, _ in self.nodes if self.misses[front] < MAX_MISSES] or own
         return fronts[crc32(client.encode()) % len(fronts)]
 
-    async def _watch(self, front, readiness):
-        timeout = aiohttp.ClientTimeout(total=EVERY)
+    async def _probe(self, front, readiness):
+        timeout = aiohttp.ClientTimeout(total=PROBE_INTERVAL)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 try:
                     async with session.get(f"http://{readiness}/readiness") as answer:
-                        is_in = answer.status == 200
+                        is_ready = answer.status == 200
                 except (aiohttp.ClientError, TimeoutError):
-                    is_in = False
-                self.misses[front] = 0 if is_in else self.misses[front] + 1
-                self.stirred.set()
-                await asyncio.sleep(EVERY if is_in else EVERY / 4)
+                    is_ready = False
+                self.misses[front] = 0 if is_ready else self.misses[front] + 1
+                self.changed.set()
+                await asyncio.sleep(PROBE_INTERVAL if is_ready else PROBE_INTERVAL / 4)
--- a/harness/fakes/call_history.py
+++ b/harness/fakes/call_history.py
@@ -58,7 +58,7 @@
                 elif service != asked.kind.service:
                     yield f"ROUTE: {instance} of {service} ran {request} of {asked.kind.name}"
             if asked is not None:
-                yield from self.tenant_keys.told_wrong(request, asked.credential)
+                yield from self.tenant_keys.tenant_violations(request, asked.credential)
             if asked is not None and not asked.kind.is_repeatable:
                 if len(runs) > 1:
                     yield f"TWICE: {request} of {asked.kind.name} ran at {', '.join(run[0] for run in runs)}"
--- a/harness/fakes/client.py
+++ b/harness/fakes/client.py
@@ -13,7 +13,7 @@
 from harness.fakes.server import DEADLINE, REQUEST, SEAL
 from harness.fakes.tenants import CREDENTIAL, STANDING_KEYS
 
-PROMISES, FINAL = (408, 421, 429, 503), (400, 401, 404, 413, 431)
+NOT_RUN_PROMISES, FINAL_STATUSES = (408, 421, 429, 503), (400, 401, 404, 413, 431)
 TRIES, CONNECT, FIRST_PAUSE = 5, 1.0, 0.03
 NUMBERS = count(1)
 
@@ -54,7 +54,7 @@
         if reading.is_whole:
             is_smooth = not kind.gap or reading.longest_gap <= kind.gap.total_seconds()
             return "in time" if is_smooth and first <= kind.aim.total_seconds() else "late"
-        return "refused" if reading.status in PROMISES else "failed"
+        return "refused" if reading.status in NOT_RUN_PROMISES else "failed"
 
     def _draw_request(self, kind):
         number = next(NUMBERS)
@@ -92,27 +92,27 @@
         else:
             reading.restart()
         timeout = aiohttp.ClientTimeout(total=left, sock_connect=CONNECT)
-        is_unread, reading.status, reading.retry_after = True, 0, 0.0
+        was_not_sent, reading.status, reading.retry_after = True, 0, 0.0
         try:
             async with self.session.post(f"http://{front}{path}", data=body, headers=sent, timeout=timeout) as answer:
-                is_unread, reading.status = False, answer.status
+                was_not_sent, reading.status = False, answer.status
                 self._check_head(kind, request, answer)
                 if 200 <= answer.status < 300:
                     await self._read(kind, request, answer, reading)
                     return not reading.is_whole and kind.is_resumable and reading.events > 0
                 await answer.read()
-                asked.is_promised_not_run = answer.status in PROMISES
+                asked.is_promised_not_run = answer.status in NOT_RUN_PROMISES
                 reading.retry_after = _seconds(answer.headers.get("Retry-After"))
         except aiohttp.ClientConnectorError:
             pass
         except (aiohttp.ClientError, TimeoutError, ConnectionError):
-            is_unread = False
-        if reading.status in FINAL or 200 <= reading.status < 300:
+            was_not_sent = False
+        if reading.status in FINAL_STATUSES or 200 <= reading.status < 300:
             return kind.is_resumable and reading.events > 0
-        return kind.is_repeatable or is_unread or asked.is_promised_not_run
+        return kind.is_repeatable or was_not_sent or asked.is_promised_not_run
 
     def _check_head(self, kind, request, answer):
-        back = answer.headers.get(REQUEST)
+        returned_id = answer.headers.get(REQUEST)
         if 200 <= answer.status < 300:
             if SEAL not in answer.headers:
                 self._note(kind, request, f"a success response ({answer.status}) without a seal")
@@ -120,10 +120,10 @@
                 self._note(kind, request, f"the seal of another request, {answer.headers[SEAL]}")
             elif answer.headers[SEAL] not in self.call_history.bodies:
                 self._note(kind, request, f"a seal that no server issued, {answer.headers[SEAL]}")
-            if back != request:
-                self._note(kind, request, f"the id of another request, {back}")
-        elif back not in (None, request):
-            self._note(kind, request, f"a rejection with the id of another request, {back}")
+            if returned_id != request:
+                self._note(kind, request, f"the id of another request, {returned_id}")
+        elif returned_id not in (None, request):
+            self._note(kind, request, f"a rejection with the id of another request, {returned_id}")
         if "Content-Encoding" in answer.headers:
             self._note(kind, request, "a body that was re-encoded in transit")
 
@@ -137,8 +137,8 @@
             if sealed not in (None, body):
                 self._note(kind, request, f"a body of {len(body)} bytes that differs from the one the server sent")
             return
-        silence = max(2.0, 4 * kind.aim.total_seconds(), 8 * kind.gap.total_seconds())
-        while line := await asyncio.wait_for(answer.content.readuntil(b"\n\n"), silence):
+        read_timeout = max(2.0, 4 * kind.aim.total_seconds(), 8 * kind.gap.total_seconds())
+        while line := await asyncio.wait_for(answer.content.readuntil(b"\n\n"), read_timeout):
             if reason := reading.take(line, loop.time()):
                 self._note(kind, request, reason)
         reading.is_whole = reading.events == reading.total
--- a/harness/fakes/delayed_view.py
+++ b/harness/fakes/delayed_view.py
@@ -3,34 +3,34 @@
 import asyncio
 from collections import deque
 
-EVERY = 0.05
+POLL_INTERVAL = 0.05
 
 
 class DelayedView:
-    """Polls `look()` twenty times a second between `begin` and `end`.
+    """Polls `read_value()` twenty times a second between `begin` and `end`.
 
     `shown` returns the value from `lag` seconds ago, or the initial value until then.
     """
 
-    __slots__ = ("look", "lag", "seen", "task")
+    __slots__ = ("read_value", "lag", "samples", "task")
 
-    def __init__(self, look, lag: float, first):
-        self.look, self.lag, self.seen, self.task = look, lag, deque([(0.0, first)]), None
+    def __init__(self, read_value, lag: float, first):
+        self.read_value, self.lag, self.samples, self.task = read_value, lag, deque([(0.0, first)]), None
 
     def begin(self):
-        self.task = asyncio.ensure_future(self._go_on())
+        self.task = asyncio.ensure_future(self._poll())
 
     def end(self):
         if self.task is not None:
             self.task.cancel()
 
     def shown(self):
-        return self.seen[0][1]
+        return self.samples[0][1]
 
-    async def _go_on(self):
+    async def _poll(self):
         while True:
             now = asyncio.get_running_loop().time()
-            self.seen.append((now, self.look()))
-            while len(self.seen) > 1 and self.seen[1][0] <= now - self.lag:
-                self.seen.popleft()
-            await asyncio.sleep(EVERY)
+            self.samples.append((now, self.read_value()))
+            while len(self.samples) > 1 and self.samples[1][0] <= now - self.lag:
+                self.samples.popleft()
+            await asyncio.sleep(POLL_INTERVAL)
--- a/harness/fakes/deployment.py
+++ b/harness/fakes/deployment.py
@@ -103,7 +103,7 @@
     RequestKind("open", "stamps", "/open/", "idempotent", 200 * MS, 2000 * MS, 8.0, is_public=True),
     RequestKind("booking", "stamps", "/call_history/", "non_idempotent", 400 * MS, 3000 * MS, 4.0),
 )
-ADDED = RequestKind("added", "stamps", "/added/", "idempotent", 200 * MS, 2000 * MS, 4.0)
+ADDED_KIND = RequestKind("added", "stamps", "/added/", "idempotent", 200 * MS, 2000 * MS, 4.0)
 SERVICES = [
     {
         "name": "llm",
@@ -125,7 +125,7 @@
         "cold-per-s": 0.0,
     },
 ]
-FIRST = {
+FIRST_CONFIGURATION = {
     "version": 3,
     "routes": [kind.route(HOST) for kind in KINDS],
     "services": SERVICES,
@@ -232,7 +232,7 @@
     async def add_route(self):
         """Adds one route while clients send requests."""
         await self.configure(
-            "/Configuration.Update", {"version": self.version + 4, "upserts": {"routes": [ADDED.route(HOST)]}}
+            "/Configuration.Update", {"version": self.version + 4, "upserts": {"routes": [ADDED_KIND.route(HOST)]}}
         )
 
     async def read_back(self):
--- a/harness/fakes/model_cache.py
+++ b/harness/fakes/model_cache.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
-OWN_DISK, ADAPTER_SECONDS, UNLOAD_SECONDS = 0.3, 0.012, 0.003
+LOCAL_DISK_FACTOR, ADAPTER_SECONDS, UNLOAD_SECONDS = 0.3, 0.012, 0.003
 
 
 class ModelCache:
     """Executes load and unload orders one at a time.
 
-    `take(order)` returns the HTTP status of the response. `is_held` and `is_moving` return whether a model, or an
+    `take(order)` returns the HTTP status of the response. `is_held` and `is_changing` return whether a model, or an
     adapter of it, is loaded or is being loaded or unloaded. Orders that break a rule are noted in the call history.
     """
 
@@ -17,32 +17,32 @@
         "engine",
         "call_history",
         "models",
-        "had",
+        "stored_on_disk",
         "order",
         "sequence",
         "fence",
         "holder",
         "running",
-        "stirred",
+        "runs_changed",
         "tasks",
     )
 
     def __init__(self, instance: str, engine: dict, call_history, models=()):
         self.instance, self.engine, self.call_history = instance, engine, call_history
-        self.models, self.had = {model: set() for model in models}, set(models)
+        self.models, self.stored_on_disk = {model: set() for model in models}, set(models)
         self.order, self.sequence, self.fence, self.holder = None, 0, 0, ""
-        self.running, self.stirred, self.tasks = {}, asyncio.Event(), set()
+        self.running, self.runs_changed, self.tasks = {}, asyncio.Event(), set()
 
     def is_held(self, model: str, adapter: str = "") -> bool:
         return model in self.models and (not adapter or adapter in self.models[model])
 
-    def is_moving(self, model: str, adapter: str = "") -> bool:
+    def is_changing(self, model: str, adapter: str = "") -> bool:
         """Whether the order in progress loads or unloads the model or the adapter that a request needs."""
         return self.order is not None and self.order[1] == model and self.order[2] in ("", adapter)
 
     def add_run(self, model: str, change: int):
         self.running[model] = self.running.get(model, 0) + change
-        self.stirred.set()
+        self.runs_changed.set()
 
     def end(self):
         for task in self.tasks:
@@ -86,13 +86,13 @@
             return 400
         self.sequence, self.order = self.sequence + 1, order
         if is_load:
-            self._check_room(item, adapter)
-        task = asyncio.ensure_future(self._carry_out(order, self._seconds(order, item)))
+            self._check_memory(item, adapter)
+        task = asyncio.ensure_future(self._execute(order, self._seconds(order, item)))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return 202
 
-    def _check_room(self, item, adapter):
+    def _check_memory(self, item, adapter):
         sizes = {other["name"]: other for other in self.engine["models"]}
         used = sum(
             sizes[model]["weights-mb"] + len(adapters) * sizes[model]["adapter-size-mb"]
@@ -114,26 +114,26 @@
             return UNLOAD_SECONDS
         if adapter:
             return ADAPTER_SECONDS
-        if model in self.had:
-            return item["load-time-s"] * OWN_DISK
+        if model in self.stored_on_disk:
+            return item["load-time-s"] * LOCAL_DISK_FACTOR
         self.call_history.loads.append(asyncio.get_running_loop().time())
         return item["load-time-s"] * (1 + sum(self.running.values()) / self.engine["slot-count"])
 
-    async def _carry_out(self, order, seconds):
+    async def _execute(self, order, seconds):
         is_load, model, adapter = order
-        self.stirred.set()  # queued requests for the affected model or adapter are rejected
+        self.runs_changed.set()  # queued requests for the affected model or adapter are rejected
         while not is_load and not adapter and self.running.get(model):
-            self.stirred.clear()
-            await self.stirred.wait()
+            self.runs_changed.clear()
+            await self.runs_changed.wait()
         await asyncio.sleep(seconds)
         if is_load and adapter:
             self.models[model].add(adapter)
         elif is_load:
             self.models[model] = set()
-            self.had.add(model)
+            self.stored_on_disk.add(model)
         elif adapter:
             self.models[model].discard(adapter)
         else:
             del self.models[model]
         self.order = None
-        self.stirred.set()
+        self.runs_changed.set()
--- a/harness/fakes/model_server.py
+++ b/harness/fakes/model_server.py
@@ -12,7 +12,7 @@
 from harness.fakes.response_chunks import STRIDE, digest_of, event_count, event_data
 from harness.fakes.server import SEAL, Server, sleep_within
 
-READ_PER_S, TOKEN_SECONDS, QUEUE, LAG = 12000.0, 0.008, 8, 0.3
+PREFILL_TOKENS_PER_S, TOKEN_SECONDS, QUEUE, STATUS_LAG = 12000.0, 0.008, 8, 0.3
 
 
 class ModelServer(Server):
@@ -28,7 +28,7 @@
             PromptCache(engine["cache-tokens"]),
         )
         self.queue, self.running, self.order, self.cache_used = [], 0, count(), 0
-        self.history = DelayedView(self._status, LAG, self._status())
+        self.history = DelayedView(self._status, STATUS_LAG, self._status())
 
     def entry(self):
         return {**super().entry(), "stage": "combined", "models": self._models()}
@@ -70,7 +70,7 @@
         }
 
     def _waiting(self) -> int:
-        return sum(not place.done() for *_, place in self.queue)
+        return sum(not admission.done() for *_, admission in self.queue)
 
     async def _take_order(self, request):
         if request.headers.get("Sumachook-Expect-Instance", self.instance) != self.instance:
@@ -82,20 +82,20 @@
         status = self.model_cache.take(doc)
         if status == 202 and doc["operation"] == "unloading" and not doc.get("adapter"):
             self.prompt_cache.drop(doc["model"])
-        self._refuse_moving()
+        self._refuse_changing()
         return web.Response(status=status)
 
-    def _refuse_moving(self):
-        for _, _, model, adapter, place in self.queue:
-            if not place.done() and self.model_cache.is_moving(model, adapter):
-                place.set_result(False)
+    def _refuse_changing(self):
+        for _, _, model, adapter, admission in self.queue:
+            if not admission.done() and self.model_cache.is_changing(model, adapter):
+                admission.set_result(False)
         self._admit()
 
     # requests --------------------------------------------------------------------------
 
     async def _serve(self, request, name, body, left):
         model, _, adapter = request.headers.get("Sumachook-Model", "").partition("/")
-        if self.model_cache.is_moving(model, adapter):
+        if self.model_cache.is_changing(model, adapter):
             return self._refuse(503, name)
         if not self.model_cache.is_held(model, adapter):
             return self._refuse(421, name)
@@ -103,21 +103,21 @@
         if self._waiting() >= QUEUE or tokens_in + tokens_out > self.engine["cache-tokens"]:
             return self._refuse(503, name)
         until = asyncio.get_running_loop().time() + left
-        place = asyncio.get_running_loop().create_future()
+        admission = asyncio.get_running_loop().create_future()
         heappush(
             self.queue,
-            (int(request.headers.get("Sumachook-Urgency-Level", "5")), next(self.order), model, adapter, place),
+            (int(request.headers.get("Sumachook-Urgency-Level", "5")), next(self.order), model, adapter, admission),
         )
         self._admit()
         try:
-            is_admitted = await asyncio.wait_for(asyncio.shield(place), left)
+            is_admitted = await asyncio.wait_for(asyncio.shield(admission), left)
         except TimeoutError:
             is_admitted = False
         except asyncio.CancelledError:
-            self._give_back(place)
+            self._withdraw(admission)
             raise
         if not is_admitted:
-            self._give_back(place)
+            self._withdraw(admission)
             return self._refuse(503, name)
         self.cache_used += tokens_in + tokens_out
         self.model_cache.add_run(model, 1)
@@ -126,23 +126,23 @@
         finally:
             self.cache_used -= tokens_in + tokens_out
             self.model_cache.add_run(model, -1)
-            self._leave()
+            self._release_slot()
 
     def _admit(self):
         while self.queue and self.running < self.slots:
-            *_, place = heappop(self.queue)
-            if not place.done():
+            *_, admission = heappop(self.queue)
+            if not admission.done():
                 self.running += 1
-                place.set_result(True)
+                admission.set_result(True)
 
-    def _give_back(self, place):
+    def _withdraw(self, admission):
         """Withdraws a request from admission; frees its slot if it has been admitted."""
-        if not place.done():
-            place.set_result(False)
-        elif place.result():
-            self._leave()
+        if not admission.done():
+            admission.set_result(False)
+        elif admission.result():
+            self._release_slot()
 
-    def _leave(self):
+    def _release_slot(self):
         self.running -= 1
         self._admit()
 
@@ -156,8 +156,8 @@
             for part in request.headers.get("Sumachook-Prompt-Prefix", "").split(",")
             if part
         )
-        unread = self.prompt_cache.take(request.headers["Sumachook-Model"], parts)
-        if not await sleep_within(unread / READ_PER_S + self._pace(), until):
+        uncached = self.prompt_cache.take(request.headers["Sumachook-Model"], parts)
+        if not await sleep_within(uncached / PREFILL_TOKENS_PER_S + self._token_seconds(), until):
             return self._refuse(503, name)
         digest, total = digest_of(body), event_count(tokens_out)
         begin = int(request.headers.get("Last-Event-Id") or 0) + 1
@@ -170,11 +170,11 @@
         await answer.prepare(request)
         for number in range(begin, total + 1):
             await answer.write(f"id: {number}\ndata: {event_data(digest, number)}\n\n".encode())
-            if number < total and not await sleep_within(self._pace() * STRIDE, until):
+            if number < total and not await sleep_within(self._token_seconds() * STRIDE, until):
                 request.transport.abort()
                 return answer
         await answer.write_eof()
         return answer
 
-    def _pace(self) -> float:
+    def _token_seconds(self) -> float:
         return TOKEN_SECONDS * (1 + self.running / self.slots)
--- a/harness/fakes/operator.py
+++ b/harness/fakes/operator.py
@@ -4,8 +4,8 @@
 
 import aiohttp
 
-SILENCE, LONGEST_PAUSE = 1.0, 1.0
-MOVES_ON = (408, 429)
+RESPONSE_TIMEOUT, LONGEST_PAUSE = 1.0, 1.0
+RETRY_STATUSES = (408, 429)
 
 
 class Operator:
@@ -14,10 +14,10 @@
     Any node that serves `control` may answer; the nodes are tried in turn, with a growing pause between attempts.
     """
 
-    __slots__ = ("controls", "session", "turn")
+    __slots__ = ("controls", "session", "node_index")
 
     def __init__(self, controls: list, session):
-        self.controls, self.session, self.turn = controls, session, 0
+        self.controls, self.session, self.node_index = controls, session, 0
 
     async def order(self, method: str, path: str, headers=None, doc=None, within: float = 30.0):
         until, pause = asyncio.get_running_loop().time() + within, 0.05
@@ -25,7 +25,7 @@
             answer = await self._ask(method, path, headers or {}, doc)
             if answer is not None or asyncio.get_running_loop().time() > until:
                 return answer
-            self.turn += 1
+            self.node_index += 1
             await asyncio.sleep(pause)
             pause = min(LONGEST_PAUSE, 2 * pause)
 
@@ -34,7 +34,7 @@
 
         At most two redirections are followed.
         """
-        url = f"http://{self.controls[self.turn % len(self.controls)]}{path}"
+        url = f"http://{self.controls[self.node_index % len(self.controls)]}{path}"
         try:
             for _ in range(3):
                 async with self.session.request(
@@ -43,7 +43,7 @@
                     headers=headers,
                     json=doc,
                     allow_redirects=False,
-                    timeout=aiohttp.ClientTimeout(total=SILENCE),
+                    timeout=aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT),
                 ) as answer:
                     body = await answer.read()
                 if answer.status != 307:
@@ -51,6 +51,6 @@
                 url = answer.headers["Location"]
         except (aiohttp.ClientError, TimeoutError, ConnectionError, KeyError):
             return None
-        if answer.status >= 500 or answer.status in (*MOVES_ON, 307):
+        if answer.status >= 500 or answer.status in (*RETRY_STATUSES, 307):
             return None
         return answer.status, body
--- a/harness/fakes/plain_server.py
+++ b/harness/fakes/plain_server.py
@@ -9,18 +9,18 @@
 
 
 class PlainServer(Server):
-    """Runs up to `slots` requests concurrently, queues as many more, and answers each after `work` seconds."""
+    """Runs up to `slots` requests concurrently, queues as many more, and answers each after `work_seconds`."""
 
-    __slots__ = ("gate", "in_hand", "work")
+    __slots__ = ("gate", "accepted", "work_seconds")
 
-    def __init__(self, service, address, zone, slots, call_history, work=0.02):
+    def __init__(self, service, address, zone, slots, call_history, work_seconds=0.02):
         super().__init__(service, address, zone, slots, call_history)
-        self.gate, self.in_hand, self.work = asyncio.Semaphore(slots), 0, work
+        self.gate, self.accepted, self.work_seconds = asyncio.Semaphore(slots), 0, work_seconds
 
     async def _serve(self, request, name, body, left):
-        if self.in_hand >= 2 * self.slots:
+        if self.accepted >= 2 * self.slots:
             return self._refuse(503, name)
-        until, self.in_hand = asyncio.get_running_loop().time() + left, self.in_hand + 1
+        until, self.accepted = asyncio.get_running_loop().time() + left, self.accepted + 1
         try:
             try:
                 await asyncio.wait_for(self.gate.acquire(), left)
@@ -31,13 +31,13 @@
             finally:
                 self.gate.release()
         finally:
-            self.in_hand -= 1
+            self.accepted -= 1
 
     async def _run(self, request, name, body, until):
         digest = digest_of(body)
         self.call_history.ran(name, self.instance, self.service, request.path_qs, digest)
         self.call_history.tenant_keys.note_run(name, request.headers)
-        if not await sleep_within(self.work, until):
+        if not await sleep_within(self.work_seconds, until):
             return web.Response(status=504, headers=self._sealed(name))
         headers = self._sealed(name)
         answer = f'{{"of":"{digest}","by":"{self.instance}"}}'.encode() + b" " * (len(body) % 1000)
--- a/harness/fakes/prompt_cache.py
+++ b/harness/fakes/prompt_cache.py
@@ -13,21 +13,21 @@
     300
     """
 
-    __slots__ = ("room", "tokens")
+    __slots__ = ("capacity", "tokens")
 
-    def __init__(self, room: int):
-        self.room, self.tokens = room, {}
+    def __init__(self, capacity: int):
+        self.capacity, self.tokens = capacity, {}
 
     def take(self, model: str, parts) -> int:
-        unread, chain, is_cached = 0, (model,), True
+        uncached, chain, is_cached = 0, (model,), True
         for part, tokens in parts:
             chain = (*chain, part)
             is_cached = is_cached and self.tokens.pop(chain, None) is not None
-            unread += 0 if is_cached else tokens
+            uncached += 0 if is_cached else tokens
             self.tokens[chain] = tokens
-        while sum(self.tokens.values()) > self.room:
+        while sum(self.tokens.values()) > self.capacity:
             del self.tokens[next(iter(self.tokens))]
-        return unread
+        return uncached
 
     def drop(self, model: str):
         self.tokens = {chain: tokens for chain, tokens in self.tokens.items() if chain[0] != model}
--- a/harness/fakes/tenants.py
+++ b/harness/fakes/tenants.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class HeldKeys:
+class ConfiguredKeys:
     """The API keys of one configuration; `replaced_at` is the time at which its successor was acknowledged."""
 
     keys: frozenset[str]
@@ -60,7 +60,7 @@
     replaced_at: float = float("inf")
 
 
-class Judged(NamedTuple):
+class JudgedRequest(NamedTuple):
     """A request with its key, its times and its status as seen by the client."""
 
     request_id: str
@@ -75,7 +75,7 @@
 class TenantKeys:
     """The API keys of each configuration over time, and the requests that servers ran."""
 
-    held: list[HeldKeys] = field(default_factory=list)
+    held: list[ConfiguredKeys] = field(default_factory=list)
     runs: dict[str, list[Run]] = field(default_factory=dict)
 
     # the operator ---------------------------------------------------------------------------
@@ -105,7 +105,7 @@
     def note_sent(self, tenants: list[dict[str, Any]]) -> None:
         """Records that a configuration with these tenants is sent for the first time."""
         keys = frozenset(key for tenant in tenants for key in tenant["api-keys"])
-        self.held.append(HeldKeys(keys, asyncio.get_running_loop().time()))
+        self.held.append(ConfiguredKeys(keys, asyncio.get_running_loop().time()))
 
     def note_acknowledged(self) -> None:
         """Records that the configuration sent last is acknowledged."""
@@ -124,13 +124,13 @@
 
     def note_run(self, request_id: str, headers: Mapping[str, str]) -> None:
         """Records that a server starts a request with these headers."""
-        told = tuple(value for name, value in headers.items() if name.lower() == TENANT.lower())
+        tenants_received = tuple(value for name, value in headers.items() if name.lower() == TENANT.lower())
         has_key = any(name.lower() == CREDENTIAL.lower() for name in headers)
-        self.runs.setdefault(request_id, []).append(Run(asyncio.get_running_loop().time(), told, has_key))
+        self.runs.setdefault(request_id, []).append(Run(asyncio.get_running_loop().time(), tenants_received, has_key))
 
     # judging --------------------------------------------------------------------------------
 
-    def told_wrong(self, request_id: str, credential: str) -> Iterator[str]:
+    def tenant_violations(self, request_id: str, credential: str) -> Iterator[str]:
         """Yields a violation for each run of a request whose server received the API key or a wrong tenant name."""
         tenant = TENANT_BY_KEY.get(credential)
         for run in self.runs.get(request_id, ()):
@@ -139,32 +139,32 @@
             if run.tenants != ((tenant,) if tenant is not None else ()):
                 yield f"UNASKED: a server received the tenants {run.tenants} for {request_id}, its tenant is {tenant}"
 
-    def violations(self, requests: list[Judged]) -> Iterator[str]:
+    def violations(self, requests: list[JudgedRequest]) -> Iterator[str]:
         """Yields requests that ran or got 401 contrary to every configuration in force, and excess over a quota."""
         for request in requests:
             for run in self.runs.get(request.request_id, ()):
                 yield from self._of_run(request, run)
             if request.status == UNAUTHORIZED and self._is_always_allowed(request):
-                yield f"DENIED: {request.request_id} of {request.kind.name} got 401 with {_shown(request)}"
+                yield f"DENIED: {request.request_id} of {request.kind.name} got 401 with {_describe_key(request)}"
         yield from self._of_quota(requests)
 
-    def _of_run(self, request: Judged, run: Run) -> Iterator[str]:
-        what = f"{request.request_id} of {request.kind.name} with {_shown(request)}"
+    def _of_run(self, request: JudgedRequest, run: Run) -> Iterator[str]:
+        what = f"{request.request_id} of {request.kind.name} with {_describe_key(request)}"
         if not any(self._allows(held, request) for held in self._in_force(request.sent_at, run.at)):
             yield f"ROUTE or CONFIG: a server ran {what}, sent at {request.sent_at:.3f} s"
 
-    def _in_force(self, since: float, until: float) -> list[HeldKeys]:
+    def _in_force(self, since: float, until: float) -> list[ConfiguredKeys]:
         """Returns the configurations that may be in force on some node between two times."""
         return [held for held in self.held if held.sent_at <= until and since <= held.replaced_at + APPLY_WITHIN_S]
 
     @staticmethod
-    def _allows(held: HeldKeys, request: Judged) -> bool:
+    def _allows(held: ConfiguredKeys, request: JudgedRequest) -> bool:
         return request.credential in held.keys or (request.kind.is_public and request.credential == NO_KEY)
 
-    def _is_always_allowed(self, request: Judged) -> bool:
+    def _is_always_allowed(self, request: JudgedRequest) -> bool:
         return all(self._allows(held, request) for held in self._in_force(request.sent_at, request.ended_at))
 
-    def _of_quota(self, requests: list[Judged]) -> Iterator[str]:
+    def _of_quota(self, requests: list[JudgedRequest]) -> Iterator[str]:
         allowed = (METERED_RATE * QUOTA_WINDOW_S + METERED_BURST) * (1 + QUOTA_OVERSHOOT) + QUOTA_SLACK
         runs = sorted(
             (request.sent_at, run.at)
@@ -179,16 +179,16 @@
                 yield f"QUOTA: {what} from {since:.3f} s, allowed {allowed:g}"
                 return
 
-    def counts(self, requests: list[Judged]) -> dict[str, int]:
+    def counts(self, requests: list[JudgedRequest]) -> dict[str, int]:
         """Returns how many requests each check could judge, by description."""
         last = self.held[-1].keys if self.held else frozenset()
-        gone = {
+        revoked_at = {
             key: min(each.replaced_at for each in self.held if key in each.keys and key not in last)
             for key in LEAVING_KEYS
             if key not in last and any(key in each.keys for each in self.held)
         }
         late = sum(
-            request.credential in gone and request.sent_at > gone[request.credential] + APPLY_WITHIN_S
+            request.credential in revoked_at and request.sent_at > revoked_at[request.credential] + APPLY_WITHIN_S
             for request in requests
         )
         return {
@@ -198,5 +198,5 @@
         }
 
 
-def _shown(request: Judged) -> str:
+def _describe_key(request: JudgedRequest) -> str:
     return request.credential or "no key"
--- a/harness/fuzzing/__main__.py
+++ b/harness/fuzzing/__main__.py
@@ -4,7 +4,7 @@
 import sys
 import time
 
-from harness.fuzzing.run import CALM, play_cases
+from harness.fuzzing.run import FAULT_FREE_SHARE, play_cases
 
 
 def main() -> int:
@@ -14,7 +14,10 @@
     parser.add_argument("--seed", type=int, default=1, help="seed of the cases; the same seed produces the same cases")
     parser.add_argument("--first", type=int, default=0, help="number of the first case, to repeat part of a run")
     parser.add_argument(
-        "--calm", type=float, default=CALM, help="share of requests that servers answer without a fault (0 to 1)"
+        "--calm",
+        type=float,
+        default=FAULT_FREE_SHARE,
+        help="share of requests that servers answer without a fault (0 to 1)",
     )
     given = parser.parse_args()
     began = time.monotonic()
--- a/harness/fuzzing/client.py
+++ b/harness/fuzzing/client.py
@@ -6,7 +6,7 @@
 from harness.fuzzing.http_text import read_responses
 from harness.fuzzing.oracle import Oracle
 from harness.fuzzing.plan import Case, ClientFault, PlannedRequest
-from harness.fuzzing.server import reset, turns
+from harness.fuzzing.server import reset, yield_to_loop
 
 READ_SIZE = 65536
 SLOW_READ = 700  # bytes per read of a client that reads slowly
@@ -40,14 +40,14 @@
         elif fault in (ClientFault.PIPELINED, ClientFault.PIECES, ClientFault.SLOW_READER):
             await self._send_all_at_once()
         elif fault in (ClientFault.RESET_IN_ANSWER, ClientFault.CLOSE_IN_ANSWER):
-            await self._leave_in_answer()
+            await self._abort_in_response()
         else:
             await self._send_in_turn()
 
     def _encoded(self, request: PlannedRequest) -> bytes:
         return request.encode(is_last=request is self.case.requests[-1])
 
-    def _asks(self, request: PlannedRequest, is_whole: bool = True) -> None:
+    def _record_sent(self, request: PlannedRequest, is_whole: bool = True) -> None:
         entry = self.oracle.ask(request)
         entry.is_whole = is_whole
         entry.sent_at = asyncio.get_running_loop().time()
@@ -55,24 +55,24 @@
     async def _send_in_turn(self) -> None:
         for request in self.case.requests:
             before = len(self._responses())
-            self._asks(request)
+            self._record_sent(request)
             self.writer.write(self._encoded(request))
             if self.case.fault is ClientFault.HALF_CLOSE:
                 self.writer.write_eof()
             while len(self._responses()) == before:
                 if not await self._read():
                     return
-            self._ended(request)
+            self._record_end(request)
         await self._read_to_end()
 
     async def _send_all_at_once(self) -> None:
         raw = b""
         for request in self.case.requests:
-            self._asks(request)
+            self._record_sent(request)
             raw += self._encoded(request)
         for piece in self._pieces(raw):
             self.writer.write(piece)
-            await turns(3)
+            await yield_to_loop(3)
         if self.case.fault is ClientFault.SLOW_READER:
             while await self._read(SLOW_READ):
                 await asyncio.sleep(0)
@@ -88,20 +88,20 @@
     async def _send_part(self) -> None:
         request = self.case.requests[0]
         raw = self._encoded(request)
-        self._asks(request, is_whole=False)
+        self._record_sent(request, is_whole=False)
         self.writer.write(raw[: int(self.case.position * len(raw))])
         await self.writer.drain()
-        await turns(self.case.pieces)
+        await yield_to_loop(self.case.pieces)
         if self.case.fault is ClientFault.PARTIAL_RESET:
             reset(self.writer)
 
-    async def _leave_in_answer(self) -> None:
+    async def _abort_in_response(self) -> None:
         request = self.case.requests[0]
-        self._asks(request)
+        self._record_sent(request)
         self.writer.write(self._encoded(request))
         await self.writer.drain()
-        most = int(self.case.position * 400)
-        while len(self.received) < most and await self._read(max(1, most - len(self.received))):
+        read_limit = int(self.case.position * 400)
+        while len(self.received) < read_limit and await self._read(max(1, read_limit - len(self.received))):
             pass
         if self.case.fault is ClientFault.RESET_IN_ANSWER:
             reset(self.writer)
@@ -123,7 +123,7 @@
             if each.is_complete
         )
 
-    def _ended(self, request: PlannedRequest) -> None:
+    def _record_end(self, request: PlannedRequest) -> None:
         self.oracle.asked[request.request_id].ended_at = asyncio.get_running_loop().time()
 
     def _read_back(self) -> None:
--- a/harness/fuzzing/edge_host.py
+++ b/harness/fuzzing/edge_host.py
@@ -27,7 +27,7 @@
 
 TICK = timedelta(seconds=0.02)
 TIMEOUT_MS, TARGET_MS = 900, 100
-PLENTY = 1e9  # a balance that never runs out: the retry budget is not under test
+UNLIMITED_BALANCE = 1e9  # a balance that never runs out: the retry budget is not under test
 ROUTE_KINDS = {"plain": "repeatable", "once": "once", "loose": "stream", "chat": "stream"}
 
 
@@ -57,7 +57,7 @@
 
 
 class EdgeHost:
-    """Runs an edge in front of the given servers ({name: address}), its proxy server and HTTP client on real sockets."""
+    """Runs an edge in front of the given servers ({name: address}), with its proxy and HTTP client on real sockets."""
 
     def __init__(self, servers: dict[str, str], max_attempts: dict[str, int], seed: int) -> None:
         self.clock = Clock()
@@ -86,8 +86,8 @@
             }
             for name, address in servers.items()
         }
-        self.edge.retry_budget.cap = PLENTY
-        self.edge.retry_budget.bucket(service_key("records")).balance = PLENTY
+        self.edge.retry_budget.cap = UNLIMITED_BALANCE
+        self.edge.retry_budget.bucket(service_key("records")).balance = UNLIMITED_BALANCE
         self.tasks: list[asyncio.Task] = []
 
     @property
@@ -109,7 +109,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def settle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Waits until no request is in progress."""
         while self.edge.proxy_pipeline.table.requests or self.front.exchanges:
             await asyncio.sleep(TICK.total_seconds())
--- a/harness/fuzzing/http_text.py
+++ b/harness/fuzzing/http_text.py
@@ -98,9 +98,8 @@
     if len(lengths) == 1 and lengths[0].isdigit() and not codings:
         length = int(lengths[0])
         return Response(status, headers, raw[:length], len(raw) >= length), raw[length:]
-    return Response(
-        status, headers, raw, False
-    ), b""  # without a length, the end cannot be distinguished from a cut connection
+    # without a length, the end cannot be distinguished from a cut connection
+    return Response(status, headers, raw, False), b""
 
 
 def _read_chunks(raw: bytes) -> tuple[bytes, bytes, bool]:
--- a/harness/fuzzing/oracle.py
+++ b/harness/fuzzing/oracle.py
@@ -142,7 +142,7 @@
                 f"servers sent: {given}; it begins {response.body[:40]!r} and ends {response.body[-40:]!r}",
             )
         elif not response.is_complete and not any(
-            body.startswith(response.body) for body in self._begun_bodies(request, seals[0], candidates)
+            body.startswith(response.body) for body in self._partial_bodies(request, seals[0], candidates)
         ):
             self.note("ORDER", f"{name} got a partial response that no server sent: {response.body[:80]!r}")
 
@@ -168,7 +168,7 @@
                 found.append((read.status, read.body))
         return found
 
-    def _begun_bodies(self, request: PlannedRequest, seal: bytes, candidates: list[bytes]) -> list[bytes]:
+    def _partial_bodies(self, request: PlannedRequest, seal: bytes, candidates: list[bytes]) -> list[bytes]:
         return candidates + [
             answer.body for answer in self.answers.get(request.request_id, ()) if answer.seal.encode() == seal
         ]
--- a/harness/fuzzing/plan.py
+++ b/harness/fuzzing/plan.py
@@ -8,7 +8,7 @@
 REPEATABLE = frozenset({"plain", "chat"})
 STREAMS = frozenset({"loose", "chat"})
 MAX_ATTEMPTS = {"plain": 2, "once": 2, "loose": 1, "chat": 3}
-MOST_REQUESTS = 4
+MAX_REQUESTS = 4
 LARGE_BODY = 300_000
 
 
@@ -137,7 +137,7 @@
     random = Random(f"client/{seed}/{number}")
     fault = random.choice(tuple(ClientFault))
     is_many = fault in (ClientFault.KEPT, ClientFault.PIPELINED, ClientFault.PIECES, ClientFault.SLOW_READER)
-    count = random.randint(2, MOST_REQUESTS) if is_many else 1
+    count = random.randint(2, MAX_REQUESTS) if is_many else 1
     requests = tuple(_draw_request(random, f"q{number}-{place}") for place in range(count))
     return Case(number, fault, requests, random.random(), random.randint(1, 6))
 
@@ -152,10 +152,10 @@
     return PlannedRequest(request_id, route, method, body, is_chunked, answer_size)
 
 
-def draw_move(seed: int, request_id: str, arrival: int, calm: float) -> ServerMove:
-    """Draws how a server handles the n-th arrival of a request; `calm` is the share of arrivals without a fault."""
+def draw_move(seed: int, request_id: str, arrival: int, fault_free_share: float) -> ServerMove:
+    """Draws how a server handles the n-th arrival of a request; `fault_free_share` of the arrivals have no fault."""
     random = Random(f"server/{seed}/{request_id}/{arrival}")
-    fault = ServerFault.NONE if random.random() < calm else random.choice(tuple(ServerFault))
+    fault = ServerFault.NONE if random.random() < fault_free_share else random.choice(tuple(ServerFault))
     return ServerMove(
         fault,
         random.random(),
--- a/harness/fuzzing/run.py
+++ b/harness/fuzzing/run.py
@@ -10,14 +10,14 @@
 from harness.fuzzing.edge_host import TIMEOUT_MS, EdgeHost
 from harness.fuzzing.oracle import Oracle
 from harness.fuzzing.plan import MAX_ATTEMPTS, draw_case
-from harness.fuzzing.server import FaultyServer, turns
+from harness.fuzzing.server import FaultyServer, yield_to_loop
 from harness.run_checks import find_unchecked
 
 SERVERS = 4
-AT_ONCE = 40
-CASES_AN_EDGE = 400
-CALM = 0.35
-CASE_BOUND = 20.0  # seconds after which a case counts as hanging
+MAX_CONCURRENT_CASES = 40
+CASES_PER_EDGE = 400
+FAULT_FREE_SHARE = 0.35
+CASE_TIMEOUT = 20.0  # seconds after which a case counts as hanging
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
     requests: int = 0
     arrivals: int = 0
     runs: int = 0
-    longest_hold: float = 0.0
+    longest_response: float = 0.0
     outcomes: Counter = field(default_factory=Counter)
     violations: list[str] = field(default_factory=list)
 
@@ -39,8 +39,8 @@
         self.runs += sum(arrival.has_run for arrivals in oracle.arrivals.values() for arrival in arrivals)
         self.violations += oracle.judge()
         self.outcomes.update(oracle.outcomes)
-        holds = [entry.ended_at - entry.sent_at for entry in oracle.asked.values() if entry.ended_at]
-        self.longest_hold = max([self.longest_hold, *holds])
+        durations = [entry.ended_at - entry.sent_at for entry in oracle.asked.values() if entry.ended_at]
+        self.longest_response = max([self.longest_response, *durations])
 
     def faults(self) -> list[str]:
         """Returns the violations, and a fault for each kind of item that the run never judged."""
@@ -54,32 +54,32 @@
         return [
             figures,
             f"responses by status: {outcomes}",
-            f"longest response time {self.longest_hold:.2f} s (timeout {TIMEOUT_MS / 1000} s)",
+            f"longest response time {self.longest_response:.2f} s (timeout {TIMEOUT_MS / 1000} s)",
             f"{len(self.violations)} broken rules",
             *self.faults(),
         ]
 
 
-async def _play_on_one_edge(seed: int, numbers: list[int], report: FuzzReport, calm: float) -> None:
+async def _play_on_one_edge(seed: int, numbers: list[int], report: FuzzReport, fault_free_share: float) -> None:
     oracle = Oracle()
-    servers = [FaultyServer(f"s{place}", seed, oracle, calm) for place in range(SERVERS)]
+    servers = [FaultyServer(f"s{place}", seed, oracle, fault_free_share) for place in range(SERVERS)]
     for server in servers:
         await server.start()
     host = EdgeHost({server.name: server.address for server in servers}, MAX_ATTEMPTS, seed)
     await host.start()
-    waiting = asyncio.Semaphore(AT_ONCE)
+    concurrency = asyncio.Semaphore(MAX_CONCURRENT_CASES)
 
     async def play(number: int) -> None:
-        async with waiting:
+        async with concurrency:
             client = FuzzClient(draw_case(seed, number), host.address, oracle)
             try:
-                await asyncio.wait_for(client.play(), CASE_BOUND)
+                await asyncio.wait_for(client.play(), CASE_TIMEOUT)
             except TimeoutError:
-                oracle.note("HANGS", f"case {number} did not end within {CASE_BOUND:.0f} s")
+                oracle.note("HANGS", f"case {number} did not end within {CASE_TIMEOUT:.0f} s")
 
     await asyncio.gather(*(play(number) for number in numbers))
-    await asyncio.wait_for(host.settle(), CASE_BOUND)
-    await turns()
+    await asyncio.wait_for(host.wait_until_idle(), CASE_TIMEOUT)
+    await yield_to_loop()
     await host.stop()
     for server in servers:
         await server.stop()
@@ -87,11 +87,11 @@
     report.add(oracle)
 
 
-def play_cases(seed: int, numbers: Iterable[int], calm: float = CALM) -> FuzzReport:
+def play_cases(seed: int, numbers: Iterable[int], fault_free_share: float = FAULT_FREE_SHARE) -> FuzzReport:
     """Runs the cases with these numbers, up to 400 on each edge, and returns the report."""
     report, left = FuzzReport(), list(numbers)
     while left:
-        now, left = left[:CASES_AN_EDGE], left[CASES_AN_EDGE:]
-        asyncio.run(_play_on_one_edge(seed, now, report, calm))
+        now, left = left[:CASES_PER_EDGE], left[CASES_PER_EDGE:]
+        asyncio.run(_play_on_one_edge(seed, now, report, fault_free_share))
         gc.collect()
     return report
--- a/harness/fuzzing/server.py
+++ b/harness/fuzzing/server.py
@@ -9,7 +9,7 @@
 from harness.fuzzing.oracle import Arrival, Oracle, ServedAnswer, stream_event
 from harness.fuzzing.plan import ServerFault, ServerMove, draw_move
 
-TURNS_OF_A_PAUSE = 6  # iterations of the event loop after which the other side has read what was written
+YIELDS_PER_PAUSE = 6  # iterations of the event loop after which the other side has read what was written
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 CONTENT_LENGTH = re.compile(rb"(?i)\r\ncontent-length: (\d+)")
 CHUNKED = re.compile(rb"(?i)\r\ntransfer-encoding: chunked")
@@ -40,7 +40,7 @@
     """Raised to close the connection."""
 
 
-async def turns(count: int = TURNS_OF_A_PAUSE) -> None:
+async def yield_to_loop(count: int = YIELDS_PER_PAUSE) -> None:
     """Yields to the event loop `count` times, so that tasks that are ready can run."""
     for _ in range(count):
         await asyncio.sleep(0)
@@ -55,13 +55,13 @@
 class FaultyServer:
     """A server on loopback that records every received request and every sent byte in the oracle."""
 
-    def __init__(self, name: str, seed: int, oracle: Oracle, calm: float) -> None:
-        self.name, self.seed, self.oracle, self.calm = name, seed, oracle, calm
+    def __init__(self, name: str, seed: int, oracle: Oracle, fault_free_share: float) -> None:
+        self.name, self.seed, self.oracle, self.fault_free_share = name, seed, oracle, fault_free_share
         self.address = ""
         self.connections: set[asyncio.Task[None]] = set()
         self.listener: asyncio.Server | None = None
         self.seals = 0
-        self.earlier = ""  # id of the request that was answered last
+        self.last_answered_id = ""  # id of the request that was answered last
 
     async def start(self) -> None:
         """Listens on a free loopback port and sets `address`."""
@@ -106,17 +106,17 @@
         """Serves requests until the connection is closed."""
         while True:
             head = await self.reader.readuntil(b"\r\n\r\n")
-            await self._one(head)
+            await self._serve_next(head)
 
-    async def _one(self, head: bytes) -> None:
+    async def _serve_next(self, head: bytes) -> None:
         received = _read_head(head)
         oracle, name = self.server.oracle, received.request_id
-        move = draw_move(self.server.seed, name, len(oracle.arrivals[name]), self.server.calm)
+        move = draw_move(self.server.seed, name, len(oracle.arrivals[name]), self.server.fault_free_share)
         arrival = Arrival(self.server.name, received.method, received.path, b"", False)
         if move.fault is ServerFault.EARLY and self.idle_fault is None:
             answer = self._compose(received, move)
             self._write(answer, answer.raw)
-            await turns()
+            await yield_to_loop()
         arrival.body = await self._read_body(head)
         oracle.arrivals[name].append(arrival)
         if self.idle_fault is not None:
@@ -125,8 +125,8 @@
             move.does_run or move.fault not in (ServerFault.RESET, ServerFault.CUT, ServerFault.HANG)
         )
         if move.fault is not ServerFault.EARLY:
-            await MovePlayer(self, received, move).play()
-        self.server.earlier = name
+            await MoveExecutor(self, received, move).play()
+        self.server.last_answered_id = name
         if received.headers.get("connection", "").lower() == "close":
             await self.writer.drain()
             raise ConnectionOverError
@@ -174,7 +174,7 @@
         self._write(answer, raw)
 
 
-class MovePlayer:
+class MoveExecutor:
     """Executes one server move on one connection."""
 
     def __init__(self, connection: ServerConnection, received: Received, move: ServerMove) -> None:
@@ -197,15 +197,15 @@
             ServerFault.SWAP: self._swap,
             ServerFault.EARLIER_ID: self._earlier_id,
             ServerFault.INFORMATIONAL: self._informational,
-            ServerFault.DROPPED_IDLE: self._die_when_idle,
-            ServerFault.SILENT_IDLE: self._die_when_idle,
+            ServerFault.DROPPED_IDLE: self._fail_when_idle,
+            ServerFault.SILENT_IDLE: self._fail_when_idle,
         }
         await special.get(self.move.fault, self._whole)()
         await self.connection.writer.drain()
         if self.move.fault is ServerFault.NO_LENGTH:
             raise ConnectionOverError
 
-    def _at(self) -> int:
+    def _fault_offset(self) -> int:
         """Returns the offset of the fault in the response bytes.
 
         A corrupted stream is changed only in its head: changed bytes in the body could be a valid event.
@@ -226,36 +226,36 @@
         self._send(self.answer.raw)
 
     async def _cut(self) -> None:
-        self._send(self.answer.raw[: self._at()])
+        self._send(self.answer.raw[: self._fault_offset()])
         await self.connection.writer.drain()
         raise ConnectionOverError
 
     async def _reset(self) -> None:
-        self._send(self.answer.raw[: self._at()])
-        await turns()
+        self._send(self.answer.raw[: self._fault_offset()])
+        await yield_to_loop()
         reset(self.connection.writer)
         raise ConnectionOverError
 
     async def _pause(self) -> None:
-        at = self._at()
+        at = self._fault_offset()
         self._send(self.answer.raw[:at])
-        await turns()
+        await yield_to_loop()
         self._send(self.answer.raw[at:])
 
     async def _hang(self) -> None:
-        self._send(self.answer.raw[: self._at()])
+        self._send(self.answer.raw[: self._fault_offset()])
         await self.connection.hang()
 
     async def _garble(self) -> None:
-        at, raw = self._at(), self.answer.raw
+        at, raw = self._fault_offset(), self.answer.raw
         self._send(raw[:at] + bytes([self.move.byte]) + raw[at + 1 :])
-        await turns()
+        await yield_to_loop()
         raise ConnectionOverError
 
     async def _insert(self) -> None:
-        at, raw = self._at(), self.answer.raw
+        at, raw = self._fault_offset(), self.answer.raw
         self._send(raw[:at] + b"\r\n" * (self.move.byte % 3) + bytes([self.move.byte]) * 3 + raw[at:])
-        await turns()
+        await yield_to_loop()
         raise ConnectionOverError
 
     async def _duplicate(self) -> None:
@@ -271,7 +271,7 @@
         names = server.oracle.received if is_over else server.oracle.asked
         others = [name for name in names if name != self.received.request_id]
         other = others[int(self.move.position * len(others))] if others else "none"
-        return compose(_as(self.received, other), self.move, server.next_seal(), server.oracle).raw
+        return compose(_with_request_id(self.received, other), self.move, server.next_seal(), server.oracle).raw
 
     async def _surplus(self) -> None:
         self._send(self.answer.raw)
@@ -279,7 +279,7 @@
 
     async def _late_surplus(self) -> None:
         self._send(self.answer.raw)
-        await turns(TURNS_OF_A_PAUSE + self.move.byte % 8)
+        await yield_to_loop(YIELDS_PER_PAUSE + self.move.byte % 8)
         self.connection.write(None, self._foreign())
 
     async def _half_surplus(self) -> None:
@@ -287,19 +287,21 @@
         at = int(self.move.position * len(foreign))
         self.connection.write(self.answer, self.answer.raw)
         self.connection.write(None, foreign[:at])
-        await turns(TURNS_OF_A_PAUSE + self.move.byte % 8)
+        await yield_to_loop(YIELDS_PER_PAUSE + self.move.byte % 8)
         self.connection.write(None, foreign[at:])
 
     async def _swap(self) -> None:
         self.connection.write(None, self._foreign(is_over=False))
-        await turns()
+        await yield_to_loop()
         raise ConnectionOverError
 
     async def _earlier_id(self) -> None:
         server = self.connection.server
-        is_other = server.earlier in server.oracle.received and server.earlier != self.received.request_id
-        earlier = _as(self.received, server.earlier if is_other else "none")
-        self.connection.write(None, compose(earlier, self.move, server.next_seal(), server.oracle).raw)
+        is_other = (
+            server.last_answered_id in server.oracle.received and server.last_answered_id != self.received.request_id
+        )
+        last_answered_id = _with_request_id(self.received, server.last_answered_id if is_other else "none")
+        self.connection.write(None, compose(last_answered_id, self.move, server.next_seal(), server.oracle).raw)
 
     async def _informational(self) -> None:
         lines = (
@@ -308,15 +310,15 @@
             b"HTTP/1.1 102 Processing\r\n\r\n",
         )
         self.connection.write(self.answer, lines[self.move.byte % 3])
-        await turns(self.move.byte % 4)
+        await yield_to_loop(self.move.byte % 4)
         self._send(self.answer.raw)
 
-    async def _die_when_idle(self) -> None:
+    async def _fail_when_idle(self) -> None:
         self._send(self.answer.raw)
         self.connection.idle_fault = self.move.fault
 
 
-def _as(received: Received, request_id: str) -> Received:
+def _with_request_id(received: Received, request_id: str) -> Received:
     return Received(received.method, received.path, {**received.headers, "x-request-id": request_id}, received.body)
 
 
--- a/harness/local_cluster/nodes.py
+++ b/harness/local_cluster/nodes.py
@@ -67,9 +67,9 @@
 
     async def start_all(self):
         for machine, (kind, _, _) in self.machines.items():
-            for role, said in self.roles.items():
-                if said["on"] == kind:
-                    await self._start(machine, role, said)
+            for role, role_spec in self.roles.items():
+                if role_spec["on"] == kind:
+                    await self._start(machine, role, role_spec)
 
     def signal(self, machine, number):
         """Sends a signal to a process that has not ended.
@@ -86,7 +86,7 @@
         """Whether the process has logged that it is leaving; one that was signalled before it listens logs nothing."""
         return LEAVING in self._log_of_process(machine)
 
-    def has_spoken(self, machine) -> bool:
+    def has_logged(self, machine) -> bool:
         """Whether the process has logged a line; until then, the interpreter's default signal handlers apply."""
         return bool(self._log_of_process(machine))
 
@@ -110,9 +110,9 @@
         seeds = [address for _, address in self.addresses("control", "control")]
         self.seeds[machine] = random.sample(seeds, min(len(seeds), 3))
         kind = self.machines[machine][0]
-        for role, said in self.roles.items():
-            if said["on"] == kind:
-                (self.work / f"{machine}.toml").write_text(self._settings(machine, role, said, False))
+        for role, role_spec in self.roles.items():
+            if role_spec["on"] == kind:
+                (self.work / f"{machine}.toml").write_text(self._settings(machine, role, role_spec, False))
 
     async def stop_all(self) -> dict:
         """Sends SIGTERM to all processes and kills those that run 8 s later.
@@ -133,14 +133,14 @@
     async def start(self, machine):
         """Restarts the process of a machine, with settings that say it is not its first start."""
         kind = self.machines[machine][0]
-        for role, said in self.roles.items():
-            if said["on"] == kind:
-                await self._start(machine, role, said, is_first=False)
+        for role, role_spec in self.roles.items():
+            if role_spec["on"] == kind:
+                await self._start(machine, role, role_spec, is_first=False)
 
-    async def _start(self, machine, role, said, is_first=True):
+    async def _start(self, machine, role, role_spec, is_first=True):
         settings = self.work / f"{machine}.toml"
-        settings.write_text(self._settings(machine, role, said, is_first))
-        program, *arguments = said["run"].split(" ")
+        settings.write_text(self._settings(machine, role, role_spec, is_first))
+        program, *arguments = role_spec["run"].split(" ")
         # this interpreter has the packages of requirements.txt
         program = sys.executable if program == "python3" else program
         kept = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
@@ -155,20 +155,20 @@
                 stderr=log,
             )
 
-    def _settings(self, machine, role, said, is_first) -> str:
+    def _settings(self, machine, role, role_spec, is_first) -> str:
         kind, zone, ip = self.machines[machine]
         is_core = kind == "core"
         listen = (
             {"front": f"{ip}:{PORTS['front']}", "readiness": f"{ip}:{PORTS['readiness']}"}
-            if "edge" in said["serves"]
+            if "edge" in role_spec["serves"]
             else {}
         )
-        listen |= {"control": f"{ip}:{PORTS['control']}"} if "control" in said["serves"] else {}
+        listen |= {"control": f"{ip}:{PORTS['control']}"} if "control" in role_spec["serves"] else {}
         top = {
             "node-name": machine,
             "role": role,
             "machine-class": kind,
-            "serves": said["serves"],
+            "serves": role_spec["serves"],
             "ip-address": ip,
             "zone": zone,
             "region": self.zones[zone],
@@ -201,9 +201,8 @@
             "bounds": BOUNDS,
             "cloud": {"address": self.cloud, "rate-per-s": 47.0, "duties": [], "lag-ms": 800},
         }
-        lines = [
-            f"{name} = {json.dumps(value)}" for name, value in top.items()
-        ]  # JSON strings, numbers and lists are valid TOML
+        # JSON strings, numbers and lists are valid TOML
+        lines = [f"{name} = {json.dumps(value)}" for name, value in top.items()]
         for table, items in tables.items():
             lines += [f"[{table}]", *(f"{name} = {json.dumps(value)}" for name, value in items.items())]
         return "\n".join(lines) + "\n"
--- a/harness/local_cluster/platform_city.py
+++ b/harness/local_cluster/platform_city.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from statistics import median
 
-from harness.fakes.deployment import ADDED, FIRST, KINDS, Deployment
+from harness.fakes.deployment import ADDED_KIND, FIRST_CONFIGURATION, KINDS, Deployment
 from harness.run_checks import find_unchecked
 
 OUTCOMES = ("in time", "late", "refused", "failed")
@@ -26,8 +26,8 @@
         loop.add_signal_handler(number, asyncio.current_task().cancel)
     begun = loop.time()
     async with deployment:
-        await asyncio.wait_for(deployment.configure("/Configuration.Replace", FIRST), UP_WITHIN)
-        await asyncio.wait_for(deployment.balancer.all_in(), UP_WITHIN)
+        await asyncio.wait_for(deployment.configure("/Configuration.Replace", FIRST_CONFIGURATION), UP_WITHIN)
+        await asyncio.wait_for(deployment.balancer.wait_until_all_ready(), UP_WITHIN)
         print(f"ready in {loop.time() - begun:.1f} s, {len(deployment.nodes.running)} nodes", flush=True)
         async with asyncio.TaskGroup() as calls:
             for kind in KINDS:
@@ -35,7 +35,7 @@
             await asyncio.sleep(seconds / 3)
             await deployment.add_route()
             await asyncio.sleep(2.0)  # by then every edge applies the new route
-            calls.create_task(deployment.call(ADDED, max(1.0, seconds * 2 / 3 - 2.0), pace))
+            calls.create_task(deployment.call(ADDED_KIND, max(1.0, seconds * 2 / 3 - 2.0), pace))
         await deployment.read_back()
         early = [name for name, process in deployment.nodes.running.items() if process.returncode is not None]
     deployment.call_history.noted += [
@@ -50,7 +50,7 @@
         f"requests of {kind.name} in time": sum(
             outcome == OUTCOMES[0] for outcome, _, _ in deployment.outcomes.get(kind.name, ())
         )
-        for kind in (*KINDS, ADDED)
+        for kind in (*KINDS, ADDED_KIND)
     }
     return [
         *deployment.call_history.violations(),
@@ -64,7 +64,7 @@
         + "".join(f"{outcome:>9}" for outcome in OUTCOMES)
         + "  first, median  first, max   failed with"
     ]
-    for kind in (*KINDS, ADDED):
+    for kind in (*KINDS, ADDED_KIND):
         found = deployment.outcomes.get(kind.name, [])
         counts = "".join(f"{sum(outcome == each for outcome, _, _ in found):>9}" for each in OUTCOMES)
         firsts = [first for outcome, first, _ in found if first is not None and outcome in OUTCOMES[:2]]
--- a/harness/local_cluster/processes.py
+++ b/harness/local_cluster/processes.py
@@ -146,7 +146,7 @@
             for http_address in http_addresses
         )
 
-    def operate(self, *words: str) -> subprocess.CompletedProcess:
+    def run_command_line(self, *words: str) -> subprocess.CompletedProcess:
         cores = ",".join(self.http_addresses("core"))
         return subprocess.run(
             PROGRAM + list(words),
@@ -178,7 +178,7 @@
         self.start_all()
         if not self.wait_for(lambda: self.are_ready("core"), 30):
             raise SystemExit("the cores did not form a view within 30 s; logs in " + str(self.work))
-        answer = self.operate("apply", str(self.folder / "catalogue.json"))
+        answer = self.run_command_line("apply", str(self.folder / "catalogue.json"))
         if answer.returncode:
             raise SystemExit("applying the catalogue failed: " + answer.stderr)
         if not self.wait_for(lambda: self.are_ready("edge") and self.are_pairs_held(), bound):
--- a/harness/local_cluster/run_verdict.py
+++ b/harness/local_cluster/run_verdict.py
@@ -19,8 +19,8 @@
     answered: int
     prompts: int
     run_twice: Sequence[str]
-    run_unknown: Sequence[str]
-    beyond_room: Sequence[str]
+    run_despite_promise: Sequence[str]
+    beyond_memory: Sequence[str]
 
     @property
     def has_judged(self) -> bool:
@@ -28,14 +28,15 @@
 
     @property
     def is_good(self) -> bool:
-        return self.has_judged and not (self.run_twice or self.run_unknown or self.beyond_room)
+        return self.has_judged and not (self.run_twice or self.run_despite_promise or self.beyond_memory)
 
     def describe(self) -> str:
         """Returns the verdict as one line of a report."""
         line = (
             f"model servers ran {self.prompts} prompts for {self.answered} calls answered: "
             f"{len(self.run_twice)} non-idempotent calls run twice, "
-            f"{len(self.run_unknown)} calls run but reported as not run, {len(self.beyond_room)} orders beyond memory"
+            f"{len(self.run_despite_promise)} calls run but reported as not run, "
+            f"{len(self.beyond_memory)} orders beyond memory"
         )
         return line if self.has_judged else line + "; NOTHING WAS JUDGED"
 
@@ -49,8 +50,8 @@
         answered=sum(call["outcome"] == "ok" for call in calls),
         prompts=count_prompts(records),
         run_twice=[call["tag"] for call in calls if not call["safe"] and runs[call["tag"]] > 1],
-        run_unknown=[call["tag"] for call in calls if call["run"] == "no" and runs[call["tag"]]],
-        beyond_room=[line for record in records for line in record.broken],
+        run_despite_promise=[call["tag"] for call in calls if call["run"] == "no" and runs[call["tag"]]],
+        beyond_memory=[line for record in records for line in record.broken],
     )
 
 
--- a/harness/local_cluster/trials.py
+++ b/harness/local_cluster/trials.py
@@ -14,7 +14,7 @@
 from functools import partial
 from pathlib import Path
 
-from harness.local_cluster.allowance_trial import Shift
+from harness.local_cluster.allowance_trial import AllowanceTrial
 from harness.local_cluster.processes import Processes
 from harness.local_cluster.run_verdict import judge_runs, read_calls
 from sumachook.runtime.clock import Clock
@@ -33,10 +33,10 @@
 class Trial:
     """Runs one fleet under load while a trial applies its faults; `run` returns whether the run broke no rule."""
 
-    __slots__ = ("fleet", "work", "samples", "back_at", "failed")
+    __slots__ = ("fleet", "work", "samples", "restarted_at", "failed")
 
     def __init__(self, spec: str, work: Path):
-        self.fleet, self.work, self.samples, self.back_at, self.failed = (
+        self.fleet, self.work, self.samples, self.restarted_at, self.failed = (
             Processes(EXAMPLES / spec, work),
             work,
             [],
@@ -44,14 +44,14 @@
             [],
         )
 
-    def run(self, name: str, do, seconds: float) -> bool:
+    def run(self, name: str, inject_faults, seconds: float) -> bool:
         print(f"ready in {self.fleet.bring_up():.1f} s", flush=True)
         calls = self.work / "calls.jsonl"
         callers = self.fleet.call_in(seconds, 1.0, calls)
         try:
             time.sleep(3)
             self.sample()
-            do(self)
+            inject_faults(self)
             self.sample()
             if callers.poll() is not None:
                 print(f"{name}: the callers ended before the faults were over")
@@ -90,8 +90,8 @@
             f"(except calls shorter than half a second that did not run): {unlogged[:5]}"
         )
         bad = [call["at"] for call in final if call["outcome"] != "ok"]
-        if self.back_at is not None:
-            last = max((at - self.back_at for at in bad if at > self.back_at), default=None)
+        if self.restarted_at is not None:
+            last = max((at - self.restarted_at for at in bad if at > self.restarted_at), default=None)
             print(
                 "time from the restart of all nodes to the last call that was not answered: "
                 + (f"{last:.1f} s" if last is not None else "none")
@@ -144,11 +144,11 @@
     def leader(self) -> str:
         """Returns the name of the leader; raises NoLeaderError if no core reports itself as the leader in time."""
         found = []
-        if not self.fleet.wait_for(lambda: found.extend(self._leading()) or bool(found), LEADER_WITHIN):
+        if not self.fleet.wait_for(lambda: found.extend(self._reported_leaders()) or bool(found), LEADER_WITHIN):
             raise NoLeaderError
         return found[0]
 
-    def _leading(self) -> list[str]:
+    def _reported_leaders(self) -> list[str]:
         """Returns the names of the cores that report themselves as the leader."""
         names = []
         for node in self.fleet.spec.nodes:
@@ -197,11 +197,11 @@
     for name in names:
         trial.fleet.running.pop(name).wait()
     time.sleep(3)
-    trial.back_at = Clock().mono().total_seconds()
+    trial.restarted_at = Clock().mono().total_seconds()
     for name in names:
         trial.fleet.start(name)
     is_ready = trial.fleet.wait_for(lambda: trial.fleet.are_ready("edge"), 30)
-    took = Clock().mono().total_seconds() - trial.back_at
+    took = Clock().mono().total_seconds() - trial.restarted_at
     trial.expect(f"all edges are ready again, after {took:.1f} s", is_ready)
     time.sleep(15)
 
@@ -234,7 +234,7 @@
     return next(server for server in trial.fleet.spec.servers if server["name"] == name)
 
 
-def _change(trial, number, more=None):
+def _apply_change(trial, number, more=None):
     """Applies a partial configuration that replaces the probe caller; returns whether it was acknowledged."""
     callers = [
         {
@@ -248,10 +248,10 @@
     ]
     part = trial.work / f"part-{number}.json"
     part.write_text(json.dumps({"callers": callers, **(more or {})}))
-    return trial.fleet.operate("apply", str(part), "--part").returncode == 0
+    return trial.fleet.run_command_line("apply", str(part), "--part").returncode == 0
 
 
-def _obeys(trial, number) -> list:
+def _lagging_edges(trial, number) -> list:
     """Returns the edges that reject the newest key as unknown or still accept the previous one.
 
     Status 403 means that the key is known but not allowed to look up records; 401 means that it is unknown.
@@ -272,23 +272,23 @@
     """
     target = trial.fleet.spec.catalogue["models"][0]["name"]
     for number in range(1, 31):
-        is_acked = _change(
+        is_acked = _apply_change(
             trial, number, {"routes": [{"name": f"trial-{number}-{place}", "target": target} for place in range(10)]}
         )
         if number % 10 == 0:
-            lost = trial.leader() if number == 20 else None
-            if lost:
-                trial.fleet.kill(lost)
+            killed_leader = trial.leader() if number == 20 else None
+            if killed_leader:
+                trial.fleet.kill(killed_leader)
             time.sleep(2)
             trial.expect(
                 f"all edges apply change {number} two seconds after its acknowledgement",
-                is_acked and _obeys(trial, number) == [],
+                is_acked and _lagging_edges(trial, number) == [],
             )
-            if lost:
-                trial.fleet.start(lost)
+            if killed_leader:
+                trial.fleet.start(killed_leader)
                 trial.fleet.wait_for(lambda: trial.fleet.are_ready("core"), 20)
     zone = trial.fleet.spec.catalogue["areas"][1]
-    trial.fleet.operate("evacuate", zone)
+    trial.fleet.run_command_line("evacuate", zone)
     time.sleep(5)
     inside = [node["door"] for node in trial.fleet.spec.nodes if node["role"] == "edge" and node["area"] == zone]
     servers = [server for server in trial.fleet.spec.servers if server["kind"] == "model" and server["area"] == zone]
@@ -303,13 +303,13 @@
         f"no prompt runs in the evacuated area after five seconds ({sum(before)} prompts before)",
         sum(before) > 0 and before == after,
     )
-    trial.fleet.operate("restore", zone)
+    trial.fleet.run_command_line("restore", zone)
     time.sleep(3)
 
 
 def swapped(trial: Trial):
     """Kills a core right after an acknowledgement and deletes its data: the change survives, the core votes again."""
-    trial.expect("the change is acknowledged", _change(trial, 1))
+    trial.expect("the change is acknowledged", _apply_change(trial, 1))
     trial.fleet.kill("core-3")
     shutil.rmtree(trial.work / "core-3")
     trial.fleet.start("core-3")
@@ -320,9 +320,10 @@
     trial.fleet.kill("core-1")
     time.sleep(4)
     trial.expect(
-        "edges apply the acknowledged change with another core down", _obeys(trial, 1) == [] or _obeys(trial, 1) == []
+        "edges apply the acknowledged change with another core down",
+        _lagging_edges(trial, 1) == [] or _lagging_edges(trial, 1) == [],
     )
-    trial.expect("further changes are acknowledged", _change(trial, 2))
+    trial.expect("further changes are acknowledged", _apply_change(trial, 2))
     trial.fleet.start("core-1")
     time.sleep(4)
 
@@ -346,7 +347,7 @@
 
 def allowances(trial: Trial):
     """Sends ten times a tenant's allowance while edges are added, restarted and killed and the issuer is killed."""
-    Shift(trial).take()
+    AllowanceTrial(trial).take()
 
 
 TRIALS = {
@@ -370,9 +371,9 @@
     given = parser.parse_args()
     is_good = True
     for name in given.names or [name for name in TRIALS if name != "soak"]:
-        do, seconds = TRIALS[name]
-        print(f"== {name}: {do.__doc__}", flush=True)
-        is_good &= Trial(given.city, Path(tempfile.mkdtemp(prefix="sumachook-"))).run(name, do, seconds)
+        inject_faults, seconds = TRIALS[name]
+        print(f"== {name}: {inject_faults.__doc__}", flush=True)
+        is_good &= Trial(given.city, Path(tempfile.mkdtemp(prefix="sumachook-"))).run(name, inject_faults, seconds)
     raise SystemExit(0 if is_good else 1)
 
 
--- a/tests/harness/test_platform_fakes.py
+++ b/tests/harness/test_platform_fakes.py
@@ -10,7 +10,7 @@
 
 from harness.fakes.call_history import Attempt, CallHistory
 from harness.fakes.client import Client
-from harness.fakes.deployment import ENGINE, FIRST, HOST, KINDS, MODELS, Deployment, _free_network
+from harness.fakes.deployment import ENGINE, FIRST_CONFIGURATION, HOST, KINDS, MODELS, Deployment, _free_network
 from harness.fakes.instance_list import InstanceList
 from harness.fakes.loop_stalls import LoopStalls
 from harness.fakes.model_server import ModelServer
@@ -245,8 +245,8 @@
         stalls.begin()
         deployment = Deployment(tmp_path)
         async with deployment:
-            await deployment.configure("/Configuration.Replace", FIRST)
-            await deployment.balancer.all_in()
+            await deployment.configure("/Configuration.Replace", FIRST_CONFIGURATION)
+            await deployment.balancer.wait_until_all_ready()
             await asyncio.gather(*(deployment.ask(kind, number) for kind in KINDS for number in range(6)))
             await deployment.add_route()
             await deployment.read_back()
--- a/tests/harness/test_processes.py
+++ b/tests/harness/test_processes.py
@@ -106,6 +106,6 @@
     assert judge_runs([_call()], [first]).is_good
     assert judge_runs([_call(safe=True)], [first, second]).is_good
     assert judge_runs([_call()], [first, second]).run_twice == ["a"]
-    assert judge_runs([_call(), _call(run="no")], [first]).run_unknown == ["a"]
+    assert judge_runs([_call(), _call(run="no")], [first]).run_despite_promise == ["a"]
     broken = read_server_record("model-1", (200, {**EMPTY_RECORD, "runs": {"a": 1}, "broken": ["m beyond memory"]}))
     assert not judge_runs([_call()], [broken]).is_good
--- a/tests/harness/test_tenant_judgement.py
+++ b/tests/harness/test_tenant_judgement.py
@@ -16,8 +16,8 @@
     STANDING,
     STANDING_KEYS,
     TENANT,
-    HeldKeys,
-    Judged,
+    ConfiguredKeys,
+    JudgedRequest,
     Run,
     TenantKeys,
 )
@@ -31,15 +31,15 @@
 
 def keys_with_a_change():
     """A key is taken away by a configuration that was sent at 9.9 s and acknowledged at 10 s."""
-    first = HeldKeys(ALL, 0.0, REPLACED_AT)
-    return TenantKeys([first, HeldKeys(ALL - {LEAVING_KEYS[0]}, REPLACED_AT - 0.1)])
+    first = ConfiguredKeys(ALL, 0.0, REPLACED_AT)
+    return TenantKeys([first, ConfiguredKeys(ALL - {LEAVING_KEYS[0]}, REPLACED_AT - 0.1)])
 
 
 def faults(credential, sent_at, status=200, kind=BOOKING, run_at=None):
     keys = keys_with_a_change()
     if run_at is not None:
         keys.runs["q"] = [Run(run_at, (), False)]
-    return list(keys.violations([Judged("q", kind, credential, sent_at, sent_at + 0.1, status)]))
+    return list(keys.violations([JudgedRequest("q", kind, credential, sent_at, sent_at + 0.1, status)]))
 
 
 @pytest.mark.parametrize(
@@ -77,8 +77,8 @@
 @pytest.mark.parametrize(("count", "is_fault"), [(80, False), (90, True)])
 def test_more_than_a_quota_allows_is_reported(count, is_fault):
     """Given requests of a tenant that were sent and run within 5 s, more than its rate, burst and their slack is reported."""
-    keys = TenantKeys([HeldKeys(ALL, 0.0)])
-    requests = [Judged(f"q{n}", BOOKING, METERED_KEYS[0], 1 + n / 100, 1 + n / 100, 200) for n in range(count)]
+    keys = TenantKeys([ConfiguredKeys(ALL, 0.0)])
+    requests = [JudgedRequest(f"q{n}", BOOKING, METERED_KEYS[0], 1 + n / 100, 1 + n / 100, 200) for n in range(count)]
     keys.runs = {request.request_id: [Run(request.sent_at, (), False)] for request in requests}
     found = [fault for fault in keys.violations(requests) if fault.startswith("QUOTA")]
     assert bool(found) is is_fault
--- a/tests/harness/test_trials.py
+++ b/tests/harness/test_trials.py
@@ -29,7 +29,7 @@
 
 def _trial(fleet, work):
     trial = trials.Trial.__new__(trials.Trial)
-    trial.fleet, trial.work, trial.samples, trial.back_at, trial.failed = fleet, work, [{}, {}], None, []
+    trial.fleet, trial.work, trial.samples, trial.restarted_at, trial.failed = fleet, work, [{}, {}], None, []
     return trial
 
 
--- a/tests/harness/test_vacuous_runs.py
+++ b/tests/harness/test_vacuous_runs.py
@@ -190,7 +190,7 @@
 
 def test_kind_of_request_that_never_came_in_time_fails_the_platform_city():
     """Given a day whose call history breaks no rule, each kind of which no request came in time is a fault, and so is no run at all."""
-    kinds = [*platform_city.KINDS, platform_city.ADDED]
+    kinds = [*platform_city.KINDS, platform_city.ADDED_KIND]
     call_history = SimpleNamespace(violations=list, runs={"r": []})
     deployment = SimpleNamespace(
         call_history=call_history, outcomes={kind.name: [("in time", 0.1, 200)] for kind in kinds}
