--- a/harness/fakes/balancer.py
+++ b/harness/fakes/balancer.py
@@ -9,17 +9,16 @@
 
 
 class Balancer:
-    """Probes the readiness of every edge node once a second; `choose` returns the front address of a node in the
-    client's zone, selected by a hash of the client.
+    """Probes the readiness of every edge node once a second and distributes clients over the nodes of their zone.
 
-    If fewer than half of a zone's nodes are ready, all of its nodes are used; if none is ready, the ready nodes of all
-    zones are used.
+    `choose` selects a node by a hash of the client and returns its client address. If fewer than half of a zone's nodes
+    are ready, all of its nodes are used; if none is ready, the ready nodes of all zones are used.
     """
 
     __slots__ = ("nodes", "misses", "tasks", "changed")
 
     def __init__(self, nodes: list):
-        self.nodes = nodes  # (zone, front, readiness)
+        self.nodes = nodes  # (zone, client address, readiness address) of each edge node
         self.misses, self.tasks, self.changed = {front: MAX_MISSES for _, front, _ in nodes}, [], asyncio.Event()
 
     def begin(self):
--- a/harness/fakes/call_history.py
+++ b/harness/fakes/call_history.py
@@ -27,7 +27,7 @@
     >>> call_history = CallHistory(loads_per_s=2.0)
     >>> call_history.ran("t1", "i-1", "records", "/x/", "0")
     >>> call_history.violations()
-    ['UNASKED: i-1 ran t1, which no client sent so']
+    ['UNASKED: i-1 ran t1, which no client sent in this form']
     """
 
     __slots__ = ("attempts", "runs", "bodies", "noted", "loads", "loads_per_s", "tenant_keys")
@@ -54,7 +54,7 @@
             asked = self.attempts.get(request)
             for instance, service, path, digest in runs:
                 if asked is None or (path, digest) != (asked.path, asked.digest):
-                    yield f"UNASKED: {instance} ran {request}, which no client sent so"
+                    yield f"UNASKED: {instance} ran {request}, which no client sent in this form"
                 elif service != asked.kind.service:
                     yield f"ROUTE: {instance} of {service} ran {request} of {asked.kind.name}"
             if asked is not None:
--- a/harness/fakes/kept_client.py
+++ b/harness/fakes/kept_client.py
@@ -12,9 +12,9 @@
 from harness.fakes.server import DEADLINE, REQUEST, SEAL
 from harness.fakes.tenants import CREDENTIAL, NO_KEY, TENANT, TenantKeys
 
-CONNECT_WITHIN = 1.0  # seconds
+CONNECT_WITHIN = 1.0  # seconds to establish a connection
 WAIT_AFTER_DEADLINE = 1.0  # seconds, for the response that reports the exceeded deadline
-SHORT_REST, LONG_REST_PORTION = 0.15, 0.25  # mean idle seconds; share that idle up to the limit
+SHORT_REST, LONG_REST_PORTION = 0.15, 0.25  # mean idle seconds; share of idle times up to the limit
 MAX_REST_OF_LIMIT = 0.8  # share of the idle limit that clients of the users' platform do not exceed
 LIMIT_BYTES = 1 << 25
 FORGED_TENANT_PORTION = 0.1  # share of requests that carry a tenant header of their own
@@ -78,7 +78,7 @@
 
 
 class _Connection:
-    """One connection, the time since when it is idle, and the shortest idle limit at that time."""
+    """One connection, the time at which it became idle, and the shortest idle limit at that time."""
 
     __slots__ = ("edge", "reader", "writer", "resting_since", "shortest_limit")
 
--- a/harness/fakes/loop_stalls.py
+++ b/harness/fakes/loop_stalls.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 INTERVAL = 0.05  # seconds between two readings of the clock
-SHORTEST_STALL = 0.25  # seconds
+SHORTEST_STALL = 0.25  # seconds; shorter delays are not recorded as stalls
 
 
 class Stall(NamedTuple):
--- a/harness/fakes/model_server.py
+++ b/harness/fakes/model_server.py
@@ -91,7 +91,7 @@
                 admission.set_result(False)
         self._admit()
 
-    # requests --------------------------------------------------------------------------
+    # request handling ------------------------------------------------------------------
 
     async def _serve(self, request, name, body, left):
         model, _, adapter = request.headers.get("Sumachook-Model", "").partition("/")
--- a/harness/fakes/prompt_cache.py
+++ b/harness/fakes/prompt_cache.py
@@ -1,4 +1,4 @@
-"""The prompt cache of a fake model server."""
+"""A fake of the prompt cache of a model server, with least-recently-used eviction."""
 
 
 class PromptCache:
--- a/harness/fakes/request_kind.py
+++ b/harness/fakes/request_kind.py
@@ -1,4 +1,4 @@
-"""A kind of request that the fake clients send, with its route, deadlines and rate."""
+"""The kinds of request that the fake clients send."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """A kind of request.
+    """The service, route, deadlines and rate of one kind of request.
 
     `aim` is the target latency of the response or of a stream's first event. `gap` is the longest pause between events
     that counts as in time. `models` are (model or model/adapter, weight) pairs to draw from, empty for a service
--- a/harness/fakes/server.py
+++ b/harness/fakes/server.py
@@ -1,6 +1,4 @@
-"""The base class of the fake servers: start, stop, identity, response seals, and responses that promise a request was
-not run.
-"""
+"""The base class of the fake servers: start, stop, identity, response seals, and responses that promise "not run"."""
 
 import asyncio
 from itertools import count
--- a/harness/fakes/tenants.py
+++ b/harness/fakes/tenants.py
@@ -78,7 +78,7 @@
     held: list[ConfiguredKeys] = field(default_factory=list)
     runs: dict[str, list[Run]] = field(default_factory=dict)
 
-    # the operator ---------------------------------------------------------------------------
+    # records of configurations that the operator sent ---------------------------------------
 
     def document(self, leaving: int = len(LEAVING_KEYS), joining: int = 0) -> list[dict[str, Any]]:
         """Returns the tenants of a configuration document.
@@ -112,7 +112,7 @@
         for earlier in self.held[:-1]:
             earlier.replaced_at = min(earlier.replaced_at, asyncio.get_running_loop().time())
 
-    # clients and servers --------------------------------------------------------------------
+    # keys of clients, and records of what servers ran ---------------------------------------
 
     @staticmethod
     def draw(random: Random, kind: RequestKind) -> str:
@@ -128,7 +128,7 @@
         has_key = any(name.lower() == CREDENTIAL.lower() for name in headers)
         self.runs.setdefault(request_id, []).append(Run(asyncio.get_running_loop().time(), tenants_received, has_key))
 
-    # judging --------------------------------------------------------------------------------
+    # checks for violations ------------------------------------------------------------------
 
     def tenant_violations(self, request_id: str, credential: str) -> Iterator[str]:
         """Yields a violation for each run of a request whose server received the API key or a wrong tenant name."""
--- a/harness/fuzzing/plan.py
+++ b/harness/fuzzing/plan.py
@@ -13,7 +13,7 @@
 
 
 class ServerFault(StrEnum):
-    """How a server misbehaves with one request that it receives."""
+    """The fault that a server injects into the response to one request."""
 
     NONE = "none"
     CUT = "cut"
--- a/harness/fuzzing/server.py
+++ b/harness/fuzzing/server.py
@@ -32,7 +32,7 @@
 
     @property
     def route(self) -> str:
-        """The first segment of the path."""
+        """The first segment of the path, which names the route."""
         return self.path.split("/")[1]
 
 
@@ -132,7 +132,7 @@
             raise ConnectionOverError
 
     async def _fail_on_reuse(self, arrival: Arrival, move: ServerMove) -> None:
-        """Fails the second request on a persistent connection: hangs or closes, by the fault of the first one."""
+        """Hangs or closes a reused connection, according to the idle fault of the previous request."""
         arrival.has_run = move.does_run
         if self.idle_fault is ServerFault.SILENT_IDLE:
             await self.hang()
--- a/harness/local_cluster/allowance_trial.py
+++ b/harness/local_cluster/allowance_trial.py
@@ -16,8 +16,8 @@
 
 ALLOWANCE, FLOOD_RATE = 20.0, 200.0  # requests per second: a tenant's allowance, and its rate when it floods
 RATE_WITHIN_FLOOR = 8.0  # requests per second of the other tenant, below its guaranteed floor
-ADDED_EDGES = 3  # edges that are started later in the trial
-# not admitted and not counted by any edge; the caller tries another edge
+ADDED_EDGES = 3  # number of edges that are started only later in the trial
+# outcomes of calls that no edge admitted or counted; the caller tries another edge
 NOT_ADMITTED = ("refused", "connect-timeout", "draining", "not-ready")
 ADMISSION_DELAY = 0.4  # seconds from sending a call to its admission
 
--- a/harness/local_cluster/loopback.py
+++ b/harness/local_cluster/loopback.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import SystemRandom
 
-PORTS = range(10_000, 32_768)  # below the range from which Linux assigns ephemeral ports
+PORTS = range(10_000, 32_768)  # ports below the range from which Linux assigns ephemeral ports
 MAX_DRAWS = 1000
 
 
--- a/harness/local_cluster/nodes.py
+++ b/harness/local_cluster/nodes.py
@@ -62,7 +62,7 @@
         return [(zone, f"{ip}:{PORTS[what]}") for kind, zone, ip in self.machines.values() if kind in classes]
 
     def front_address(self, machine) -> str:
-        """Returns the address on which a machine accepts clients, if it is an edge."""
+        """Returns the client address of a machine; only edges listen on it."""
         return f"{self.machines[machine][2]}:{PORTS['front']}"
 
     async def start_all(self):
--- a/harness/local_cluster/trials.py
+++ b/harness/local_cluster/trials.py
@@ -19,7 +19,7 @@
 from harness.local_cluster.run_verdict import judge_runs, read_calls
 from sumachook.runtime.clock import Clock
 
-LEADER_WITHIN = 10.0  # seconds
+LEADER_WITHIN = 10.0  # seconds within which a core must report itself as the leader
 EXAMPLES = Path(__file__).parents[2] / "examples"
 
 
--- a/tests/harness/test_days.py
+++ b/tests/harness/test_days.py
@@ -1,4 +1,4 @@
-"""The days under examples/days, and the command that has the users' bench play them, before a stand-in of the bench."""
+"""The days under examples/days, and the command that runs them on the users' bench, tested with a fake of the bench."""
 
 import sys
 import tomllib
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("day", DAYS, ids=lambda day: day.stem)
-def test_each_day_says_what_it_brings_about_and_holds_only_known_fields(day):
+def test_each_day_has_a_description_and_only_known_fields(day):
     text = day.read_text()
     assert text.startswith("# ")
     (entry,) = tomllib.loads(text)["day"]
@@ -60,7 +60,7 @@
         assert {"at", "kind"} <= set(trouble) <= ENTRY_FIELDS
 
 
-def test_each_point_has_two_days_or_more_and_no_two_days_share_a_seed():
+def test_each_point_has_at_least_two_days_and_all_seeds_differ():
     for point in POINTS:
         assert sum(day.stem.startswith(f"{point}-") for day in DAYS) >= LEAST_PER_POINT
     seeds = [tomllib.loads(day.read_text())["day"][0]["seed"] for day in DAYS]
@@ -73,7 +73,7 @@
     assert [run.name for run in draw_runs(sites, days, [3, 4])] == ["x.a.3", "x.a.4", "y.a.3", "y.a.4"]
 
 
-def test_a_broken_rule_a_fault_and_a_missing_report_are_told_as_broken(tmp_path):
+def test_broken_rule_fault_or_missing_report_counts_as_broken(tmp_path):
     def outcome(**changes):
         file = tmp_path / "report.json"
         file.write_bytes(msgspec.json.encode({**REPORT, **changes}))
@@ -90,7 +90,7 @@
         assert missing.is_broken == is_broken and f"not played: {last}" in describe(missing)
 
 
-def test_the_command_plays_all_days_and_its_end_tells_of_what_broke(tmp_path, capsys):
+def test_command_plays_all_days_and_its_exit_code_reports_broken_rules(tmp_path, capsys):
     bench, days, out = tmp_path / "bench", tmp_path / "days", tmp_path / "out"
     bench.write_text(STAND_IN.format(python=sys.executable, report=msgspec.json.encode(REPORT).decode()))
     bench.chmod(0o755)
--- a/tests/harness/test_fuzz.py
+++ b/tests/harness/test_fuzz.py
@@ -1,4 +1,4 @@
-"""The fuzzer of the forwarding path: a bounded, seeded part of what `python -m harness.fuzz` plays (docs/design/failures.md)."""
+"""The fuzzer of the forwarding path: a bounded, seeded part of the cases of `python -m harness.fuzz` (docs/design/failures.md)."""
 
 import pytest
 
@@ -11,16 +11,16 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_no_rule_is_broken_whatever_servers_and_clients_do(seed):
-    """Given servers and clients that misbehave at any byte, the independent oracle finds no broken rule, and no case hangs."""
+def test_edge_breaks_no_rule_under_misbehaving_servers_and_clients(seed):
+    """With servers and clients that misbehave at arbitrary bytes, the oracle finds no broken rule and no case hangs."""
     report = play_cases(seed, range(CASES))
     assert report.violations == []
     assert report.cases == CASES and report.runs > CASES / 2
     assert {"200", "502", "504"} <= set(report.outcomes), report.outcomes
 
 
-def test_the_same_seed_draws_the_same_cases():
-    """Given a seed and a number, the case and what servers do with its requests are always the same."""
+def test_same_seed_draws_the_same_cases():
+    """A seed and a case number always give the same case and the same server faults."""
     assert [draw_case(7, number) for number in range(50)] == [draw_case(7, number) for number in range(50)]
     assert [draw_move(7, "q1-0", arrival, 0.3) for arrival in range(9)] == [
         draw_move(7, "q1-0", arrival, 0.3) for arrival in range(9)
@@ -28,14 +28,14 @@
     assert len({draw_case(7, number).fault for number in range(200)}) > 8
 
 
-# the oracle itself: each rule that it judges is seen broken ------------------------------------
+# the oracle itself: it detects the violation of each rule ---------------------------------------
 
 REQUEST = PlannedRequest("q1", "once", "POST", b"body", False, 9)
 STREAM = PlannedRequest("q1", "chat", "POST", b"body", False, 2)
 GIVEN = b"HTTP/1.1 200 Any\r\nX-Request-Id: q1\r\nX-Server-Seal: s1.1\r\nContent-Length: 2\r\n\r\nok"
 
 
-def _book(request=REQUEST, runs=(True,), is_whole=True, **arrived):
+def _oracle(request=REQUEST, runs=(True,), is_whole=True, **arrived):
     oracle = Oracle()
     oracle.ask(request).is_whole = is_whole
     for place, has_run in enumerate(runs):
@@ -57,11 +57,11 @@
     return {line.partition(":")[0] for line in oracle.judge()}
 
 
-def test_what_is_in_order_breaks_no_rule():
-    """Given an answer as its server gave it, or a failure of the node's own, nothing is noted."""
-    assert _received(_book(), GIVEN) == set()
-    assert _received(_book(runs=(False,)), b"HTTP/1.1 503 Any\r\nContent-Length: 0\r\n\r\n") == set()
-    assert _received(_book(), b"HTTP/1.1 502 Any\r\nContent-Length: 0\r\n\r\n") == set()
+def test_oracle_accepts_correct_responses():
+    """The oracle reports no violation for a server's unchanged response or an error response of the edge itself."""
+    assert _received(_oracle(), GIVEN) == set()
+    assert _received(_oracle(runs=(False,)), b"HTTP/1.1 503 Any\r\nContent-Length: 0\r\n\r\n") == set()
+    assert _received(_oracle(), b"HTTP/1.1 502 Any\r\nContent-Length: 0\r\n\r\n") == set()
 
 
 @pytest.mark.parametrize(
@@ -76,24 +76,24 @@
         GIVEN.replace(b"200", b"101"),
     ],
 )
-def test_an_answer_that_no_server_gave_is_mixed(raw):
-    """Given another body, status, seal or id than the server's, the oracle notes MIXED."""
-    assert _received(_book(), raw) == {"MIXED"}
+def test_oracle_reports_a_response_that_no_server_sent_as_mixed(raw):
+    """A response whose body, status, seal or request id differs from the server's is reported as MIXED."""
+    assert _received(_oracle(), raw) == {"MIXED"}
 
 
-def test_each_rule_about_arrivals_is_seen():
-    """Given a second run, a promise after a run, changed bytes, a part of a request, or too many servers, the oracle notes it."""
+def test_oracle_reports_each_rule_about_requests_at_servers():
+    """The oracle reports a second run, a not-run status after a run, changed or partial requests, and too many attempts."""
     nothing = b"HTTP/1.1 502 Any\r\nContent-Length: 0\r\n\r\n"
-    assert _received(_book(runs=(True, True)), nothing) == {"TWICE"}
-    assert _received(_book(), nothing.replace(b"502", b"503")) == {"REFUSED"}
-    assert _received(_book(body=b"bodx"), nothing) == {"UNASKED"}
-    assert _received(_book(is_whole=False), nothing) == {"UNASKED"}
-    assert _received(_book(STREAM, runs=(True,) * 4), nothing) == {"BUDGET"}
-    assert _received(_book(), nothing.replace(b"502", b"404")) == {"DENIED"}
+    assert _received(_oracle(runs=(True, True)), nothing) == {"TWICE"}
+    assert _received(_oracle(), nothing.replace(b"502", b"503")) == {"REFUSED"}
+    assert _received(_oracle(body=b"bodx"), nothing) == {"UNASKED"}
+    assert _received(_oracle(is_whole=False), nothing) == {"UNASKED"}
+    assert _received(_oracle(STREAM, runs=(True,) * 4), nothing) == {"BUDGET"}
+    assert _received(_oracle(), nothing.replace(b"502", b"404")) == {"DENIED"}
 
 
-def test_a_stream_with_a_gap_is_seen():
-    """Given a stream whose client lacks an event or has one twice, complete or not, the oracle notes it."""
+def test_oracle_reports_a_missing_or_repeated_stream_event():
+    """The oracle reports a stream in which an event is missing or repeated, whether the stream is complete or not."""
     events = [b"id: 1\ndata: q1\n\n", b"id: 2\ndata: q1\n\n"]
     for body, is_complete, rules in (
         (events, True, set()),
@@ -102,7 +102,7 @@
         (events[1:], False, {"ORDER"}),
         (events[:1] * 2, False, {"ORDER"}),
     ):
-        oracle = _book(STREAM)
+        oracle = _oracle(STREAM)
         oracle.receive(
             STREAM, Response(200, ((b"x-server-seal", b"s1.1"), (b"x-request-id", b"q1")), b"".join(body), is_complete)
         )
@@ -120,7 +120,7 @@
         (b"HTTP/1.1 200 A\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", False),
     ],
 )
-def test_the_reader_tells_whole_answers_from_cut_ones(raw, is_complete):
-    """Given answers that are whole, cut, or of unknown or ambiguous end, only those that are surely whole count so."""
+def test_response_parser_distinguishes_complete_from_cut_responses(raw, is_complete):
+    """Responses that are cut, or whose end is unknown or ambiguous, do not count as complete."""
     (response,) = read_responses(raw, ["GET"]).responses
     assert response.is_complete is is_complete
--- a/tests/harness/test_known_failures.py
+++ b/tests/harness/test_known_failures.py
@@ -1,4 +1,4 @@
-"""Known red tests: those listed may fail and are printed, every other failure counts."""
+"""The list of known failing tests: listed tests may fail and are printed, any other failure fails the run."""
 
 import os
 import subprocess
@@ -33,7 +33,7 @@
 
 
 def _run(folder, listed, *chosen):
-    """(exit code, output) of pytest over the chosen tests, on two workers, as the project's own run has several."""
+    """Returns (exit code, output) of pytest for the chosen tests, with two workers, as the project's CI run has several."""
     (folder / "test_suite.py").write_text(SUITE)
     if listed is not None:
         (folder / FILE).write_text(listed)
@@ -59,8 +59,8 @@
     return done.returncode, done.stdout + done.stderr
 
 
-def test_a_listed_failure_is_excused_and_printed_before_the_closing_line(tmp_path):
-    """Given a list with one red and one green test, the run passes, both are printed with their lines, pytest's line closes."""
+def test_listed_failure_is_excused_and_printed_before_the_closing_line(tmp_path):
+    """With one failing and one passing test listed, the run passes and prints both entries before pytest's closing line."""
     listed = "# known\n\ntest_suite.py::test_red | never true | 7\ntest_suite.py::test_green | was red | 8\ntest_suite.py::test_away | gone | 9\n"
     code, output = _run(tmp_path, listed, "test_red", "test_green")
     assert code == 0, output
@@ -72,8 +72,8 @@
 
 
 @pytest.mark.parametrize("chosen", [("test_red", "test_green"), ("test_without_its_fixture",), ("test_crash",)])
-def test_any_other_failure_counts(tmp_path, chosen):
-    """Given a failure that is not listed, or a listed test that fails in its fixture or takes its process along, the run fails."""
+def test_unlisted_failure_or_failure_outside_the_call_fails_the_run(tmp_path, chosen):
+    """The run fails if a failing test is not listed, or a listed one fails in its fixture or crashes its process."""
     listed = "".join(
         f"test_suite.py::{name} | broken | 7\n" for name in ("test_green", "test_without_its_fixture", "test_crash")
     )
@@ -81,15 +81,15 @@
     assert code == 1, output
 
 
-def test_a_listed_failure_beside_another_does_not_excuse_it(tmp_path):
-    """Given two failures of which one is listed, and given a file that cannot be collected, the run fails."""
+def test_listed_failure_does_not_excuse_another_failure(tmp_path):
+    """The run fails with one listed and one unlisted failure, and with a file that cannot be collected."""
     listed = "test_suite.py::test_red | never true | 7\n"
     assert _run(tmp_path, listed, "test_red", "test_without_its_fixture")[0] == 1
     (tmp_path / "test_torn.py").write_text("import nothing_of_that_name\n")
     assert _run(tmp_path, listed)[0] not in (0, 5)
 
 
-def test_without_the_file_nothing_is_excused_or_printed(tmp_path):
+def test_without_the_list_no_failure_is_excused_or_printed(tmp_path):
     code, output = _run(tmp_path, None, "test_red", "test_green")
     assert code == 1 and FILE not in output, output
     code, output = _run(tmp_path, None, "test_green")
@@ -99,6 +99,6 @@
 @pytest.mark.parametrize(
     "line", ["test_red", "test_red | no issue", "test_red | | 7", "a | b | 1\na | c | 2", "a | b | c | d"]
 )
-def test_a_line_that_does_not_say_test_cause_and_issue_is_refused(line):
+def test_line_without_test_cause_and_issue_is_rejected(line):
     with pytest.raises(pytest.UsageError):
         KnownRed(line)
--- a/tests/harness/test_log_excerpts.py
+++ b/tests/harness/test_log_excerpts.py
@@ -1,4 +1,4 @@
-"""What the failure of a test of real processes tells of their logs."""
+"""The log excerpts that are added to a failure of a test with real processes."""
 
 import pytest
 
@@ -13,13 +13,13 @@
 
 
 @pytest.mark.parametrize("kind", [AssertionError, TimeoutError])
-def test_a_failure_tells_the_warnings_of_each_node_and_the_stalls_of_this_process(tmp_path, kind):
-    """Given a node's log and a stall, a failure bears the lines that are no everyday ones, by node, and the stall."""
+def test_failure_includes_noteworthy_log_lines_and_stalls_of_this_process(tmp_path, kind):
+    """A failure includes warnings, start messages and tracebacks from the nodes' logs, and the stalls of this process."""
     (tmp_path / "edge-1.log").write_text(LOG)
     stalls = LoopStalls()
     stalls.stalls = [Stall(1.0, 4.0)]
     with pytest.raises(kind) as failure, with_logs_on_failure(tmp_path, stalls):
-        raise kind("something else than was expected")
+        raise kind("another result than expected")
     (note,) = failure.value.__notes__
     first, *lines = note.splitlines()
     assert "1 times" in first and "3.00 s at most" in first
@@ -27,7 +27,7 @@
     assert "Starting" in lines[0] and "dark" in lines[1] and "Traceback" in lines[2]
 
 
-def test_what_does_not_fail_tells_nothing(tmp_path):
-    """Given no failure, nothing is read."""
+def test_logs_are_not_read_without_a_failure(tmp_path):
+    """Without a failure, the log folder is not read and may be missing."""
     with with_logs_on_failure(tmp_path / "missing", LoopStalls()):
         pass
--- a/tests/harness/test_loopback.py
+++ b/tests/harness/test_loopback.py
@@ -1,4 +1,4 @@
-"""Addresses for tests over real sockets: nobody else is given them, and a server that cannot start says so at once."""
+"""Loopback addresses for tests: no other process gets them, and a server that cannot start fails at once."""
 
 import asyncio
 import socket
@@ -9,12 +9,12 @@
 from sumachook.transport.addresses import split_address
 from sumachook.transport.http_server import HttpServer
 
-BOUND = 5.0  # seconds for one story
+BOUND = 5.0  # seconds within which a test must end
 SOCKETS = 200
 
 
-def test_a_free_address_is_none_that_the_kernel_gives_to_sockets_without_a_port():
-    """Given many listeners that ask for any port, none gets one of those from which addresses of servers are drawn."""
+def test_free_address_is_outside_the_ephemeral_port_range():
+    """None of many sockets bound to port 0 gets a port from the range of which server addresses are drawn."""
     sockets = [socket.socket() for _ in range(SOCKETS)]
     try:
         for each in sockets:
@@ -28,8 +28,8 @@
     assert drawn <= set(PORTS) and len(drawn) > SOCKETS * 0.9
 
 
-def test_a_server_whose_address_is_taken_fails_the_wait_for_it_at_once():
-    """Given an address that another process has taken meanwhile, waiting for the server raises the error that ended it."""
+def test_waiting_for_a_server_fails_at_once_if_its_address_is_taken():
+    """If another process has bound the address meanwhile, waiting for the server raises the server's error."""
 
     async def run(address):
         server = HttpServer(address, lambda event: None)
--- a/tests/harness/test_names.py
+++ b/tests/harness/test_names.py
@@ -1,4 +1,4 @@
-"""Names that code holds as strings: each is one that exists, so that a rename is seen here and not as an empty result."""
+"""Names that code refers to by strings must exist, so that a rename fails here instead of giving an empty result."""
 
 import importlib
 import pkgutil
@@ -28,7 +28,7 @@
 
 
 def _classes():
-    """All classes of the product."""
+    """Yields all classes in the modules of the product."""
     for found in pkgutil.walk_packages(sumachook.__path__, "sumachook."):
         if not found.name.endswith("__main__"):
             module = importlib.import_module(found.name)
@@ -41,14 +41,14 @@
 
 @pytest.fixture(scope="module")
 def deployment():
-    """A fleet of cores and edges whose cores have a leader."""
+    """A simulated deployment of cores and one edge, run until the cores have a leader."""
     deployment = Deployment(DeploymentSpec(EXAMPLES / "kosice"), 1, edges=1)
     assert deployment.run_until(lambda: leader(deployment) is not None, 15)
     return deployment
 
 
-def test_slots_behind_descriptors_exist():
-    """Given values that are kept once or only rise, the slot that each names is one of its class."""
+def test_slots_named_by_descriptors_exist():
+    """The slot name of each write-once or monotonic value is a slot of its class."""
     found = [
         (kind.__name__, value.slot_name, value.slot_name in _slots(kind))
         for kind in set(_classes())
@@ -58,23 +58,23 @@
     assert len(found) >= 4 and all(exists for _, _, exists in found), found
 
 
-def test_every_message_on_the_wire_is_taken_by_a_core_or_an_edge_and_no_other_is(deployment):
-    """Given the tables by which cores and edges hand on messages, together they hold each kind on the wire, and nothing else."""
+def test_handlers_of_cores_and_edges_cover_exactly_the_kinds_of_messages_on_the_wire(deployment):
+    """The message handlers of cores and edges together cover each kind of message on the wire and no other kind."""
     machines = [leader(deployment), *deployment.machines("edge")]
     taken = {kind for machine in machines for kind in machine.routing.message_handlers}
     assert {str(kind.__struct_config__.tag) for kind in taken} == set(FIELDS)
 
 
-def test_every_event_of_a_host_is_taken_by_a_core_or_an_edge(deployment):
-    """Given all events that hosts and disks give, a core or an edge has a handler for each."""
+def test_every_host_event_has_a_handler_in_a_core_or_an_edge(deployment):
+    """A core or an edge has a handler for each event that hosts and disks emit."""
     machines = [leader(deployment), *deployment.machines("edge")]
     taken = {kind for machine in machines for kind in machine.routing.event_handlers()}
     given = {kind for kind in vars(events).values() if isinstance(kind, type) and issubclass(kind, events.Event)}
     assert given - {events.Event, events.CallEvent} <= taken and DiskStateChanged in taken
 
 
-def test_every_effect_of_a_host_is_carried_out_by_a_daemon():
-    """Given all effects that hosts carry out, a daemon with every socket and a folder has a handler for each, and for no other."""
+def test_daemon_has_a_handler_for_every_host_effect():
+    """A daemon with all sockets and a data folder has a handler for each host effect and for no other effect."""
     folder = DataFolder(SimulatedFileSystem(Random(1)))
     machine = SimpleNamespace(node="n", restart_epoch=1)
     daemon = Daemon(machine, Clock(), print, "127.0.0.1:1", "127.0.0.1:2", "c", folder, "127.0.0.1:3")
@@ -83,28 +83,28 @@
     assert declared - {effects.Effect} == HOST_EFFECTS
 
 
-def test_parts_whose_memory_is_measured_exist(deployment):
-    """Given the parts of each role that the capacity run measures, a node of that role has them."""
+def test_components_whose_memory_is_measured_exist(deployment):
+    """A node of each role has the components whose memory the capacity run measures."""
     for role, parts in host.PARTS.items():
         machines = deployment.machines(role)
         assert parts and machines
         assert [(role, part) for part in parts if not hasattr(machines[0], part)] == []
 
 
-def test_kinds_that_are_counted_to_a_mechanism_are_on_the_wire():
-    """Given the kinds of messages by mechanism, each is sent by somebody, and is counted to that mechanism alone."""
+def test_message_kinds_assigned_to_a_mechanism_are_on_the_wire():
+    """Each kind of message that is assigned to a mechanism exists on the wire and belongs to one mechanism only."""
     kinds = [kind for kinds in mechanism._KINDS.values() for kind in kinds.split()]
     assert kinds and len(kinds) == len(set(kinds)) and set(kinds) <= set(FIELDS)
 
 
-def test_fields_left_out_of_a_state_exist():
-    """Given the fields that the exploration leaves out of a state, each is one of some class of the product."""
+def test_fields_excluded_from_explored_states_exist():
+    """Each field that the exploration excludes from a state is a slot or field of some class of the product."""
     known = {name for kind in set(_classes()) for name in (*_slots(kind), *getattr(kind, "__struct_fields__", ()))}
     assert canonical.DERIVED <= known
 
 
-def test_bound_on_logs_reaches_the_replicas():
-    """Given a bound on the entries of a log, the replicas that are made within it have it, and those made later do not."""
+def test_log_bound_applies_to_replicas_created_within_it():
+    """Replicas created within a bound on log entries have this bound, and replicas created after it do not."""
     with observe.SnapshotBound(7):
         bounded = ControlDeployment(1, 3)
         bounded.run(0.5)
@@ -114,8 +114,8 @@
     assert 7 not in {core.consensus.state.options.max_log_entries for core in plain.cores()}
 
 
-def test_paths_that_the_project_file_names_exist():
-    """Given the folders and patterns by which tests are found, types checked and lint rules excused, each names some file."""
+def test_paths_named_in_pyproject_exist():
+    """Each path and pattern in pyproject.toml for tests, type checks and lint exceptions matches at least one file."""
     root = Path(sumachook.__path__[0]).parent
     tool = tomllib.loads((root / "pyproject.toml").read_text())["tool"]
     patterns = [
--- a/tests/harness/test_platform_fakes.py
+++ b/tests/harness/test_platform_fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' platform over real sockets: they keep the pages' terms, and clients and call_history see what breaks a rule."""
+"""The fakes of the users' platform follow its documentation, and the fake clients and the call history detect broken rules."""
 
 import asyncio
 import json
@@ -24,9 +24,9 @@
 KIND = {kind.name: kind for kind in KINDS}
 
 
-def _play(story):
-    """Runs a story, within a bound."""
-    return asyncio.run(asyncio.wait_for(story, BOUND))
+def _run_within_bound(coroutine):
+    """Runs a coroutine; fails if it takes longer than 60 s."""
+    return asyncio.run(asyncio.wait_for(coroutine, BOUND))
 
 
 def _head(request, model="", **more):
@@ -39,8 +39,8 @@
     }
 
 
-async def _model_story(steps):
-    """`steps(ask, order, server, call_history)` against one model server that holds two models."""
+async def _with_model_server(steps):
+    """Runs `steps(ask, order, server, call_history)` against one fake model server with two loaded models."""
     net, call_history = _free_network(), CallHistory(ENGINE["loads-per-s"])
     server = ModelServer("llm", f"{net}.101:8080", "hall-a", ENGINE, call_history, MODELS[:2])
     await server.listen()
@@ -62,7 +62,7 @@
         await server.end()
 
 
-def test_a_model_server_runs_what_it_holds_and_says_of_all_else_that_it_did_not_run():
+def test_model_server_runs_loaded_models_and_marks_other_requests_as_not_run():
     async def steps(ask, order, server, call_history):
         status, headers, body = await ask("POST", "/chat/1", _head("t1", MODELS[0]))
         digest = digest_of(b"")
@@ -88,10 +88,10 @@
             )
         assert (await ask("POST", "/chat/1"))[0] == 400 and set(call_history.runs) == {"t1", "t2"}
 
-    _play(_model_story(steps))
+    _run_within_bound(_with_model_server(steps))
 
 
-def test_orders_are_taken_one_at_a_time_under_rising_fences_and_the_book_sees_what_may_not_be():
+def test_orders_run_one_at_a_time_with_rising_fencing_tokens_and_violations_are_noted():
     async def steps(ask, order, server, call_history):
         assert await order("loading", MODELS[0]) == 200
         assert await order("loading", MODELS[2]) == 202 and await order("loading", MODELS[3]) == 409
@@ -113,11 +113,11 @@
         assert await order("loading", MODELS[4], fence=7) == 202
         assert [line.split(":")[0] for line in call_history.noted] == ["ONE", "LIMIT"]
 
-    _play(_model_story(steps))
+    _run_within_bound(_with_model_server(steps))
 
 
-def test_the_list_comes_page_by_page_is_late_and_keeps_its_rate():
-    async def story():
+def test_list_of_servers_is_paged_delayed_and_rate_limited():
+    async def run():
         net, call_history = _free_network(), CallHistory(6.0)
         servers = [
             PlainServer("stamps", f"{net}.{number}:8080", "hall-a" if number % 2 else "hall-b", 4, call_history)
@@ -135,7 +135,10 @@
                     async with session.get(f"http://{address}/instances{query}") as answer:
                         return answer.status, json.loads(await answer.read() or b"{}")
 
-                assert await page("", late.address) == (200, {"instances": [], "next-token": None})  # as at first
+                assert await page("", late.address) == (
+                    200,
+                    {"instances": [], "next-token": None},
+                )  # the initial, empty list
                 found, token = [], ""
                 while token is not None:
                     status, doc = await page(f"?zone=hall-a&page-token={token}")
@@ -145,10 +148,10 @@
         finally:
             await asyncio.gather(late.end(), listing.end())
 
-    _play(story())
+    _run_within_bound(run())
 
 
-BENT = {
+ROUTER_FAULTS = {
     "none": (None, ""),
     "no seal": (lambda name, headers, body: ({REQUEST: name}, body), "without a seal"),
     "another's id": (lambda name, headers, body: ({**headers, REQUEST: "other"}, body), "the id of another"),
@@ -162,12 +165,12 @@
 
 
 @pytest.mark.parametrize("kind", ["booking", "chat"])
-@pytest.mark.parametrize("how", BENT)
-def test_clients_and_call_history_see_what_a_router_may_not_do(how, kind):
-    """Given a router of a few lines that bends one thing, that very breach is found, and none where it bends nothing."""
-    bend, wanted = BENT[how]
+@pytest.mark.parametrize("how", ROUTER_FAULTS)
+def test_clients_and_call_history_detect_each_fault_of_a_router(how, kind):
+    """With a minimal router that injects one fault, exactly this violation is reported; without a fault, none is."""
+    bend, wanted = ROUTER_FAULTS[how]
 
-    async def story():
+    async def run():
         net, call_history = _free_network(), CallHistory(6.0)
         servers = {
             "stamps": PlainServer("stamps", f"{net}.101:8080", "hall-a", 4, call_history),
@@ -213,7 +216,7 @@
                 await server.end()
         return outcome, call_history.violations()
 
-    outcome, breaches = _play(story())
+    outcome, breaches = _run_within_bound(run())
     if how == "none":
         assert outcome in ("in time", "late") and breaches == []
     else:
@@ -221,7 +224,7 @@
         assert outcome not in ("in time", "late") or how not in ("half a body", "refused though run")
 
 
-def test_the_book_compares_what_ran_with_what_was_asked():
+def test_call_history_compares_runs_with_requests():
     call_history = CallHistory(loads_per_s=1.0)
     call_history.attempts["t1"] = Attempt(KIND["lookup"], "/stamps/1", "d")
     call_history.ran("t1", "i-1", "stamps", "/stamps/1", "d")
@@ -235,12 +238,12 @@
     assert [line.split(":")[0] for line in call_history.violations()] == ["ROUTE", "UNASKED", "CEILING"]
 
 
-def test_a_deployment_of_real_processes_serves_every_kind_and_breaks_no_rule(tmp_path):
-    """Given three cores and three edges as deploy/system.toml starts them, configured by the operator, each kind is served, also
-    with models that nobody held; a route more is acknowledged and read back, and every process ends cleanly."""
+def test_deployment_of_real_processes_serves_every_kind_without_violations(tmp_path):
+    """Three cores and three edges, started by deploy/system.toml and configured by the operator, serve every kind of request,
+    also for models that no server had loaded. An added route is acknowledged and read back, and every process exits with 0."""
     deployment, stalls = None, LoopStalls()
 
-    async def story():
+    async def run():
         nonlocal deployment
         stalls.begin()
         deployment = Deployment(tmp_path)
@@ -253,7 +256,7 @@
             assert all(process.returncode is None for process in deployment.nodes.running.values())
 
     with with_logs_on_failure(tmp_path, stalls):
-        _play(story())
+        _run_within_bound(run())
         served = {
             name: sum(outcome in ("in time", "late") for outcome, _, _ in found)
             for name, found in deployment.outcomes.items()
--- a/tests/harness/test_processes.py
+++ b/tests/harness/test_processes.py
@@ -1,4 +1,4 @@
-"""Processes of a city: the model servers' records of what they ran are read whole, or the reading is an error."""
+"""The records that model servers keep of their runs: reading an incomplete or missing record is an error."""
 
 from datetime import timedelta
 
@@ -23,7 +23,7 @@
 
 
 def _answer(server):
-    """(status, document) as it arrives over HTTP."""
+    """Returns (status, decoded document) of the server's response to GET /proof."""
     (answer,) = server.take(HttpRequestReceived(9, "GET", "/proof", {}, b""), NOW)
     return answer.status, msgspec.json.decode(answer.body)
 
@@ -33,13 +33,13 @@
 
 
 class _Spec:
-    """A list of one model server."""
+    """A deployment with one model server."""
 
     servers = ({"kind": "model", "name": "model-1", "address": "127.0.0.1:1"},)
 
 
 class _Fleet(processes.Processes):
-    """Processes of which one should be up; whoever asks it gets the answer given."""
+    """One model server that counts as running and returns the given response to every request."""
 
     __slots__ = ("answer",)
 
@@ -50,15 +50,15 @@
         return self.answer
 
 
-def test_server_record_answers_with_every_documented_key():
-    """Given a new stand-in, its record holds each documented key, and nothing in them."""
+def test_server_record_has_every_documented_key():
+    """The record of a new fake model server has exactly the documented keys and counts no prompts."""
     status, document = _answer(_model_server())
     assert status == 200 and set(document) == DOCUMENTED_KEYS
     assert count_prompts([read_server_record("model-1", (status, document))]) == 0
 
 
-def test_server_record_counts_a_prompt_that_was_run():
-    """Given a stand-in that was asked to run one prompt in its first step of warming, its record counts it by its tag."""
+def test_server_record_counts_a_run_prompt():
+    """A prompt that ran while its model was still warming up is counted under its tag, also in the peak while warming."""
     server = _model_server()
     server.ready_at["m"] = NOW
     body = b'{"model":"m","messages":[{"content":"a"}]}'
@@ -76,16 +76,16 @@
         ((200, {**EMPTY_RECORD, "runs": ["a"]}), "Expected `object`"),
     ],
 )
-def test_server_without_a_record_is_an_error(answer, reason, monkeypatch):
-    """Given a stand-in that should be up and answers with an error, oddly or not at all, reading the records raises."""
+def test_server_without_a_valid_record_is_an_error(answer, reason, monkeypatch):
+    """Reading the records raises if a running server returns an error, an invalid document or no response."""
     monkeypatch.setattr(processes, "ANSWER_WITHIN", 0.01)
     with pytest.raises(ServerRecordError, match=reason) as raised:
         _Fleet(answer).server_records()
     assert raised.value.server == "model-1"
 
 
-def test_records_are_read_of_servers_that_should_be_up_only():
-    """Given a server that was ended on purpose, the records are those of the others."""
+def test_records_are_read_only_from_running_servers():
+    """A server that was stopped on purpose is left out of the records."""
     fleet = _Fleet((200, EMPTY_RECORD))
     assert list(fleet.server_records()) == ["model-1"]
     fleet.running.clear()
@@ -93,14 +93,14 @@
 
 
 @pytest.mark.parametrize("calls", [[], [_call()], [_call(outcome="lost")]])
-def test_run_whose_records_count_no_prompt_is_not_good(calls):
-    """Given records without a prompt, nothing was judged, whether calls were answered or not."""
+def test_run_without_a_recorded_prompt_is_not_good(calls):
+    """If the records count no prompt, nothing was judged, whether or not calls were answered."""
     verdict = judge_runs(calls, [read_server_record("model-1", (200, EMPTY_RECORD))])
     assert not verdict.is_good and "NOTHING WAS JUDGED" in verdict.describe()
 
 
-def test_run_is_judged_by_the_records_of_all_servers():
-    """Given calls and records: one run of each is good; an unsafe call run on two servers or one told 'not run' is not."""
+def test_verdict_uses_the_records_of_all_servers():
+    """A non-idempotent call run on two servers, or a call reported as not run that ran, makes the verdict bad."""
     first = read_server_record("model-1", (200, {**EMPTY_RECORD, "runs": {"a": 1}}))
     second = read_server_record("model-2", (200, {**EMPTY_RECORD, "runs": {"a": 1}}))
     assert judge_runs([_call()], [first]).is_good
--- a/tests/harness/test_soak.py
+++ b/tests/harness/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what it takes for a fault, and short runs of real processes (docs/design/processes.md)."""
+"""The soak: which requests and log lines it reports as faults, and short runs of real processes (docs/design/processes.md)."""
 
 import asyncio
 
@@ -32,8 +32,8 @@
     return KeptAttempt(request_id, LOOKUP, EDGE, SENT_AT, SENT_AT + seconds, end, 0, rest)
 
 
-def test_a_request_that_ran_and_whose_connection_was_closed_is_lost():
-    """Given requests that were cut, of which a server ran one, and others with whole answers, that one is reported."""
+def test_request_that_ran_without_a_complete_response_is_lost():
+    """A request that a server ran and whose connection was closed without a complete response is reported."""
     attempts = [
         attempt("q1", AttemptEnd.COMPLETE),
         attempt("q2", AttemptEnd.CUT),
@@ -54,16 +54,16 @@
     ],
 )
 @pytest.mark.parametrize("rest", [None, Rest(RESTED, LIMIT)])
-def test_a_request_that_was_cut_while_its_edge_stayed_is_reported(leavings, rest):
-    """Given a cut request that no server ran, on a new connection or on one that may still rest, and an edge that was not leaving
-    then, it is reported."""
+def test_request_cut_by_an_edge_that_was_not_leaving_is_reported(leavings, rest):
+    """A request that no server ran is reported if its connection was closed by an edge that was not leaving, and the connection
+    was new or idle for less than the limit."""
     (fault,) = unexplained_cuts([attempt("q1", AttemptEnd.CUT, rest)], {}, leavings, LoopStalls())
     assert "CUT: q1 of lookup" in fault
 
 
-def test_a_request_that_crosses_a_close_is_no_fault():
-    """Given requests that no server ran, one cut while its edge left, one on a connection that had rested for longer than the limit that
-    its edge may have gone by, and one that was answered, none is reported."""
+def test_request_that_crosses_a_permitted_close_is_not_reported():
+    """A request that no server ran is not reported if its edge was leaving, if its connection had been idle for longer than the
+    limit that the edge may have applied, or if it was answered."""
     leaving = [Leaving(EDGE, 4.0)]
     assert unexplained_cuts([attempt("q1", AttemptEnd.CUT)], {}, leaving, LoopStalls()) == []
     assert unexplained_cuts([attempt("q1", AttemptEnd.CUT, Rest(LIMIT + 0.1, LIMIT))], {}, [], LoopStalls()) == []
@@ -71,17 +71,17 @@
 
 
 @pytest.mark.parametrize(("stalled", "is_reported"), [(0.0, True), (0.3, False)])
-def test_a_request_that_is_cut_later_than_a_crossing_takes_is_reported(stalled, is_reported):
-    """Given a request that no server ran, cut 0.4 s after it was sent by an edge that left, it was read and is reported; it is not if
-    this process stood still for most of that time."""
+def test_request_cut_too_late_for_a_crossing_is_reported(stalled, is_reported):
+    """A request that a leaving edge cut 0.4 s after it was sent did not cross the close: the edge had read it. It is reported,
+    unless this process stalled for most of that time."""
     stalls = LoopStalls()
     stalls.stalls = [Stall(SENT_AT, SENT_AT + stalled)]
     held = attempt("q1", AttemptEnd.CUT, seconds=0.4)
     assert bool(unexplained_cuts([held], {}, [Leaving(EDGE, 4.0)], stalls)) is is_reported
 
 
-def test_an_answer_that_is_cut_off_at_its_deadline_is_not_lost():
-    """Given requests that ran and were cut, one before its deadline and one at it, the first alone is reported."""
+def test_response_cut_at_its_deadline_is_not_lost():
+    """Of two requests that ran and were cut, the one cut before its deadline is reported, the one cut after it is not."""
     attempts = [
         attempt("q1", AttemptEnd.CUT, seconds=DEADLINE - 0.01),
         attempt("q2", AttemptEnd.CUT, seconds=DEADLINE + 0.01),
@@ -90,8 +90,8 @@
     assert "LOST: q1" in fault
 
 
-def test_a_request_that_nobody_answers_or_cuts_is_reported():
-    """Given a request without an answer a second after its deadline, and one that was answered, the first is reported."""
+def test_request_neither_answered_nor_cut_is_reported():
+    """A request without a response one second after its deadline is reported; an answered one is not."""
     attempts = [
         attempt("q1", AttemptEnd.UNANSWERED, seconds=DEADLINE + 1.0),
         attempt("q2", AttemptEnd.COMPLETE),
@@ -101,17 +101,17 @@
 
 
 @pytest.mark.parametrize(("stalled", "is_reported"), [(0.4, True), (0.6, False)])
-def test_time_in_which_this_process_stood_still_is_no_time_for_an_answer(stalled, is_reported):
-    """Given a request without an answer a second after its deadline, and a stall of this process meanwhile, it is reported if what is
-    left of that second was enough."""
+def test_stall_of_this_process_does_not_count_as_waiting_time(stalled, is_reported):
+    """A request without a response one second after its deadline is reported only if enough of that second remains after
+    subtracting the stalls of this process."""
     stalls = LoopStalls()
     stalls.stalls = [Stall(SENT_AT + 1.0, SENT_AT + 1.0 + stalled), Stall(SENT_AT - 5.0, SENT_AT - 1.0)]
     late = attempt("q1", AttemptEnd.UNANSWERED, seconds=DEADLINE + 1.0)
     assert bool(unanswered_requests([late], stalls)) is is_reported
 
 
-def test_a_loop_that_stands_still_is_seen():
-    """Given looks at the clock in time and one that is late, the time until the late one is a stall."""
+def test_late_reading_of_the_clock_is_recorded_as_a_stall():
+    """A late reading of the clock gives one stall, from the due time of the reading to its actual time."""
     stalls = LoopStalls()
     for now in (0.05, 0.1, 1.15, 1.2):
         stalls.note(now)
@@ -123,9 +123,9 @@
 CLOSED = '{"level": "WARNING", "message": "A connection was closed with a request on it.", "state": "%s"}'
 
 
-def test_logs_tell_of_faults(tmp_path):
-    """Given a log with everyday lines, a failed task, a traceback, and connections that were closed while a head was coming in and while
-    a request was served, the head alone passes."""
+def test_faults_are_found_in_logs(tmp_path):
+    """A traceback, a failed task and a connection closed while a request was served are faults; a connection closed while a
+    request head was being read is not, nor is an ordinary line."""
     lines = ['{"message": "edge: Starting."}', "Traceback (most recent call last):"]
     lines += ['{"message": "daemon: A task failed and is started again."}', CLOSED % "reading", CLOSED % "serving"]
     (tmp_path / "edge-1.log").write_text("\n".join(lines))
@@ -133,9 +133,9 @@
 
 
 @pytest.mark.parametrize("seed", SHORT_RUN_SEEDS)
-def test_clients_that_keep_their_connections_lose_nothing_while_all_is_restarted_reloaded_and_changed(tmp_path, seed):
-    """Given three cores and four edges as real processes under signals, restarts and changes in series that overlap, no request that
-    a server ran goes without an answer, none is cut by an edge that stays, no process ends by itself or too late, and the newest
+def test_clients_with_persistent_connections_lose_no_request_during_restarts_reloads_and_changes(tmp_path, seed):
+    """Three cores and four edges run as real processes under overlapping signals, restarts and changes. Every request that a
+    server ran is answered, no edge that is not leaving cuts one, no process exits unasked or too late, and the newest
     configuration is read back."""
     result = asyncio.run(play_soak(SoakSpec(seed, SHORT_RUN_S), tmp_path))
     with with_logs_on_failure(tmp_path, result.stalls):
--- a/tests/harness/test_tenant_judgement.py
+++ b/tests/harness/test_tenant_judgement.py
@@ -1,4 +1,4 @@
-"""What the harness takes for a fault of keys, tenants and quotas."""
+"""Which requests the harness reports as violations of API keys, tenants and quotas."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
 
 
 def keys_with_a_change():
-    """A key is taken away by a configuration that was sent at 9.9 s and acknowledged at 10 s."""
+    """Returns keys of which one is revoked by a configuration that was sent at 9.9 s and acknowledged at 10 s."""
     first = ConfiguredKeys(ALL, 0.0, REPLACED_AT)
     return TenantKeys([first, ConfiguredKeys(ALL - {LEAVING_KEYS[0]}, REPLACED_AT - 0.1)])
 
@@ -54,9 +54,9 @@
         (NO_KEY, 5.0, OPEN, False),
     ],
 )
-def test_what_no_configuration_in_force_allows_to_run_is_reported(credential, sent_at, kind, is_fault):
-    """Given requests that ran under keys that stand, were taken away a while ago or long ago, or never were, those are reported that no
-    configuration allows that may have been in force."""
+def test_run_that_no_configuration_in_force_allows_is_reported(credential, sent_at, kind, is_fault):
+    """A run is reported if its key is valid in no configuration that may have been in force: a key revoked longer ago than the
+    time to apply a change, a key that was never valid, or no key on a route that needs one."""
     assert bool(faults(credential, sent_at, kind=kind, run_at=sent_at + 0.05)) is is_fault
 
 
@@ -69,14 +69,14 @@
         (NEVER_HELD, 5.0, False),
     ],
 )
-def test_a_refusal_of_what_all_configurations_in_force_allow_is_reported(credential, sent_at, is_fault):
-    """Given requests that got 401, those are reported whose key every configuration holds that may have been in force."""
+def test_401_for_a_key_valid_in_all_configurations_in_force_is_reported(credential, sent_at, is_fault):
+    """A 401 response is reported if the key is valid in every configuration that may have been in force."""
     assert bool(faults(credential, sent_at, status=401)) is is_fault
 
 
 @pytest.mark.parametrize(("count", "is_fault"), [(80, False), (90, True)])
-def test_more_than_a_quota_allows_is_reported(count, is_fault):
-    """Given requests of a tenant that were sent and run within 5 s, more than its rate, burst and their slack is reported."""
+def test_excess_over_a_quota_is_reported(count, is_fault):
+    """More requests of a tenant sent and run within 5 s than its rate, burst and slack allow are reported."""
     keys = TenantKeys([ConfiguredKeys(ALL, 0.0)])
     requests = [JudgedRequest(f"q{n}", BOOKING, METERED_KEYS[0], 1 + n / 100, 1 + n / 100, 200) for n in range(count)]
     keys.runs = {request.request_id: [Run(request.sent_at, (), False)] for request in requests}
@@ -95,8 +95,8 @@
         (NO_KEY, {TENANT: STANDING}, True),
     ],
 )
-def test_a_key_or_a_wrong_tenant_at_a_server_is_reported(credential, headers, is_fault):
-    """Given a request at a server that got its key, or no or another tenant's name, it is reported."""
+def test_key_or_wrong_tenant_name_at_a_server_is_reported(credential, headers, is_fault):
+    """A request is reported if its server receives the API key, no tenant name or another tenant's name."""
 
     async def run():
         history = CallHistory(loads_per_s=1.0)
--- a/tests/harness/test_trials.py
+++ b/tests/harness/test_trials.py
@@ -1,4 +1,4 @@
-"""Trials with real processes: what is expected of them is said and counted, and an unknown node or leader is an error."""
+"""Trials with real processes: unmet expectations are recorded, and an unknown node or a missing leader is an error."""
 
 from types import SimpleNamespace
 
@@ -12,7 +12,7 @@
 
 
 class _Fleet(Processes):
-    """Three cores of which one at most leads; no process runs."""
+    """Three cores with at most one leader; no process runs."""
 
     __slots__ = ("leading",)
 
@@ -33,15 +33,15 @@
     return trial
 
 
-def test_leader_is_the_core_that_says_so(tmp_path):
-    """Given a core that leads, it is named; where no core says that it leads, no other is taken for the leader."""
+def test_leader_is_the_core_that_reports_itself_as_leader(tmp_path):
+    """The leader is the core that reports itself as such; if no core does, none is taken for the leader."""
     assert _trial(_Fleet("core-2"), tmp_path).leader() == "core-2"
     with pytest.raises(trials.NoLeaderError):
         _trial(_Fleet("core-3"), tmp_path).leader()
 
 
 def test_readiness_of_no_node_is_an_error():
-    """Given a name or a role that no node has, nobody is said to be ready."""
+    """Asking for the readiness of a name or role that no node has raises an error instead of returning True."""
     fleet = _Fleet("core-1")
     assert fleet.are_ready("core", ["core-1"]) and not fleet.are_ready("core")
     for role, names in (("core", ["core-9"]), ("edge", None)):
@@ -50,7 +50,7 @@
 
 
 def test_trial_without_logs_or_prompts_is_not_good(tmp_path):
-    """Given a call that was answered, the trial is good if a prompt was counted and every process has its log, not otherwise."""
+    """A trial with an answered call is good only if a prompt was recorded and every process has written a log."""
     from harness.local_cluster.server_record import read_server_record
 
     calls = tmp_path / "calls.jsonl"
@@ -65,7 +65,7 @@
 
 
 def test_rolling_restart_expects_that_each_node_is_ready_again(tmp_path, monkeypatch):
-    """Given a node that is never ready again, the trial says so among what was not met."""
+    """A node that is not ready again after its restart is listed among the unmet expectations."""
     fleet = _Fleet("core-1")
     stopped = []
     monkeypatch.setattr(_Fleet, "stop", lambda self, name: stopped.append(name) or 0)
--- a/tests/harness/test_vacuous_runs.py
+++ b/tests/harness/test_vacuous_runs.py
@@ -1,4 +1,4 @@
-"""Every check of the harness counts what it judged, and a run that judged nothing fails."""
+"""Every check of the harness counts the items it judged, and a run that judged nothing fails."""
 
 import sys
 from collections import Counter
@@ -34,7 +34,7 @@
 
 
 class _Pool:
-    """Runs in this process what others would run."""
+    """Replaces a process pool: runs the work in this process."""
 
     def __init__(self, *_):
         pass
@@ -53,7 +53,7 @@
 
 
 def _exit_code(monkeypatch, module, *words) -> int:
-    """What the command ends with."""
+    """Returns the exit code of the command for these arguments."""
     monkeypatch.setattr(module, "ProcessPoolExecutor", _Pool)
     monkeypatch.setattr(sys, "argv", ["command", *words])
     with pytest.raises(SystemExit) as ended:
@@ -61,8 +61,8 @@
     return ended.value.code
 
 
-def test_each_kind_of_which_nothing_was_judged_is_a_fault():
-    """Given counts, those of none are named."""
+def test_each_count_of_zero_is_a_fault():
+    """Each count of zero gives a fault that names the kind of item."""
     assert find_unchecked({"calls": 0, "runs": 2, "orders": 0}) == [
         "nothing was judged: 0 calls",
         "nothing was judged: 0 orders",
@@ -70,20 +70,20 @@
 
 
 @pytest.mark.parametrize("module", SEEDED, ids=lambda module: module.__name__)
-def test_command_without_a_seed_is_refused(module, monkeypatch):
-    """Given a last seed before the first, there is nothing to run, which is no success."""
+def test_command_rejects_an_empty_range_of_seeds(module, monkeypatch):
+    """A last seed before the first leaves nothing to run, which must not count as success."""
     assert _exit_code(monkeypatch, module, "9", "3") not in (0, None)
 
 
-def test_storm_in_which_no_call_is_made_fails(monkeypatch):
-    """Given a storm whose callers ask for nothing, no rule is broken, and the storm is faulty all the same."""
+def test_storm_without_calls_fails(monkeypatch):
+    """A storm without calls and faults breaks no rule, but judged nothing and is reported as faulty."""
     monkeypatch.setattr(FaultInjection, "run", lambda *_, **__: [])
     found = storms.play(2)[4]
     assert "nothing was judged: 0 calls answered" in found and "nothing was judged: 0 faults played" in found
 
 
 def test_storms_with_faults_fail(monkeypatch):
-    """Given what a storm found, the command fails on it, and on nothing else."""
+    """The command exits with 1 if a storm reports a fault, and with 0 if it reports none."""
     for found, code in (([], 0), (["nothing was judged: 0 prompts run"], 1)):
         monkeypatch.setattr(storms, "play", lambda seed, found=found: (seed, "kosice", {}, (1, 0), found, []))
         assert _exit_code(monkeypatch, storms, "1", "1") == code
@@ -94,20 +94,20 @@
     [({}, 1), ({"stamps": ([], 0)}, 1), ({"stamps": ([timedelta(seconds=1)], 0)}, 0)],
 )
 def test_twins_without_answers_fail(monkeypatch, found, code):
-    """Given pairs of storms without groups or answers, nobody was compared with anybody."""
+    """Pairs of storms without groups or answered calls compare nothing, so the command fails."""
     monkeypatch.setattr(twins, "play", lambda seed, is_heavy: found)
     assert _exit_code(monkeypatch, twins, "1", "1") == code
 
 
-def test_chaos_without_a_change_fails(monkeypatch):
-    """Given a run in which nobody orders anything, there is nothing to lose, and the run is faulty."""
+def test_chaos_run_without_changes_fails(monkeypatch):
+    """A run in which no change is proposed cannot lose one, so it is reported as faulty."""
     monkeypatch.setattr(chaos.Chaos, "__init__", lambda self, *_: setattr(self, "history", chaos.ChangeHistory()))
     monkeypatch.setattr(chaos.Chaos, "play", lambda *_: None)
     assert chaos.play(1)[3] == ["nothing was judged: 0 changes acknowledged", "nothing was judged: 0 changes delivered"]
 
 
-def test_orders_without_an_order_fail(monkeypatch):
-    """Given a storm in which operators order nothing, it is faulty."""
+def test_order_storm_without_orders_fails(monkeypatch):
+    """A storm in which operators send no orders is reported as faulty."""
 
     class Quiet:
         """A storm without orders."""
@@ -124,15 +124,15 @@
     assert orders.play(1)[4] == ["nothing was judged: 0 orders", "nothing was judged: 0 orders acknowledged"]
 
 
-def test_digest_of_no_effect_is_an_error(monkeypatch):
-    """Given a storm of which no effect is seen, there is no digest: it would never differ."""
+def test_digest_without_effects_is_an_error(monkeypatch):
+    """A storm without effects has no digest, because a digest of nothing would never differ."""
     monkeypatch.setattr(digest, "play", lambda *_: None)
     with pytest.raises(digest.EmptyDigestError):
         digest.take(41)
 
 
-def test_storm_of_allowances_that_judges_nobody_fails(monkeypatch):
-    """Given a storm in which no call is made, it is faulty, though no bound is broken."""
+def test_allowance_storm_without_calls_fails(monkeypatch):
+    """A storm without calls is reported as faulty, although no bound is exceeded."""
 
     class Quiet:
         """A storm without calls."""
@@ -153,14 +153,14 @@
     ]
 
 
-def test_twins_and_turns_of_allowances_without_a_run_are_not_good():
-    """Given no seeds, or runs in which nobody was answered, nobody can be said not to be later."""
+def test_allowance_twins_and_turns_without_seeds_fail():
+    """Without seeds there are no runs to compare, so neither comparison succeeds."""
     assert not allowances.twins([], _Pool()) and not allowances.turns([], _Pool())
 
 
 @pytest.mark.parametrize("times", [[], [0.1]])
-def test_twins_of_allowances_need_answers_and_a_flood(monkeypatch, times):
-    """Given runs with a flood that is let in and refused, they are good if the others were answered."""
+def test_allowance_twins_need_answered_calls_and_a_flood(monkeypatch, times):
+    """The comparison succeeds only if calls of other tenants were answered and the flood was partly admitted and refused."""
     monkeypatch.setattr(
         allowances, "play_twin", lambda seed, place, is_flooded: ("kosice", "audits", {"stamps": (times, 0)}, (1, 1))
     )
@@ -171,13 +171,13 @@
     assert not allowances.twins([1], _Pool())
 
 
-def test_unknown_scenario_is_refused(monkeypatch):
-    """Given a name that no scenario has, the command says so instead of running none."""
+def test_unknown_scenario_is_rejected(monkeypatch):
+    """An unknown scenario name is an error; the command must not succeed by running nothing."""
     assert _exit_code(monkeypatch, scenarios, "--only", "no_such_scenario") not in (0, None)
 
 
-def test_scenario_in_which_nobody_is_answered_is_broken(monkeypatch):
-    """Given a scenario whose witness finds nothing since nobody called, its row says that nothing was judged."""
+def test_scenario_without_answered_calls_is_broken(monkeypatch):
+    """A scenario without calls, whose checker therefore finds nothing, is reported as having judged nothing."""
     scene = SimpleNamespace(
         callers=SimpleNamespace(calls=[]),
         invariant_checker=SimpleNamespace(resends=lambda: (1, 0), unaccounted=list, faults=list),
@@ -188,8 +188,8 @@
     assert scenarios.play(lambda _: None, "kosice", 7)["broken"] == ["nothing was judged: 0 calls answered"]
 
 
-def test_kind_of_request_that_never_came_in_time_fails_the_platform_city():
-    """Given a day whose call history breaks no rule, each kind of which no request came in time is a fault, and so is no run at all."""
+def test_platform_city_fails_if_a_kind_of_request_is_never_in_time():
+    """Each kind of request without a response in time is a fault even if no rule is broken, and so is a run without requests."""
     kinds = [*platform_city.KINDS, platform_city.ADDED_KIND]
     call_history = SimpleNamespace(violations=list, runs={"r": []})
     deployment = SimpleNamespace(
@@ -202,13 +202,13 @@
     assert "nothing was judged: 0 requests run" in platform_city.faults_of(deployment)
 
 
-def test_fuzz_report_without_a_case_is_faulty():
-    """Given a report of no case, nothing is broken and nothing was judged."""
+def test_fuzz_report_without_cases_is_faulty():
+    """A report without cases has one fault for each kind of item that was not judged."""
     assert len(FuzzReport().faults()) == 3 and FuzzReport(cases=1, requests=1, runs=1).faults() == []
 
 
-def test_days_of_which_none_was_played_fail(monkeypatch, tmp_path):
-    """Given days that are all for another site, none was played, and that is no success."""
+def test_days_command_fails_if_no_day_was_played(monkeypatch, tmp_path):
+    """If all days are for another site, none is played, which must not count as success."""
     (tmp_path / "a.toml").touch()
     skipped = lambda self, run: days.Outcome(run, None, f"{days.UNPLAYED}: contract pool {days.NOT_IN_FORCE}")  # noqa: E731
     monkeypatch.setattr(days.Player, "play", skipped)
@@ -217,35 +217,35 @@
 
 
 @pytest.mark.parametrize(("counts", "code"), [((0, 0), 1), ((3, 0), 1), ((3, 1), 0)])
-def test_walk_in_which_nothing_happens_fails(monkeypatch, counts, code):
-    """Given walks that delivered or acknowledged nothing, they judged nothing."""
+def test_walk_without_deliveries_or_acknowledgements_fails(monkeypatch, counts, code):
+    """Walks that delivered or acknowledged nothing judged nothing, so the command fails."""
     story = Story(seed=1, seconds=1.0, choices=())
     outcome = Outcome((), Counter(delivered=counts[0], acknowledged=counts[1]), 1.0)
     monkeypatch.setattr(model, "_walk", lambda seed, **_: (story, outcome, story))
     assert _exit_code(monkeypatch, model, "walk", "--seeds", "1", "1") == code
 
 
-def test_walks_without_a_seed_fail(monkeypatch):
-    """Given a last seed before the first, no walk is a success."""
+def test_walk_fails_for_an_empty_range_of_seeds(monkeypatch):
+    """A last seed before the first leaves no walk to run, which must not count as success."""
     assert _exit_code(monkeypatch, model, "walk", "--seeds", "9", "3") == 1
 
 
 @pytest.mark.parametrize(("states", "recoveries", "code"), [(0, 0, 1), (5, 0, 1), (5, 1, 0)])
-def test_search_that_tries_nothing_fails(monkeypatch, states, recoveries, code):
-    """Given a search that came to no state, or to no end at which a recovery is judged, it judged nothing."""
+def test_search_without_states_or_recoveries_fails(monkeypatch, states, recoveries, code):
+    """A search that reached no state, or no end at which recovery is checked, judged nothing."""
     report = Report("calm_view", states=states, recoveries=recoveries)
     monkeypatch.setattr(model, "_search", lambda *_, **__: report)
     assert _exit_code(monkeypatch, model, "explore", "--beginnings", "calm_view") == code
 
 
-def test_search_from_no_beginning_fails(monkeypatch):
-    """Given no beginning at all, nothing is searched."""
+def test_search_without_an_initial_state_fails(monkeypatch):
+    """Without an initial state nothing is searched, so the command fails."""
     assert _exit_code(monkeypatch, model, "explore", "--beginnings") == 1
 
 
 @pytest.mark.parametrize(("took", "code"), [(0.5, 0), (None, 1)])
-def test_replacement_that_does_not_come_in_time_fails(monkeypatch, took, code):
-    """Given a replacement that was not whole within the limit, the table is no success."""
+def test_replacement_beyond_the_time_limit_fails(monkeypatch, took, code):
+    """The command fails if a replacement was not complete within the limit."""
     monkeypatch.setattr(replacements, "measure", lambda *_: [took])
     monkeypatch.setattr(sys, "argv", ["command"])
     with pytest.raises(SystemExit) as ended:
@@ -253,23 +253,23 @@
     assert ended.value.code == code
 
 
-def test_fleet_of_size_without_a_seed_is_refused(monkeypatch):
-    """Given a last seed before the first, there is nothing to run, which is no success."""
+def test_size_command_rejects_an_empty_range_of_seeds(monkeypatch):
+    """A last seed before the first leaves nothing to run, which must not count as success."""
     assert _exit_code(monkeypatch, size, "--seeds", "9", "3") not in (0, None)
 
 
 @pytest.mark.parametrize(
     ("fresh_after_s", "between_zones", "code"), [(0.5, {"feed": 10}, 0), (None, {"feed": 10}, 1), (0.5, {}, 1)]
 )
-def test_fleet_of_size_that_does_not_come_back_or_says_nothing_fails(monkeypatch, fresh_after_s, between_zones, code):
-    """Given a story whose edges stay without a fresh state, or whose nodes sent nothing, the command fails."""
+def test_size_command_fails_without_recovery_or_traffic(monkeypatch, fresh_after_s, between_zones, code):
+    """The command fails if the edges never get a fresh state or the nodes sent nothing between zones."""
     result = size.StoryResult("rest", 20, 1, fresh_after_s, 1.0, between_zones)
     monkeypatch.setattr(size, "play", lambda *_: result)
     assert _exit_code(monkeypatch, size, "--stories", "rest", "--nodes", "20") == code
 
 
-def test_soak_without_a_seed_is_refused(monkeypatch):
-    """Given a last seed before the first, there is nothing to run, which is no success."""
+def test_soak_rejects_an_empty_range_of_seeds(monkeypatch):
+    """A last seed before the first leaves nothing to run, which must not count as success."""
     monkeypatch.setattr(sys, "argv", ["command", "9", "3"])
     with pytest.raises(SystemExit) as ended:
         soak.main()
@@ -278,7 +278,7 @@
 
 @pytest.mark.parametrize(("faults", "code"), [([], 0), (["a fault"], 1)])
 def test_soak_with_a_fault_fails(monkeypatch, faults, code):
-    """Given a run with a fault, the command fails; given none, it does not."""
+    """The command exits with 1 if the run has a fault, else with 0."""
 
     async def play_soak(spec, work):
         return soak.SoakResult(spec, faults=faults)
@@ -290,8 +290,8 @@
     assert ended.value.code == code
 
 
-def test_soak_in_which_nothing_was_done_counts_nothing():
-    """Given a run without a request or a restart, each kind of what it judges is counted as none, which is a fault each."""
+def test_soak_without_activity_has_a_fault_for_each_count():
+    """In a run without requests, restarts and changes every count is zero, and each of them is a fault."""
     counts = soak.SoakResult(soak.SoakSpec(1)).counts()
     assert set(counts) == {
         "requests served",
@@ -303,8 +303,8 @@
     assert len(find_unchecked(counts)) == len(counts)
 
 
-def test_every_check_is_known_to_these_tests():
-    """Given the commands of the harness that end with a verdict, each is one whose emptiness is tested here or beside."""
+def test_every_command_with_a_verdict_is_tested_for_empty_runs():
+    """Each harness module that exits with a verdict is tested for empty runs in this file or elsewhere."""
     folder = Path(harness.__file__).parent
     judging = {
         ".".join(path.relative_to(folder.parent).with_suffix("").parts)
