--- a/tests/harness/__init__.py
+++ b/tests/harness/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of the harness itself: what it measures and judges is counted, and an error is never an empty result."""
+"""Tests of the harness itself: it counts what it measures and judges, and reports errors instead of empty results."""
