--- a/harness/fakes/call_history.py
+++ b/harness/fakes/call_history.py
@@ -1,4 +1,4 @@
-"""What clients and servers saw, each for itself, and where that breaks a rule."""
+"""Records what fake clients sent and fake servers ran, and reports where the two records break a rule."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a client; `is_promised_not_run`: its answer promised that it has not run and never will."""
+    """One attempt of a client. `is_promised_not_run`: its response promised that it has not run and never will."""
 
     kind: RequestKind
     path: str
@@ -20,12 +20,14 @@
 
 
 class CallHistory:
-    """`violations` compares what was asked with what ran, and adds what fakes and clients noted on the spot.
+    """Compares the requests that clients sent with those that servers ran.
+
+    `violations` also includes the violations that fakes and clients noted as they happened.
 
     >>> call_history = CallHistory(loads_per_s=2.0)
     >>> call_history.ran("t1", "i-1", "records", "/x/", "0")
     >>> call_history.violations()
-    ['UNASKED: i-1 ran t1, which no client sent so']
+    ['UNASKED: i-1 ran t1, which no client sent in this form']
     """
 
     __slots__ = ("attempts", "runs", "bodies", "noted", "loads", "loads_per_s", "tenant_keys")
@@ -52,11 +54,11 @@
             asked = self.attempts.get(request)
             for instance, service, path, digest in runs:
                 if asked is None or (path, digest) != (asked.path, asked.digest):
-                    yield f"UNASKED: {instance} ran {request}, which no client sent so"
+                    yield f"UNASKED: {instance} ran {request}, which no client sent in this form"
                 elif service != asked.kind.service:
                     yield f"ROUTE: {instance} of {service} ran {request} of {asked.kind.name}"
             if asked is not None:
-                yield from self.tenant_keys.told_wrong(request, asked.credential)
+                yield from self.tenant_keys.tenant_violations(request, asked.credential)
             if asked is not None and not asked.kind.is_repeatable:
                 if len(runs) > 1:
                     yield f"TWICE: {request} of {asked.kind.name} ran at {', '.join(run[0] for run in runs)}"
--- a/harness/fakes/client.py
+++ b/harness/fakes/client.py
@@ -1,4 +1,4 @@
-"""One client: a request with its retries, and the checks of what comes back."""
+"""A fake client that sends a request, retries it, and checks each response."""
 
 import asyncio
 from itertools import count
@@ -13,13 +13,13 @@
 from harness.fakes.server import DEADLINE, REQUEST, SEAL
 from harness.fakes.tenants import CREDENTIAL, STANDING_KEYS
 
-PROMISES, FINAL = (408, 421, 429, 503), (400, 401, 404, 413, 431)
+NOT_RUN_PROMISES, FINAL_STATUSES = (408, 421, 429, 503), (400, 401, 404, 413, 431)
 TRIES, CONNECT, FIRST_PAUSE = 5, 1.0, 0.03
 NUMBERS = count(1)
 
 
 class Client:
-    """`ask(kind)` makes one request within its deadline, and says what it met: in time, late, refused or failed."""
+    """`ask(kind)` makes one request within its deadline and returns its outcome: in time, late, refused or failed."""
 
     __slots__ = ("name", "zone", "host", "call_history", "balancer", "random", "session")
 
@@ -35,7 +35,7 @@
         self.random = Random(name)
 
     async def ask(self, kind: RequestKind):
-        """(outcome, seconds to the answer or the first event, or None, the last status)."""
+        """Returns (outcome, seconds to the response or its first event or None, status of the last attempt)."""
         loop = asyncio.get_running_loop()
         begun, until = loop.time(), loop.time() + kind.deadline.total_seconds()
         path, body, headers, total = self._draw_request(kind)
@@ -54,7 +54,7 @@
         if reading.is_whole:
             is_smooth = not kind.gap or reading.longest_gap <= kind.gap.total_seconds()
             return "in time" if is_smooth and first <= kind.aim.total_seconds() else "late"
-        return "refused" if reading.status in PROMISES else "failed"
+        return "refused" if reading.status in NOT_RUN_PROMISES else "failed"
 
     def _draw_request(self, kind):
         number = next(NUMBERS)
@@ -74,7 +74,7 @@
         return path, body, headers, event_count(tokens_out)
 
     async def _try(self, kind, path, body, headers, reading, until, number) -> bool:
-        """Whether a further try is allowed, if time is left."""
+        """Makes one attempt; returns whether another one is allowed if time is left before the deadline."""
         request = f"{self.random.getrandbits(64):016x}"
         asked = self.call_history.attempts[request] = Attempt(kind, path, digest_of(body), credential=STANDING_KEYS[0])
         left = until - asyncio.get_running_loop().time()
@@ -92,40 +92,40 @@
         else:
             reading.restart()
         timeout = aiohttp.ClientTimeout(total=left, sock_connect=CONNECT)
-        is_unread, reading.status, reading.retry_after = True, 0, 0.0
+        was_not_sent, reading.status, reading.retry_after = True, 0, 0.0
         try:
             async with self.session.post(f"http://{front}{path}", data=body, headers=sent, timeout=timeout) as answer:
-                is_unread, reading.status = False, answer.status
+                was_not_sent, reading.status = False, answer.status
                 self._check_head(kind, request, answer)
                 if 200 <= answer.status < 300:
                     await self._read(kind, request, answer, reading)
                     return not reading.is_whole and kind.is_resumable and reading.events > 0
                 await answer.read()
-                asked.is_promised_not_run = answer.status in PROMISES
+                asked.is_promised_not_run = answer.status in NOT_RUN_PROMISES
                 reading.retry_after = _seconds(answer.headers.get("Retry-After"))
         except aiohttp.ClientConnectorError:
             pass
         except (aiohttp.ClientError, TimeoutError, ConnectionError):
-            is_unread = False
-        if reading.status in FINAL or 200 <= reading.status < 300:
+            was_not_sent = False
+        if reading.status in FINAL_STATUSES or 200 <= reading.status < 300:
             return kind.is_resumable and reading.events > 0
-        return kind.is_repeatable or is_unread or asked.is_promised_not_run
+        return kind.is_repeatable or was_not_sent or asked.is_promised_not_run
 
     def _check_head(self, kind, request, answer):
-        back = answer.headers.get(REQUEST)
+        returned_id = answer.headers.get(REQUEST)
         if 200 <= answer.status < 300:
             if SEAL not in answer.headers:
-                self._note(kind, request, f"a success ({answer.status}) without a seal")
+                self._note(kind, request, f"a success response ({answer.status}) without a seal")
             elif not answer.headers[SEAL].endswith("." + request):
                 self._note(kind, request, f"the seal of another request, {answer.headers[SEAL]}")
             elif answer.headers[SEAL] not in self.call_history.bodies:
-                self._note(kind, request, f"a seal that no server gave, {answer.headers[SEAL]}")
-            if back != request:
-                self._note(kind, request, f"the id of another request, {back}")
-        elif back not in (None, request):
-            self._note(kind, request, f"a refusal with the id of another request, {back}")
+                self._note(kind, request, f"a seal that no server issued, {answer.headers[SEAL]}")
+            if returned_id != request:
+                self._note(kind, request, f"the id of another request, {returned_id}")
+        elif returned_id not in (None, request):
+            self._note(kind, request, f"a rejection with the id of another request, {returned_id}")
         if "Content-Encoding" in answer.headers:
-            self._note(kind, request, "a body that was encoded on its way")
+            self._note(kind, request, "a body that was re-encoded in transit")
 
     async def _read(self, kind, request, answer, reading):
         loop = asyncio.get_running_loop()
@@ -135,16 +135,16 @@
             sealed = self.call_history.bodies.get(answer.headers.get(SEAL))
             reading.is_whole = body == sealed
             if sealed not in (None, body):
-                self._note(kind, request, f"a body of {len(body)} bytes that is not the server's")
+                self._note(kind, request, f"a body of {len(body)} bytes that differs from the one the server sent")
             return
-        silence = max(2.0, 4 * kind.aim.total_seconds(), 8 * kind.gap.total_seconds())
-        while line := await asyncio.wait_for(answer.content.readuntil(b"\n\n"), silence):
+        read_timeout = max(2.0, 4 * kind.aim.total_seconds(), 8 * kind.gap.total_seconds())
+        while line := await asyncio.wait_for(answer.content.readuntil(b"\n\n"), read_timeout):
             if reason := reading.take(line, loop.time()):
                 self._note(kind, request, reason)
         reading.is_whole = reading.events == reading.total
         if not reading.is_whole:
             self._note(
-                kind, request, f"a stream that ends as complete after {reading.events} of {reading.total} events"
+                kind, request, f"a stream that ended as complete after {reading.events} of {reading.total} events"
             )
 
     def _note(self, kind, request, reason):
--- a/harness/fuzzing/server.py
+++ b/harness/fuzzing/server.py
@@ -1,4 +1,4 @@
-"""A server that answers as its moves say: well, broken off, spoiled, late, twice, or with another's answer."""
+"""A server that injects faults: truncated, corrupted, late, duplicate or swapped responses."""
 
 import asyncio
 import re
@@ -9,7 +9,7 @@
 from harness.fuzzing.oracle import Arrival, Oracle, ServedAnswer, stream_event
 from harness.fuzzing.plan import ServerFault, ServerMove, draw_move
 
-TURNS_OF_A_PAUSE = 6  # of the event loop: the other side has read what was written
+YIELDS_PER_PAUSE = 6  # iterations of the event loop after which the other side has read what was written
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 CONTENT_LENGTH = re.compile(rb"(?i)\r\ncontent-length: (\d+)")
 CHUNKED = re.compile(rb"(?i)\r\ntransfer-encoding: chunked")
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A request as its bytes came in."""
+    """A request as parsed from the received bytes."""
 
     method: str
     path: str
@@ -27,50 +27,50 @@
 
     @property
     def request_id(self) -> str:
-        """The id that its client gave it."""
+        """The request id from the client's header, or ""."""
         return self.headers.get("x-request-id", "")
 
     @property
     def route(self) -> str:
-        """The first part of the path."""
+        """The first segment of the path, which names the route."""
         return self.path.split("/")[1]
 
 
 class ConnectionOverError(Exception):
-    """This connection is to be closed."""
+    """Raised to close the connection."""
 
 
-async def turns(count: int = TURNS_OF_A_PAUSE) -> None:
-    """Lets everything that is ready run, so often."""
+async def yield_to_loop(count: int = YIELDS_PER_PAUSE) -> None:
+    """Yields to the event loop `count` times, so that tasks that are ready can run."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Closes with a reset."""
+    """Closes the connection with a TCP reset."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     writer.transport.abort()
 
 
 class FaultyServer:
-    """One server on loopback; every arrival and every byte sent is written into the oracle."""
+    """A server on loopback that records every received request and every sent byte in the oracle."""
 
-    def __init__(self, name: str, seed: int, oracle: Oracle, calm: float) -> None:
-        self.name, self.seed, self.oracle, self.calm = name, seed, oracle, calm
+    def __init__(self, name: str, seed: int, oracle: Oracle, fault_free_share: float) -> None:
+        self.name, self.seed, self.oracle, self.fault_free_share = name, seed, oracle, fault_free_share
         self.address = ""
         self.connections: set[asyncio.Task[None]] = set()
         self.listener: asyncio.Server | None = None
         self.seals = 0
-        self.earlier = ""  # the id answered last
+        self.last_answered_id = ""  # id of the request that was answered last
 
     async def start(self) -> None:
-        """Listens on a free port."""
+        """Listens on a free loopback port and sets `address`."""
         self.listener = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self.listener.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Ends all connections."""
+        """Closes the listener and all connections."""
         assert self.listener is not None
         self.listener.close()
         for task in self.connections:
@@ -90,33 +90,33 @@
             writer.close()
 
     def next_seal(self) -> str:
-        """A seal that no other answer bears."""
+        """Returns a response seal that no other response has."""
         self.seals += 1
         return f"{self.name}.{self.seals}"
 
 
 class ServerConnection:
-    """One connection to a server: requests in turn, each with its own move."""
+    """One connection to a server: sequential requests, each with its own fault."""
 
     def __init__(self, server: FaultyServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.server, self.reader, self.writer = server, reader, writer
         self.idle_fault: ServerFault | None = None
 
     async def run(self) -> None:
-        """Serves until the connection is over."""
+        """Serves requests until the connection is closed."""
         while True:
             head = await self.reader.readuntil(b"\r\n\r\n")
-            await self._one(head)
+            await self._serve_next(head)
 
-    async def _one(self, head: bytes) -> None:
+    async def _serve_next(self, head: bytes) -> None:
         received = _read_head(head)
         oracle, name = self.server.oracle, received.request_id
-        move = draw_move(self.server.seed, name, len(oracle.arrivals[name]), self.server.calm)
+        move = draw_move(self.server.seed, name, len(oracle.arrivals[name]), self.server.fault_free_share)
         arrival = Arrival(self.server.name, received.method, received.path, b"", False)
         if move.fault is ServerFault.EARLY and self.idle_fault is None:
             answer = self._compose(received, move)
             self._write(answer, answer.raw)
-            await turns()
+            await yield_to_loop()
         arrival.body = await self._read_body(head)
         oracle.arrivals[name].append(arrival)
         if self.idle_fault is not None:
@@ -125,14 +125,14 @@
             move.does_run or move.fault not in (ServerFault.RESET, ServerFault.CUT, ServerFault.HANG)
         )
         if move.fault is not ServerFault.EARLY:
-            await MovePlayer(self, received, move).play()
-        self.server.earlier = name
+            await MoveExecutor(self, received, move).play()
+        self.server.last_answered_id = name
         if received.headers.get("connection", "").lower() == "close":
             await self.writer.drain()
             raise ConnectionOverError
 
     async def _fail_on_reuse(self, arrival: Arrival, move: ServerMove) -> None:
-        """A kept connection that is dead by the time it is used again."""
+        """Hangs or closes a reused connection, according to the idle fault of the previous request."""
         arrival.has_run = move.does_run
         if self.idle_fault is ServerFault.SILENT_IDLE:
             await self.hang()
@@ -149,19 +149,19 @@
         return await self.reader.readexactly(int(length[1])) if length else b""
 
     async def hang(self) -> None:
-        """Says nothing more until the other side gives the connection up."""
+        """Sends nothing more until the other side closes the connection."""
         while await self.reader.read(65536):
             pass
         raise ConnectionOverError
 
     def _compose(self, received: Received, move: ServerMove) -> ServedAnswer:
-        """The whole answer that this move begins from, entered in the oracle."""
+        """Composes the response of a move, without faults in sending, and records it in the oracle."""
         answer = compose(received, move, self.server.next_seal(), self.server.oracle)
         self.server.oracle.answers[received.request_id].append(answer)
         return answer
 
     def compose(self, received: Received, move: ServerMove) -> ServedAnswer:
-        """An answer to this request."""
+        """Composes the response of a move and records it in the oracle."""
         return self._compose(received, move)
 
     def _write(self, answer: ServedAnswer | None, raw: bytes) -> None:
@@ -170,19 +170,19 @@
         self.writer.write(raw)
 
     def write(self, answer: ServedAnswer | None, raw: bytes) -> None:
-        """Sends bytes; those of an answer are entered in the oracle."""
+        """Sends bytes; appends them to the record of `answer` if there is one."""
         self._write(answer, raw)
 
 
-class MovePlayer:
-    """Plays one move on one connection."""
+class MoveExecutor:
+    """Executes one server move on one connection."""
 
     def __init__(self, connection: ServerConnection, received: Received, move: ServerMove) -> None:
         self.connection, self.received, self.move = connection, received, move
         self.answer = connection.compose(received, move)
 
     async def play(self) -> None:
-        """Sends what the move says."""
+        """Sends the response with the fault of the move."""
         special = {
             ServerFault.CUT: self._cut,
             ServerFault.RESET: self._reset,
@@ -197,16 +197,19 @@
             ServerFault.SWAP: self._swap,
             ServerFault.EARLIER_ID: self._earlier_id,
             ServerFault.INFORMATIONAL: self._informational,
-            ServerFault.DROPPED_IDLE: self._die_when_idle,
-            ServerFault.SILENT_IDLE: self._die_when_idle,
+            ServerFault.DROPPED_IDLE: self._fail_when_idle,
+            ServerFault.SILENT_IDLE: self._fail_when_idle,
         }
         await special.get(self.move.fault, self._whole)()
         await self.connection.writer.drain()
         if self.move.fault is ServerFault.NO_LENGTH:
             raise ConnectionOverError
 
-    def _at(self) -> int:
-        """A place in the bytes: for a spoiled stream within its head, where it cannot pass for another event."""
+    def _fault_offset(self) -> int:
+        """Returns the offset of the fault in the response bytes.
+
+        A corrupted stream is changed only in its head: changed bytes in the body could be a valid event.
+        """
         length = len(self.answer.raw)
         is_spoiled_stream = self.move.fault in (ServerFault.GARBLE, ServerFault.INSERT) and self.received.route in (
             "chat",
@@ -223,36 +226,36 @@
         self._send(self.answer.raw)
 
     async def _cut(self) -> None:
-        self._send(self.answer.raw[: self._at()])
+        self._send(self.answer.raw[: self._fault_offset()])
         await self.connection.writer.drain()
         raise ConnectionOverError
 
     async def _reset(self) -> None:
-        self._send(self.answer.raw[: self._at()])
-        await turns()
+        self._send(self.answer.raw[: self._fault_offset()])
+        await yield_to_loop()
         reset(self.connection.writer)
         raise ConnectionOverError
 
     async def _pause(self) -> None:
-        at = self._at()
+        at = self._fault_offset()
         self._send(self.answer.raw[:at])
-        await turns()
+        await yield_to_loop()
         self._send(self.answer.raw[at:])
 
     async def _hang(self) -> None:
-        self._send(self.answer.raw[: self._at()])
+        self._send(self.answer.raw[: self._fault_offset()])
         await self.connection.hang()
 
     async def _garble(self) -> None:
-        at, raw = self._at(), self.answer.raw
+        at, raw = self._fault_offset(), self.answer.raw
         self._send(raw[:at] + bytes([self.move.byte]) + raw[at + 1 :])
-        await turns()
+        await yield_to_loop()
         raise ConnectionOverError
 
     async def _insert(self) -> None:
-        at, raw = self._at(), self.answer.raw
+        at, raw = self._fault_offset(), self.answer.raw
         self._send(raw[:at] + b"\r\n" * (self.move.byte % 3) + bytes([self.move.byte]) * 3 + raw[at:])
-        await turns()
+        await yield_to_loop()
         raise ConnectionOverError
 
     async def _duplicate(self) -> None:
@@ -260,15 +263,15 @@
         self.connection.write(None, self.answer.raw)
 
     def _foreign(self, is_over: bool = True) -> bytes:
-        """A whole answer that belongs to another request, one that is over or any.
+        """Returns a complete response to another request: to a finished one, or to any if not `is_over`.
 
-        One that is not over may yet be asked on this very connection, and would then be answered with it.
+        An unfinished request may yet be sent on this very connection, and the response would then be taken for its own.
         """
         server = self.connection.server
         names = server.oracle.received if is_over else server.oracle.asked
         others = [name for name in names if name != self.received.request_id]
         other = others[int(self.move.position * len(others))] if others else "none"
-        return compose(_as(self.received, other), self.move, server.next_seal(), server.oracle).raw
+        return compose(_with_request_id(self.received, other), self.move, server.next_seal(), server.oracle).raw
 
     async def _surplus(self) -> None:
         self._send(self.answer.raw)
@@ -276,7 +279,7 @@
 
     async def _late_surplus(self) -> None:
         self._send(self.answer.raw)
-        await turns(TURNS_OF_A_PAUSE + self.move.byte % 8)
+        await yield_to_loop(YIELDS_PER_PAUSE + self.move.byte % 8)
         self.connection.write(None, self._foreign())
 
     async def _half_surplus(self) -> None:
@@ -284,19 +287,21 @@
         at = int(self.move.position * len(foreign))
         self.connection.write(self.answer, self.answer.raw)
         self.connection.write(None, foreign[:at])
-        await turns(TURNS_OF_A_PAUSE + self.move.byte % 8)
+        await yield_to_loop(YIELDS_PER_PAUSE + self.move.byte % 8)
         self.connection.write(None, foreign[at:])
 
     async def _swap(self) -> None:
         self.connection.write(None, self._foreign(is_over=False))
-        await turns()
+        await yield_to_loop()
         raise ConnectionOverError
 
     async def _earlier_id(self) -> None:
         server = self.connection.server
-        is_other = server.earlier in server.oracle.received and server.earlier != self.received.request_id
-        earlier = _as(self.received, server.earlier if is_other else "none")
-        self.connection.write(None, compose(earlier, self.move, server.next_seal(), server.oracle).raw)
+        is_other = (
+            server.last_answered_id in server.oracle.received and server.last_answered_id != self.received.request_id
+        )
+        last_answered_id = _with_request_id(self.received, server.last_answered_id if is_other else "none")
+        self.connection.write(None, compose(last_answered_id, self.move, server.next_seal(), server.oracle).raw)
 
     async def _informational(self) -> None:
         lines = (
@@ -305,15 +310,15 @@
             b"HTTP/1.1 102 Processing\r\n\r\n",
         )
         self.connection.write(self.answer, lines[self.move.byte % 3])
-        await turns(self.move.byte % 4)
+        await yield_to_loop(self.move.byte % 4)
         self._send(self.answer.raw)
 
-    async def _die_when_idle(self) -> None:
+    async def _fail_when_idle(self) -> None:
         self._send(self.answer.raw)
         self.connection.idle_fault = self.move.fault
 
 
-def _as(received: Received, request_id: str) -> Received:
+def _with_request_id(received: Received, request_id: str) -> Received:
     return Received(received.method, received.path, {**received.headers, "x-request-id": request_id}, received.body)
 
 
@@ -325,7 +330,7 @@
 
 
 def compose(received: Received, move: ServerMove, seal: str, oracle: Oracle) -> ServedAnswer:
-    """The answer's bytes, with the faults that lie in how it is composed."""
+    """Composes a response, with the faults that affect its status, headers, body or framing."""
     fault, name = move.fault, received.request_id
     entry = oracle.asked.get(name)
     size = entry.request.size if entry is not None else 1
@@ -341,7 +346,7 @@
 
 
 def _content(received: Received, move: ServerMove, seal: str, size: int) -> tuple[int, bytes, list[str]]:
-    """(status, body, further headers)."""
+    """Returns (status, body, further headers) of the response."""
     fault, name = move.fault, received.request_id
     if fault is ServerFault.NOT_RUN:
         return NOT_RUN_STATUSES[move.byte % 3], b"", ["X-Not-Run: 1"]
@@ -367,7 +372,7 @@
 
 
 def _framed(received: Received, move: ServerMove, body: bytes, status: int) -> tuple[list[str], bytes]:
-    """(headers that frame the body, the body as it is sent)."""
+    """Returns (headers that frame the body, body with its framing)."""
     fault = move.fault
     is_chunked = (received.route in ("loose", "chat") and status < 300) or move.byte % 4 == 0
     if fault is ServerFault.NO_LENGTH:
--- a/harness/local_cluster/allowance_trial.py
+++ b/harness/local_cluster/allowance_trial.py
@@ -1,6 +1,4 @@
-"""The trial of allowances: routers come, go and restart mid-shift while an office sends ten times its share over all of
-them.
-"""
+"""The trial of allowances: edges are added, killed and restarted while a tenant sends ten times its allowance."""
 
 import json
 import shutil
@@ -16,48 +14,47 @@
 from sumachook.runtime.clock import Clock
 from sumachook.simulation.quota_invariant_checker import Bounds, ClientRequest, QuotaInvariantChecker, Run
 
-ALLOWED, SENT = 20.0, 200.0  # requests a second: an office's allowance, and what it sends
-INSIDE = 8.0  # what another office sends, inside its floor
-ADDED = 3  # routers that come later in the shift
-CLOSED = (
-    "refused",
-    "connect-timeout",
-    "draining",
-    "not-ready",
-)  # nobody let it in or asked; its caller goes on elsewhere
-OF_WINDOW = 0.4  # seconds between a call's sending and its being let in
+ALLOWANCE, FLOOD_RATE = 20.0, 200.0  # requests per second: a tenant's allowance, and its rate when it floods
+RATE_WITHIN_FLOOR = 8.0  # requests per second of the other tenant, below its guaranteed floor
+ADDED_EDGES = 3  # number of edges that are started only later in the trial
+# outcomes of calls that no edge admitted or counted; the caller tries another edge
+NOT_ADMITTED = ("refused", "connect-timeout", "draining", "not-ready")
+ADMISSION_DELAY = 0.4  # seconds from sending a call to its admission
 
 
-class Shift:
-    """One shift of two offices; `take(trial)` plays it and prints its table."""
+class AllowanceTrial:
+    """Two tenants, of which one floods; `take()` runs the trial and prints its table of rates per phase."""
 
-    __slots__ = ("trial", "marks", "calls")
+    __slots__ = ("trial", "phase_starts", "calls")
 
     def __init__(self, trial):
-        self.trial, self.marks, self.calls = trial, [], {}
+        self.trial, self.phase_starts, self.calls = trial, [], {}
 
     def take(self):
         fleet = self.trial.fleet
-        offices = (
-            {"flooding": ("audit", SENT), "inside": ("shop", INSIDE)}
+        tenants = (
+            {"flooding": ("audit", FLOOD_RATE), "inside": ("shop", RATE_WITHIN_FLOOR)}
             if fleet.spec.cluster == "kosice"
-            else {"flooding": ("caseworker", SENT), "inside": ("applicant", INSIDE)}
+            else {"flooding": ("caseworker", FLOOD_RATE), "inside": ("applicant", RATE_WITHIN_FLOOR)}
         )
         part = {
             "tenants": [
-                {"name": name, "callers": [caller], "requestsPerS": ALLOWED, "floor": 0.8, "burstS": 2.0}
-                for name, (caller, _) in offices.items()
+                {"name": name, "callers": [caller], "requestsPerS": ALLOWANCE, "floor": 0.8, "burstS": 2.0}
+                for name, (caller, _) in tenants.items()
             ]
         }
         edges = self.trial.names("edge")
-        for name in edges[-ADDED:]:
+        for name in edges[-ADDED_EDGES:]:
             fleet.stop(name)
         (self.trial.work / "tenants.json").write_text(json.dumps(part))
         self.trial.expect(
             "tenants are acknowledged",
-            fleet.operate("apply", str(self.trial.work / "tenants.json"), "--part").returncode == 0,
+            fleet.run_command_line("apply", str(self.trial.work / "tenants.json"), "--part").returncode == 0,
         )
-        callers = {name: self._call_in(name, *office, place) for place, (name, office) in enumerate(offices.items(), 2)}
+        callers = {
+            name: self._start_callers(name, *tenant_spec, place)
+            for place, (name, tenant_spec) in enumerate(tenants.items(), 2)
+        }
         try:
             self._play(fleet, edges)
         except BaseException:
@@ -67,11 +64,11 @@
         for name, process in callers.items():
             process.communicate(timeout=120)
             calls = [json.loads(line) for line in (self.trial.work / f"{name}.jsonl").read_text().splitlines()]
-            self.calls[name] = [call for call in calls if call["class"] not in CLOSED]
+            self.calls[name] = [call for call in calls if call["class"] not in NOT_ADMITTED]
         self._report(read_catalogue(merge(fleet.spec.catalogue, part))[0])
 
-    def _call_in(self, name, caller, rate, place):
-        """Callers of one office that look claims up, at all doors: who meets a closed one goes on elsewhere."""
+    def _start_callers(self, name, caller, rate, place):
+        """Starts callers of one tenant that send lookups to all edges; a rejected caller tries another edge."""
         fleet, folder = self.trial.fleet, self.trial.work / f"office-{name}"
         folder.mkdir()
         shutil.copy(fleet.folder / "catalogue.json", folder)
@@ -98,42 +95,42 @@
             command += ["--edge", f"{node['area']}/{node['door']}"] if node["role"] == "edge" else []
         return subprocess.Popen(PROGRAM + command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
 
-    def _mark(self, what):
-        self.marks.append((Clock().mono().total_seconds(), what))
+    def _begin_phase(self, what):
+        self.phase_starts.append((Clock().mono().total_seconds(), what))
         print(what, flush=True)
 
     def _play(self, fleet, edges):
-        self._mark(f"{len(edges) - ADDED} routers")
+        self._begin_phase(f"{len(edges) - ADDED_EDGES} edges")
         time.sleep(8)
-        self._mark("three added")
-        for name in edges[-ADDED:]:
+        self._begin_phase("three edges added")
+        for name in edges[-ADDED_EDGES:]:
             fleet.start(name)
             time.sleep(2)
         time.sleep(4)
-        self._mark("three restarted one by one")
+        self._begin_phase("three edges restarted one by one")
         for name in edges[:3]:
             fleet.stop(name)
             fleet.start(name)
             fleet.wait_for(partial(fleet.are_ready, "edge", [name]), 20)
-        self._mark("one killed, back after 3 s")
+        self._begin_phase("one edge killed, restarted after 3 s")
         fleet.kill(edges[3])
         time.sleep(3)
         fleet.start(edges[3])
         time.sleep(3)
-        shown = json.loads(fleet.operate("show", "allowances").stdout)
-        lender = shown["holder"].rpartition("-")[0]
-        self._mark(f"the accountant ({lender}) killed")
-        fleet.kill(lender)
+        shown = json.loads(fleet.run_command_line("show", "allowances").stdout)
+        issuer = shown["holder"].rpartition("-")[0]
+        self._begin_phase(f"the issuer of allowances ({issuer}) killed")
+        fleet.kill(issuer)
         time.sleep(9)
-        fleet.start(lender)
-        self._mark("calm")
+        fleet.start(issuer)
+        self._begin_phase("calm")
         time.sleep(6)
-        shown = json.loads(fleet.operate("show", "allowances").stdout)["tenants"]
-        self._mark("end")
+        shown = json.loads(fleet.run_command_line("show", "allowances").stdout)["tenants"]
+        self._begin_phase("end")
         for name, tenant in shown.items():
             print(
-                f"show allowances, {name}: a second {tenant['requestsPerS']}, let in {tenant['admitted']}, "
-                f"refused {tenant['refused']}, by router "
+                f"show allowances, {name}: {tenant['requestsPerS']} requests/s, admitted {tenant['admitted']}, "
+                f"refused {tenant['refused']}, by edge "
                 + ", ".join(
                     f"{edge} {router['admitted']}/{router['refused']}" for edge, router in tenant["routers"].items()
                 )
@@ -143,26 +140,27 @@
         fleet, terms, second = self.trial.fleet, QuotaTerms.by_tenant(catalogue), timedelta(seconds=1)
         print(
             "| phase | s | "
-            + " | ".join(f"{name}: sent, let in, refused a second" for name in self.calls)
-            + " | inside: slowest answer ms |"
+            + " | ".join(f"{name}: sent, admitted, refused per second" for name in self.calls)
+            + " | inside: slowest response ms |"
         )
         print("|---|---|" + "---|" * (len(self.calls) + 1))
-        for (since, what), (until, _) in pairwise(self.marks):
+        for (since, what), (until, _) in pairwise(self.phase_starts):
             cells, slowest = [], 0.0
             for name, calls in self.calls.items():
-                mine = [call for call in calls if since <= call["at"] < until]
+                phase_calls = [call for call in calls if since <= call["at"] < until]
                 figures = (
-                    len(mine),
-                    sum(call["outcome"] == "ok" for call in mine),
-                    sum(call["class"] == "allowance" for call in mine),
+                    len(phase_calls),
+                    sum(call["outcome"] == "ok" for call in phase_calls),
+                    sum(call["class"] == "allowance" for call in phase_calls),
                 )
                 cells.append(", ".join(f"{figure / (until - since):.1f}" for figure in figures))
                 if name == "inside":
-                    slowest = max((call["seconds"] for call in mine if call["outcome"] == "ok"), default=0.0)
+                    slowest = max((call["seconds"] for call in phase_calls if call["outcome"] == "ok"), default=0.0)
             print(f"| {what} | {until - since:.1f} | " + " | ".join(cells) + f" | {slowest * 1000:.0f} |")
         for name, calls in self.calls.items():
             burst = tuple(
-                most + figure * OF_WINDOW for most, figure in zip(terms[name].burst, terms[name].ceiling, strict=False)
+                most + figure * ADMISSION_DELAY
+                for most, figure in zip(terms[name].burst, terms[name].ceiling, strict=False)
             )
             invariant_checker = QuotaInvariantChecker(
                 Bounds(terms[name].ceiling, terms[name].floor, burst, terms[name].floor_burst)
@@ -181,7 +179,7 @@
                 )
             )
             self.trial.expect(
-                f"{name}: some calls were let in, {len(calls)} judged", any(call["outcome"] == "ok" for call in calls)
+                f"{name}: some calls were admitted, {len(calls)} judged", any(call["outcome"] == "ok" for call in calls)
             )
-            self.trial.expect(f"{name}: never more than the bound in 1, 3 and 10 s{over[:1] or ''}", not over)
-            self.trial.expect(f"{name}: nobody inside the floor refused{short[:1] or ''}", not short)
+            self.trial.expect(f"{name}: admitted calls within the bound in any 1, 3 and 10 s{over[:1] or ''}", not over)
+            self.trial.expect(f"{name}: no call within the floor refused{short[:1] or ''}", not short)
