--- a/sumachook/calls/run_status.py
+++ b/sumachook/calls/run_status.py
@@ -13,7 +13,7 @@
 
 from enum import StrEnum
 
-MISDIRECTED_REQUEST = 421  # states by itself that the server did not run the call
+MISDIRECTED_REQUEST = 421  # HTTP status that needs no not-run header to state that the server did not run the call
 # a not-run header counts only with one of these statuses; any other status contradicts it
 REFUSING_STATUSES = frozenset({400, 408, MISDIRECTED_REQUEST, 429, 503})
 
@@ -69,8 +69,8 @@
     __slots__ = ("_earlier_status", "_attempt_status")
 
     def __init__(self) -> None:
-        self._earlier_status = RunStatus.NOT_RUN  # over all attempts before the latest
-        self._attempt_status = RunStatus.NOT_RUN  # status of the latest attempt
+        self._earlier_status = RunStatus.NOT_RUN  # combined run status of all attempts before the latest
+        self._attempt_status = RunStatus.NOT_RUN  # run status of the latest attempt
 
     @property
     def status(self) -> RunStatus:
--- a/sumachook/configuration/carried_fields.py
+++ b/sumachook/configuration/carried_fields.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-MAX_CARRIED_SHOWN = 40  # field names in one log line or response
+MAX_CARRIED_SHOWN = 40  # maximum number of field names in one log line or response
 EXTRA = "extra"  # the object that holds uninterpreted fields, at any level of a document
 
 
--- a/sumachook/configuration/difference.py
+++ b/sumachook/configuration/difference.py
@@ -64,7 +64,7 @@
 
 def _encode_runs(current: list[Any], index_by_name: dict[str, int], wanted: list[Any]) -> list[Any]:
     runs: list[Any] = []
-    end = -1  # end of the run that is being extended
+    end = -1  # index after the last item of the run that is being extended
     for item in wanted:
         index = index_by_name.get(item["name"], -1)
         if index < 0 or current[index] is not item:
--- a/sumachook/configuration/document_items.py
+++ b/sumachook/configuration/document_items.py
@@ -11,7 +11,7 @@
     "services",
     "httpRoutes",
     "tenants",
-)  # the lists whose items have a name
+)  # fields of a document that are lists of named items
 
 Document = dict[str, Any]
 Items = list[tuple[int, Document]]
--- a/sumachook/configuration/node_settings.py
+++ b/sumachook/configuration/node_settings.py
@@ -40,14 +40,15 @@
     retention: Annotated[int, Meta(ge=100, le=10000000)] = 50000
     front: str | None = None  # on an edge: listening address for requests to be forwarded
     list_readers: Annotated[str, Meta(pattern="^(all|leader)$")] = "all"  # cores that read the platform's server list
-    fenced: bool = False  # whether servers reject lower fencing tokens, so that a vacant duty can be filled sooner
-    # if not `fenced`: minimum seconds between the orders of two successive duty holders
+    fenced: bool = False  # whether servers reject lower fencing tokens, so that a vacant role can be filled sooner
+    # if not `fenced`: minimum seconds between the orders of two successive holders of a singleton role
     turn_gap: Annotated[float, Meta(ge=0, le=60)] = 0.0
     resend_ratio: Annotated[float, Meta(ge=0, le=1)] = 0.2
-    # number of resends allowed beyond `resend_ratio`, in total over all edges
+    # number of retries allowed beyond `resend_ratio`, in total over all edges
     resend_slack: Annotated[float, Meta(ge=0, le=100000)] | None = None
     cold_overshoot: Annotated[float, Meta(ge=1, le=100)] = COLD_OVERSHOOT  # factor on the request rate of a cold server
-    cold_slack: Annotated[float, Meta(ge=0, le=100000)] = COLD_SLACK  # additional requests per second
+    # requests that a cold server may get in any second beyond its rate multiplied by `cold_overshoot`
+    cold_slack: Annotated[float, Meta(ge=0, le=100000)] = COLD_SLACK
     # seconds for which an edge accepts tenants' keys without contact to a core; null for no limit
     key_lifetime: Annotated[float, Meta(gt=0, le=86400)] | None = None
     grace: Annotated[float, Meta(ge=1, le=600)] = 8.0  # seconds from SIGTERM to SIGKILL
--- a/sumachook/forwarding/access.py
+++ b/sumachook/forwarding/access.py
@@ -107,7 +107,7 @@
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.secret = b""  # keys the digests of API keys; drawn at random when a configuration first has one
+        self.secret = b""  # secret for the digests of API keys; drawn when a configuration first has one
         self.rules = AccessRules.none()
         self.urgency_scale = UrgencyScale((), ())
         self.credential_lifetime: timedelta | None = None
--- a/sumachook/forwarding/forwarded_request.py
+++ b/sumachook/forwarding/forwarded_request.py
@@ -66,26 +66,26 @@
         self.is_stream = route.kind == "stream"
         self.is_repeatable = route.kind == "repeatable" or (self.is_stream and route.resumable)
         self.last_event_id = metadata.last_event_id
-        self.checked_generation = -1  # configuration generation under which its API key was last checked
+        self.checked_generation = -1  # generation of the configuration that the API key was last checked against
         self.tenant_priority = 0
-        self.is_recorded = False  # whether the ledger has its opening record
-        # waiting for a server
-        self.awaits_placement = False  # whether no usable server holds its model yet
-        self.wanted_at: timedelta | None = None  # when its demand was last reported to the placer
-        # servers it was sent to
+        self.is_recorded = False  # whether the opening record is in the ledger
+        # state while the request waits for a server
+        self.awaits_placement = False  # whether no usable server holds the model of the request yet
+        self.wanted_at: timedelta | None = None  # when the request was last reported to the placer as demand
+        # attempts: the servers that the request was sent to, and the state of the current attempt
         self.sent_to: tuple[str, ...] = ()
-        self.arrivals = 0  # attempts whose first byte was sent
-        self.stale_arrivals = 0  # arrivals on a keep-alive connection that turned out to be dead
+        self.arrivals = 0  # number of attempts whose first byte was sent
+        self.stale_arrivals = 0  # how many arrivals were on a keep-alive connection that turned out to be dead
         self.is_reused = False  # whether the current attempt runs on a reused connection
         self.pending_tokens = 0  # prompt tokens counted as unread until the first token of the response
-        # the response as it is received
+        # the server's response, as far as it has been received
         self.response: ResponseMetadata | None = None
         self.status = 0
         self.response_headers: tuple[tuple[str, str], ...] = ()
         self.is_event_stream = False
         self.buffer = b""
         self.events = 0  # server-sent events relayed; counted only if a tenant is charged
-        self.first_token_at: timedelta | None = None  # first token of the current attempt
+        self.first_token_at: timedelta | None = None  # when the current attempt received its first token
         self.first_byte_at: timedelta | None = None  # when the first byte was sent to the client
 
     @property
--- a/sumachook/forwarding/request_metadata.py
+++ b/sumachook/forwarding/request_metadata.py
@@ -10,11 +10,11 @@
 
     host: str
     request_id: str
-    deadline_ms: float | None = None  # the time that the client will wait from now
+    deadline_ms: float | None = None  # milliseconds from now that the client waits for a response
     model: str = ""
     adapter: str = ""
     prompt_tokens: int = 0
-    max_tokens: int = 0  # limit on the tokens of the response
+    max_tokens: int = 0  # maximum number of tokens of the response
     parts: tuple[
         tuple[str, int], ...
     ] = ()  # (id, tokens) of each part of the prompt, in order; only the last part is unique to the request
--- a/sumachook/forwarding/request_table.py
+++ b/sumachook/forwarding/request_table.py
@@ -19,7 +19,7 @@
 USED_FRACTION = 0.9  # usable fraction of a server's connections; the rest covers edges that disagree on their number
 OVERPROVISIONING_FACTOR = 1.5  # over-provisions an edge's connection share, so that uneven load fits
 DEFAULT_CONNECTIONS = 2.0  # connections to a server whose service is not in the catalogue
-MAX_KEPT_CONNECTIONS = 4  # idle connections per server
+MAX_KEPT_CONNECTIONS = 4  # maximum idle connections that an edge keeps to one server
 KEPT_CONNECTIONS_DIVISOR = 2  # idle connections use at most half of the connection share
 
 
@@ -67,7 +67,7 @@
         super().__init__(node, restart_epoch, zone, state, follower, retry_budget, random, port, cluster_clock)
         self.places = places
         self.edges = 1  # number of edges that share the servers
-        self.rank = 0  # rank of this edge among all edges
+        self.rank = 0  # index of this edge in the order of all edges
         self.is_closed = False  # the proxy server accepts no more connections
         # requests waiting for a server, by number; requests parked until their route is known, by call id, with their
         # arrival time
@@ -81,12 +81,12 @@
         self.begun_by_service: dict[str, dict[str, int]] = {}
         self.running_by_service: dict[str, dict[str, dict[str, int]]] = {}
         self.wanted_models: dict[str, dict[str, tuple[int, float]]] = {}
-        # derived from the catalogue
+        # lookup tables derived from the catalogue
         self.routes = Routes({})
         self.access = ClientAccess(random)
         self.services: dict[str, Any] = {}
         self.models: dict[str, dict[str, Any]] = {}
-        # servers that all edges avoid or send fewer requests
+        # servers that all edges avoid as outliers, or send fewer requests as cold
         self.outcome_counts = OutcomeCounts(timedelta(0))
         self.ejected_until: dict[str, timedelta] = {}
         self.cold_until: dict[str, timedelta] = {}
--- a/sumachook/forwarding/response_relay.py
+++ b/sumachook/forwarding/response_relay.py
@@ -22,7 +22,7 @@
 from sumachook.requests.in_flight_request import RequestState
 from sumachook.runtime.cluster_clock import MILLISECOND
 
-NOT_RUN_STATUSES = (408, 429, 503)  # statuses that clients read as: the request did not run
+NOT_RUN_STATUSES = (408, 429, 503)  # HTTP statuses that tell a client that its request did not run
 EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 OVERLOAD_STATUSES = (429, 503)
 MISDIRECTED = 421  # the server does not hold the model of the request
--- a/sumachook/forwarding/server_selection.py
+++ b/sumachook/forwarding/server_selection.py
@@ -15,22 +15,22 @@
 # Costs by which servers are compared, as the expected extra latency in milliseconds. The costs of a server to avoid are
 # far above those of any load, so that it is selected only if no other server has capacity.
 PREFILL_TOKENS_PER_MS = 38.0  # assumed prefill speed of a server if no better figure is known
-ENGINE_IN_FLIGHT_COST_MS = 0.5  # per request in flight at a server with an engine
-IN_FLIGHT_COST_MS = 20.0  # per request in flight at a server without an engine
-EXCESS_COST_MS = 200.0  # at twice as many requests in flight as slots; linear in the excess
+ENGINE_IN_FLIGHT_COST_MS = 0.5  # cost of each request in flight at a server with an engine
+IN_FLIGHT_COST_MS = 20.0  # cost of each request in flight at a server without an engine
+EXCESS_COST_MS = 200.0  # cost of a server with twice as many requests in flight as slots; linear in the excess
 OTHER_ZONE_COST_MS = 3.0
-NEW_CONNECTION_COST_MS = 2.0  # a round trip, and some work for the server
+NEW_CONNECTION_COST_MS = 2.0  # cost of opening a connection: a round trip, and some work for the server
 OVERLOADED_COST_MS = 500.0
 BREAKER_OPEN_COST_MS = 2000.0
-FAILED_COST_MS = 4 * BREAKER_OPEN_COST_MS  # the server has failed this request before
+FAILED_COST_MS = 4 * BREAKER_OPEN_COST_MS  # cost of a server that has failed this request before
 EJECTED_COST_MS = 4000.0
 # A prompt prefix counts as cached at a server for this time after it was last sent there.
 PREFIX_CACHE_TIME = timedelta(seconds=20)
-NO_DEADLINE_MS = 1e9  # longer than the timeout of any request
+NO_DEADLINE_MS = 1e9  # remaining time of a request without a deadline; longer than any timeout
 DEMAND_REPORT_INTERVAL = timedelta(seconds=0.3)  # interval of demand reports per request that waits for a placement
-MAX_CREDIT_WAIT = timedelta(seconds=0.5)  # how long a retry waits for retry credit
-PLACEMENT_WAIT_FRACTION = 0.45  # of a request's timeout, spent waiting for a placement
-CAPACITY_WAIT_FRACTION = 0.2  # of a request's timeout, spent waiting for capacity at the servers
+MAX_CREDIT_WAIT = timedelta(seconds=0.5)  # maximum wait of a retry for retry credit
+PLACEMENT_WAIT_FRACTION = 0.45  # fraction of a request's timeout that it may wait for a placement of its model
+CAPACITY_WAIT_FRACTION = 0.2  # fraction of a request's timeout that it may wait for capacity at the servers
 MIN_RETRY_AFTER_S = 0.2  # lower bound on the Retry-After value if the end of the wait is known
 
 
--- a/sumachook/forwarding/timeouts.py
+++ b/sumachook/forwarding/timeouts.py
@@ -13,7 +13,7 @@
 from sumachook.requests.in_flight_request import RequestState
 from sumachook.retry_budget.budget import service_key
 
-RECHECK_INTERVAL = timedelta(seconds=0.1)  # between looking for another server while the current one is silent
+RECHECK_INTERVAL = timedelta(seconds=0.1)  # interval of searches for another server while the current one is silent
 # A request in flight for longer gets an opening record in the ledger; most requests are closed before.
 RECORD_OPEN_AFTER = timedelta(seconds=0.2)
 
--- a/sumachook/inference/queues.py
+++ b/sumachook/inference/queues.py
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self.requests: dict[str, list[Any]] = {}  # waiting requests by queue
-        self.served: dict[str, float] = {}  # turns served, divided by the weight, by queue
+        self.served: dict[str, float] = {}  # number of turns served, divided by the queue's weight, by queue
 
     def push(self, queue: str, request: Any) -> None:
         """Appends a request to its queue."""
@@ -54,7 +54,7 @@
                 del positions[queue]
 
     def charge_turn(self, queue: str, weights: dict[str, int]) -> None:
-        """Counts a served turn; a queue that was idle lags behind the max_served one by at most `MAX_SAVED_TURNS`."""
+        """Counts a served turn; a queue that was idle lags behind the most served one by at most `MAX_SAVED_TURNS`."""
         max_served = max(self.served.values(), default=0.0)
         floor = max_served - MAX_SAVED_TURNS
         self.served[queue] = max(self.served.get(queue, 0.0), floor) + 1 / weights.get(queue, 1)
--- a/sumachook/nodes/client.py
+++ b/sumachook/nodes/client.py
@@ -13,7 +13,7 @@
 
 CALL_TIMEOUT = timedelta(seconds=10)
 CONNECT_TIMEOUT = timedelta(seconds=2)
-MAX_ROUNDS = 8  # over all cores; together they last longer than a leader election
+MAX_ROUNDS = 8  # maximum rounds over all cores; together they last longer than a leader election
 ROUND_DELAY = timedelta(seconds=0.5)
 SERVICE_UNAVAILABLE = 503
 
--- a/sumachook/nodes/configuration_changes.py
+++ b/sumachook/nodes/configuration_changes.py
@@ -17,10 +17,10 @@
 from sumachook.nodes.replies import fault_reply, reply
 
 HTTP_STATUS = {Outcome.ACCEPTED: 200, Outcome.REJECTED: 422, Outcome.STALE: 409}
-FIRST_RESEND_DELAY = timedelta(seconds=0.4)  # before a proposal is sent again; doubled each time
+FIRST_RESEND_DELAY = timedelta(seconds=0.4)  # delay until a proposal is sent again; doubled each time
 READ_RETRY_DELAY = timedelta(seconds=0.2)
 MIN_TIME_FOR_RETRY = timedelta(seconds=2)  # a failed read is retried only if this much time remains
-CALLER_TIMEOUT = timedelta(seconds=1)  # a caller without a response for so long sends its change to another core
+CALLER_TIMEOUT = timedelta(seconds=1)  # time without a response after which a caller asks another core
 MAX_READ_TIME = timedelta(seconds=0.5)
 REVERSIBLE_CHANGES = (Evacuate, Restore)  # changes that a later change may undo
 MAX_PENDING_CHANGES = 128
--- a/sumachook/nodes/core.py
+++ b/sumachook/nodes/core.py
@@ -229,7 +229,7 @@
         released = self.leases.take(lease_events.Quit(), now)
         effects: list[Any] = [effect for effect in released if not isinstance(effect, ProposeChange)]
         if self.consensus.role is Role.LEADING:
-            # so the other voters need not wait until its heartbeats time out
+            # a leader steps back, so that the other voters need not wait until its heartbeats time out
             effects += self.consensus.take(consensus_events.StepBackRequested(), now)
         else:
             for effect in released:
--- a/sumachook/nodes/core_shutdown.py
+++ b/sumachook/nodes/core_shutdown.py
@@ -4,8 +4,9 @@
 
 from sumachook.host.effects import Effect, Exit
 
-MIN_WAIT = timedelta(seconds=0.5)  # for released singleton roles to be taken over
-MAX_WAIT, MAX_WAIT_GRACE_FRACTION = timedelta(seconds=3), 0.5  # for another voter to replace this one
+MIN_WAIT = timedelta(seconds=0.5)  # minimum time for other cores to take over released singleton roles
+# maximum time for another voter to replace this one: absolute, and as a fraction of the grace period
+MAX_WAIT, MAX_WAIT_GRACE_FRACTION = timedelta(seconds=3), 0.5
 
 
 class CoreShutdown:
--- a/sumachook/nodes/daemon.py
+++ b/sumachook/nodes/daemon.py
@@ -27,7 +27,7 @@
     from sumachook.nodes.disk_writer import DiskWriter
     from sumachook.storage.folder import DataFolder
 
-FINAL_SEND_DELAY = timedelta(seconds=0.2)  # between the decision to exit and the exit; lets the last messages be sent
+FINAL_SEND_DELAY = timedelta(seconds=0.2)  # from the decision to exit to the exit, so that the last messages are sent
 UNSENT_CHECK_INTERVAL = timedelta(seconds=0.02)
 MIN_LOGGED_STALL = timedelta(seconds=0.5)  # a tick later than this means that the process or its machine was stalled
 SIGNAL_EVENTS: dict[signal.Signals, events.Event] = {
--- a/sumachook/nodes/data_folder.py
+++ b/sumachook/nodes/data_folder.py
@@ -12,7 +12,7 @@
 from sumachook.storage.layout import EARLIER_LOG, FILES, IDENTITY_FILES, LOG
 
 EARLIER_LOG_HELP = "the log of an earlier version cannot be migrated; see Upgrade in docs/operations.md"
-REOPEN_DELAY_S = 0.25  # between two attempts to open the folder on a failing disk
+REOPEN_DELAY_S = 0.25  # seconds between two attempts to open the folder on a failing disk
 TRIES_PER_LOG_LINE = 40
 VOTER_RECORD = "seat"  # kind of the log record that names the voter a data folder belongs to
 
--- a/sumachook/nodes/disk_writer.py
+++ b/sumachook/nodes/disk_writer.py
@@ -15,7 +15,7 @@
 
 
 class DiskWriter:
-    """Writes queued steps in order in a worker thread; a followup event is emitted only after its step is synced.
+    """Executes queued write steps in order in a worker thread; emits a followup event only after its step is synced.
 
     A step that fails is retried with a delay, without a limit. `on_event` receives the followups, and a
     `DiskStateChanged` whenever the disk stops or resumes accepting writes.
@@ -57,7 +57,7 @@
         self.on_event(change)
 
     async def run(self) -> None:
-        """Writes queued steps until the task is cancelled."""
+        """Executes queued write steps until the task is cancelled."""
         worker = _Worker()
         while True:
             step = self.queue.begin_step(self.mono())
--- a/sumachook/nodes/edge_shutdown.py
+++ b/sumachook/nodes/edge_shutdown.py
@@ -9,12 +9,12 @@
 from sumachook.ledger.writer import LedgerWriter
 from sumachook.requests.events import DrainEnded, ProxyServerClosed
 
-FINAL_ANSWERS_BEFORE_END = timedelta(seconds=0.8)  # before the grace period ends, open requests get final answers
-MIN_OPEN_TIME = timedelta(seconds=2.5)  # until load balancers have seen that this edge is not ready
+FINAL_ANSWERS_BEFORE_END = timedelta(seconds=0.8)  # open requests are answered this long before the grace period ends
+MIN_OPEN_TIME = timedelta(seconds=2.5)  # minimum time, in which load balancers notice that this edge is not ready
 # Fraction of the grace period in which requests are accepted: the response to a later one might be cut off at its end.
 MAX_OPEN_FRACTION = 0.36
-QUIET_TIME = timedelta(seconds=1)  # this long without a request, load balancers send no more clients
-INFERENCE_GRACE_STEP = timedelta(seconds=1)  # between rounds of final answers to inference requests
+QUIET_TIME = timedelta(seconds=1)  # time without a request that shows that load balancers send no more clients
+INFERENCE_GRACE_STEP = timedelta(seconds=1)  # interval between rounds of final answers to inference requests
 
 
 class EdgeShutdown:
--- a/sumachook/nodes/edge_status.py
+++ b/sumachook/nodes/edge_status.py
@@ -14,7 +14,7 @@
     trust = edge.follower.trust(now)
     is_open = edge.settings.front is not None or edge.state.is_open(
         edge.settings.zone
-    )  # in a forwarding area, evacuation closes the servers, not the edges
+    )  # the evacuation of a zone closes its servers, but not the edges that forward requests
     is_leaving = edge.shutdown.has_begun
     is_ready = trust in (Trust.FRESH, Trust.DISCONNECTED) and not is_leaving and is_open
     doc = {
--- a/sumachook/nodes/edge_tick.py
+++ b/sumachook/nodes/edge_tick.py
@@ -20,9 +20,9 @@
 if TYPE_CHECKING:
     from sumachook.nodes.edge import Edge
 
-DISCONNECTED_AFTER = timedelta(seconds=2)  # an edge without proof of a fresh state for so long is disconnected
-EDGES_KNOWN_AFTER = timedelta(seconds=3)  # after the start, the membership is taken as complete
-CLOCK_KNOWN_AFTER = EDGES_KNOWN_AFTER * 10  # after the start, even if the cores have not agreed on a time
+DISCONNECTED_AFTER = timedelta(seconds=2)  # time without proof of a fresh state after which an edge is disconnected
+EDGES_KNOWN_AFTER = timedelta(seconds=3)  # time after the start when the membership is taken as complete
+CLOCK_KNOWN_AFTER = EDGES_KNOWN_AFTER * 10  # time after the start when the cluster time is taken as known
 PLACEMENT_RETRY_INTERVAL = timedelta(seconds=0.1)
 DEMAND_INTERVAL = timedelta(seconds=1)
 
--- a/sumachook/nodes/ledger_search.py
+++ b/sumachook/nodes/ledger_search.py
@@ -11,7 +11,7 @@
 from sumachook.ledger.replica_store import ReplicaStore
 from sumachook.nodes.replies import fault_reply, reply
 
-SEARCH_TIMEOUT = timedelta(seconds=1)  # then the best record found so far is returned
+SEARCH_TIMEOUT = timedelta(seconds=1)  # time after which a search returns the best record found so far
 
 
 @dataclass(slots=True)
--- a/sumachook/nodes/state_file.py
+++ b/sumachook/nodes/state_file.py
@@ -9,11 +9,11 @@
 from sumachook.transport.codec import read_entry
 
 FILE = "image"
-SNAPSHOT = "image"  # kinds of records in the file
+SNAPSHOT = "image"  # kind of the record of a snapshot; `ENTRIES` is that of the entries after it
 ENTRIES = "entries"
-MAX_ENTRIES = 64  # after the snapshot; limits how many a start must apply
+MAX_ENTRIES = 64  # maximum number of entries after the snapshot, which a start must apply
 MAX_ENTRY_BYTES = 256 << 10
-SAVE_INTERVAL = timedelta(seconds=2)  # of non-configuration changes; limits an edge's syncs in a busy cluster
+SAVE_INTERVAL = timedelta(seconds=2)  # interval of saving changes other than configurations, to limit the syncs
 
 
 class StoredState(ReplicatedState, Protocol):
--- a/sumachook/nodes/tick_intervals.py
+++ b/sumachook/nodes/tick_intervals.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-TICK = timedelta(seconds=0.05)  # while some component waits for the next tick
+TICK = timedelta(seconds=0.05)  # shortest interval, used while some component waits for the next tick
 IN_FLIGHT_TICK = timedelta(
     seconds=0.1
-)  # while servers process requests: their timeouts are some hundred milliseconds or more
+)  # interval while servers process requests, whose timeouts are some hundred milliseconds or more
 IDLE_TICK = timedelta(seconds=0.2)
--- a/sumachook/outliers/detector.py
+++ b/sumachook/outliers/detector.py
@@ -47,7 +47,8 @@
     """Adds up the outcomes that edges report, and ejects servers that fail far more than the others of their service.
 
     Handles `Tick` and `MessageReceived` with an `OutcomeReport`; returns `ServersEjected` and `Log`, only if the tick
-    states that this core has the placer lease. A server gets a new name at each restart, so outcomes do not carry over.
+    states that this core holds the placement lease. A server gets a new name at each restart, so outcomes do not carry
+    over.
     """
 
     __slots__ = ("_state", "_outcomes", "_ejections", "_has_new_failures")
--- a/sumachook/outliers/events.py
+++ b/sumachook/outliers/events.py
@@ -4,6 +4,6 @@
 
 
 class Tick(Event, frozen=True):
-    """A tick; `fence` is the fencing token of the placer lease, or 0 if this core does not have the lease."""
+    """Periodic tick; `fence` is the fencing token of the placement lease, or 0 if this core does not hold it."""
 
     fence: int
--- a/sumachook/placement/demand.py
+++ b/sumachook/placement/demand.py
@@ -7,8 +7,8 @@
 from sumachook.placement.messages import UsageByService
 from sumachook.placement.model_names import model_of
 
-FAST_HALF_LIFE = timedelta(seconds=2)  # follows a change of demand within the time of a few loads
-SLOW_HALF_LIFE = timedelta(seconds=7)  # smooths the rate of rarely requested models
+FAST_HALF_LIFE = timedelta(seconds=2)  # half-life of a rate that follows a change of demand within a few load times
+SLOW_HALF_LIFE = timedelta(seconds=7)  # half-life of a rate that is smooth for rarely requested models
 FORGET_AFTER = SLOW_HALF_LIFE * 12  # after 12 half-lives a rate has decayed to about 0
 
 Key = tuple[str, ...]  # (service, name), or (service, model, server) for the running requests at one server
@@ -37,7 +37,7 @@
     __slots__ = ("rates", "running", "edges", "last_started", "has_server_counts", "first_at")
 
     TREND_WEIGHT = 1.5  # weight of the fast minus the slow rate: about the change during one load
-    EDGE_TIMEOUT = timedelta(seconds=2)  # edges report several times within this period
+    EDGE_TIMEOUT = timedelta(seconds=2)  # an edge without a report for so long is dropped; edges report more often
 
     def __init__(self) -> None:
         self.rates: dict[Key, Rates] = {}
--- a/sumachook/placement/engine_server.py
+++ b/sumachook/placement/engine_server.py
@@ -112,7 +112,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether its models count as replicas: the server is neither draining, unreachable nor replaced."""
+        """Whether the server's models count as replicas: it is neither draining, unreachable nor replaced."""
         return not self.is_draining and not self.is_unreachable and not self.is_replaced
 
     @property
--- a/sumachook/placement/inventory_reader.py
+++ b/sumachook/placement/inventory_reader.py
@@ -20,7 +20,7 @@
 from sumachook.placement.messages import ServersLeaving, ServersWarmingUp
 
 STORED_NAMES = {"zone": "area"}  # attributes of a listed server that have another name in the control state
-OPTIONAL_FIELDS = ("service", "version")  # omitted from the control state while empty
+OPTIONAL_FIELDS = ("service", "version")  # attributes that are omitted from the control state while empty
 UNSTORED_FIELDS = ("name", "cold_ms")  # the entry's key, and a countdown that would change with each poll
 LOGGED_FAILURES = (3, 30, 300)  # numbers of consecutive failed polls at which a warning is logged
 COMPONENT = "placement"
@@ -99,12 +99,12 @@
         "pages",
     )
 
-    INTERVAL = timedelta(seconds=0.5)  # a leaving server must be noticed well within three seconds
-    CALL_TIMEOUT = INTERVAL * 4  # polls may overlap: a slow response is better than none
-    MASS_REMOVAL_DELAY = timedelta(seconds=10)  # how long a list that lacks over half the servers is not accepted
-    LEADERLESS_AFTER = timedelta(seconds=1.5)  # without a leader for this long all cores poll
-    MAX_PAGES = 40  # limit of pages per poll, in case a list never ends
-    MAX_READINGS = 8  # polls whose pages are kept; a later page of an older poll starts a new list
+    INTERVAL = timedelta(seconds=0.5)  # poll interval; a leaving server must be noticed well within three seconds
+    CALL_TIMEOUT = INTERVAL * 4  # longer than the poll interval: a slow response is better than none
+    MASS_REMOVAL_DELAY = timedelta(seconds=10)  # time for which a list without most of the servers is rejected
+    LEADERLESS_AFTER = timedelta(seconds=1.5)  # time without a leader after which all cores poll
+    MAX_PAGES = 40  # maximum pages per poll, in case a list never ends
+    MAX_READINGS = 8  # number of polls whose pages are kept; a page of an older poll starts a new list
 
     def __init__(self, state: Any, platform: str | None, now: timedelta, port: Any = None, readers: str = "all"):
         self.state = state
--- a/sumachook/placement/placement_requests.py
+++ b/sumachook/placement/placement_requests.py
@@ -17,7 +17,7 @@
 
 
 class PlacementRequests:
-    """Collects the edges' placement requests; edges repeat theirs while requests wait, and the rest expire.
+    """Collects the placement requests of the edges, which expire unless repeated while client requests wait.
 
     >>> requests, ms = PlacementRequests(), timedelta(milliseconds=1)
     >>> requests.record("edge-1", {"llm": {"m": (2, 1500.0), "n/a1": (1, 400.0)}}, ms * 0)
@@ -51,7 +51,7 @@
         return len(self.first_seen) > known
 
     def pending(self, now: timedelta) -> list[Key]:
-        """Returns what requests still wait for, most urgent first, and drops expired entries."""
+        """Returns the models and adapters that requests wait for, most urgent first, and drops expired entries."""
         found = []
         for key, edges in list(self.by_key.items()):
             waiting = {edge: item for edge, item in edges.items() if self._is_waiting(item, now)}
--- a/sumachook/placement/placer.py
+++ b/sumachook/placement/placer.py
@@ -21,7 +21,7 @@
 
 POLL_TIMEOUT = timedelta(seconds=1.5)  # longer than the poll interval: a slow response still counts
 DEMAND_HALF_LIFE = timedelta(seconds=60)  # long enough that the plan does not follow short bursts
-MIN_DEMAND = 0.05  # decayed counts below this are dropped
+MIN_DEMAND = 0.05  # decayed request counts below this are dropped
 MODELS = "models"
 ADAPTERS = "adapters"
 ORDER = "order"
@@ -89,11 +89,12 @@
     )
 
     POLL_INTERVAL = timedelta(seconds=0.8)
-    PLAN_INTERVAL = timedelta(seconds=4)  # replans at this interval even without changes, to follow demand
-    WARM_UP_TIME = timedelta(seconds=6)  # edges limit requests to items that became ready more recently than this
-    RESEND_INTERVAL = timedelta(seconds=1)  # resends proposals, which may be lost; base of the orders' backoff
-    UNCONFIRMED_TIMEOUT = timedelta(seconds=30)  # no load takes longer, so it has ended by then
-    MAX_READS = 5  # polls without the effect of an order, after which it counts as lost
+    PLAN_INTERVAL = timedelta(seconds=4)  # interval of planning without other changes, to follow demand
+    WARM_UP_TIME = timedelta(seconds=6)  # time after a load in which edges limit the requests to the item
+    # base of the intervals at which proposals, which may be lost, are sent again, and of the backoff of refused orders
+    RESEND_INTERVAL = timedelta(seconds=1)
+    UNCONFIRMED_TIMEOUT = timedelta(seconds=30)  # after this time an unconfirmed load has ended; no load takes longer
+    MAX_READS = 5  # number of polls without the effect of an order after which the order counts as lost
     MAX_BACKOFF = timedelta(seconds=60)
     UNREACHABLE_AFTER = 3  # consecutive failed polls until a server counts as unreachable
 
@@ -237,7 +238,7 @@
         return [Log("warning", COMPONENT, "Model server is unreachable.", {"server": name})]
 
     def _record_items(self, name: str, items: Items, now: timedelta) -> None:
-        """Records a server's contents, and drops orders whose effect they show or that `MAX_READS` polls did not show.
+        """Records the contents of a server, and drops its orders that took effect or had none after `MAX_READS` polls.
 
         Polls are counted rather than seconds, because a frozen server has had no time to carry out anything.
         """
--- a/sumachook/placement/policy.py
+++ b/sumachook/placement/policy.py
@@ -11,7 +11,7 @@
     """Lifetime of the placement lease, and the intervals of its holder's periodic work."""
 
     lease: timedelta = MS * 150
-    """Time after a tick in which the lease counts: three ticks, which end well before another core can acquire it."""
+    """Time that the lease lasts after a tick: three ticks, which end well before another core can acquire it."""
     tick_interval: timedelta = MS * 50
     """Interval of the ticks; a call that is due earlier schedules a wake-up."""
     replication_interval: timedelta = MS * 250
--- a/sumachook/placement/port.py
+++ b/sumachook/placement/port.py
@@ -39,7 +39,7 @@
     BUSY = "busy"  # another order is in progress, or the sequence number does not match
     FENCED = "fenced"  # the server has seen a higher fencing token
     OTHER_SERVER = "strange"  # a different server answers at this address
-    INVALID = "bad"  # any other HTTP status
+    INVALID = "bad"  # the server answered with any other HTTP status
 
 
 class ServerPort:
--- a/sumachook/placement/replica_scheduler.py
+++ b/sumachook/placement/replica_scheduler.py
@@ -23,7 +23,7 @@
         self.predictions: dict[str, DemandPrediction] = {}
 
     def adjust(self, pending: list[Key], now: timedelta) -> list[Effect]:
-        """Re-evaluates demand and orders missing replicas; `pending` lists what requests wait for."""
+        """Re-evaluates demand and orders missing replicas; `pending` lists models and adapters that requests await."""
         effects: list[Effect] = []
         has_waiting = any(not self._is_under_way(service, name) for service, name in pending)
         for scoring in self.scheduler.scorings(pending, now).values():
--- a/sumachook/placement/request_scheduler.py
+++ b/sumachook/placement/request_scheduler.py
@@ -21,7 +21,7 @@
         self.requests = requests
 
     def serve(self, now: timedelta) -> list[Effect]:
-        """Returns orders for overloaded models, then for everything that requests wait for."""
+        """Returns orders for overloaded models, then for the models and adapters that requests wait for."""
         pending = self.requests.pending(now)
         self._release_reservations(pending)
         overloaded = [
--- a/sumachook/quotas/events.py
+++ b/sumachook/quotas/events.py
@@ -44,7 +44,7 @@
 
 
 class LimiterTick(Event, frozen=True):
-    """Periodic timer event of the rate limiter at an edge.
+    """Periodic tick of the rate limiter at an edge.
 
     `issuer` is the address of the lease issuer, None if there is none. `cores` and `peers` are the addresses of the
     cores and of the other edges. `edge_count` is the number of edges among which the floor is divided while there is no
@@ -58,7 +58,7 @@
 
 
 class IssuerTick(Event, frozen=True):
-    """Periodic timer event at a core; `fence` is the fencing token of its accounting duty, 0 if it does not hold it."""
+    """Periodic tick of a core; `fence` is the fencing token of the accountant role, 0 if the core does not hold it."""
 
     fence: int
 
--- a/sumachook/quotas/lease_issuer.py
+++ b/sumachook/quotas/lease_issuer.py
@@ -13,7 +13,7 @@
 from sumachook.quotas.tenant_budget import IssuedGrant, ReportedDenials, TenantBudget
 from sumachook.quotas.terms import QuotaTerms
 
-# warning about a tenant whose requests are denied for a long time
+# conditions of the warning about a tenant whose requests are denied for a long time
 DENIALS_OVER_AFTER = timedelta(seconds=2)  # the tenant counts as below its ceiling after this time without a denial
 WARN_AFTER = timedelta(seconds=30)
 WARN_INTERVAL = timedelta(minutes=1)
@@ -26,7 +26,7 @@
 
 
 class QuotaLeaseIssuer:
-    """Issues leases to edges while its core holds the accounting duty, under the fencing token of that duty."""
+    """Issues leases to edges while its core holds the accountant role, under the fencing token of that role."""
 
     __slots__ = ("state", "fence", "generation", "budgets", "pool")
 
@@ -50,7 +50,7 @@
         raise TypeError(f"unexpected event for the lease issuer: {event!r}")
 
     def _has_duty(self, fence: int, now: timedelta) -> bool:
-        """Returns whether this core holds the accounting duty; resets all budgets when the fencing token changes."""
+        """Returns whether this core holds the accountant role; resets all budgets when the fencing token changes."""
         if fence != self.fence:
             self._start(fence, now)
         if not fence:
--- a/sumachook/quotas/rate_limiter.py
+++ b/sumachook/quotas/rate_limiter.py
@@ -26,7 +26,7 @@
 
 MILLISECOND = timedelta(milliseconds=1)
 
-# leases
+# requests for leases
 LEASE = MILLISECOND * 400  # lease duration, counted from when the request was sent
 REQUEST_INTERVAL = MILLISECOND * 100  # minimum interval between requests while one is unanswered
 ISSUER_TIMEOUT = MILLISECOND * 200  # time without a response from the issuer after which the edge enters local mode
@@ -37,7 +37,7 @@
 MIN_PROBE_DEMAND_PER_S = 0.1  # tenants with less demand are left out of probes
 
 # leases prefetched ahead of demand
-PREFETCH_S = 0.15  # seconds of demand to prefetch
+PREFETCH_S = 0.15  # prefetched leases cover this many seconds of demand
 PREFETCH_INTERVAL = MILLISECOND * 50
 
 # maximum wait of a pending request: a fraction of its patience, capped at the two limits below
--- a/sumachook/quotas/tenant_budget.py
+++ b/sumachook/quotas/tenant_budget.py
@@ -13,8 +13,8 @@
 DEMAND_MEMORY_S = 10.0  # seconds for which requests beyond the floor count against a tenant
 
 # The smaller of these is reserved in the ceiling's bucket for the edges' own shares; any edge may use the rest.
-RESERVED_S = 0.1  # reserve in seconds at the ceiling rate
-RESERVED_PART = 0.25  # reserve as a fraction of the burst
+RESERVED_S = 0.1  # reserved amount, in seconds at the ceiling rate
+RESERVED_PART = 0.25  # reserved amount, as a fraction of the burst
 
 
 class EdgeDemand(NamedTuple):
--- a/sumachook/quotas/tenant_quota.py
+++ b/sumachook/quotas/tenant_quota.py
@@ -54,21 +54,21 @@
         self.leases: deque[Lease] = deque()
         self.local = Bucket(NOTHING, NOTHING, now)
         self.pending: dict[AdmissionKey, PendingAdmission] = {}
-        # recent demand
+        # recent demand of the tenant at this edge
         self.request_count = 0  # requests since the last tick
         self.token_count = 0
         self.demand_per_s = 0.0
         self.tokens_per_request = 0.0
-        # from the latest response of the issuer
+        # state of the tenant's quota from the latest response of the issuer
         self.exhausted_until = now
         self.retry_after_s = 0.0
         self.used: tuple[float, ...] = (0, 0)
-        # to be sent to the issuer with the next request
+        # amounts and denials to be sent to the issuer with the next lease request
         self.returned = NOTHING
         self.refused = 0
         self.next_borrow_at = now
         self.next_prefetch_at = now
-        # totals since the edge started
+        # totals of requests and tokens since the edge started
         self.admitted_total = 0
         self.refused_total = 0
         self.yielded_total = 0
--- a/sumachook/requests/failures.py
+++ b/sumachook/requests/failures.py
@@ -49,7 +49,7 @@
 
     @property
     def name(self) -> str:
-        """The value of its kind, as written to error responses and ledger records."""
+        """The name of the kind of failure, as written to error responses and ledger records."""
         return self.kind.value
 
     @property
--- a/sumachook/requests/in_flight_request.py
+++ b/sumachook/requests/in_flight_request.py
@@ -13,7 +13,7 @@
     """The stages of a request in flight."""
 
     RECORDING = "recording"  # waiting until the ledger has stored its opening record
-    WAITING = "waiting"  # waiting for a server
+    WAITING = "waiting"  # the request waits until a server is selected
     ATTEMPTING = "attempting"  # sent to a server; nothing has been sent to the client yet
     STREAMING = "streaming"  # a part of the response has been sent to the client
     SETTLED = "settled"
@@ -62,10 +62,10 @@
         self.deadline = arrived_at + patience
         self.not_before = arrived_at
         self.state = state
-        self.generation = 0  # generation of the catalogue that admitted it
-        self.needs_recheck = False  # admitted before this node could confirm that its catalogue is current
+        self.generation = 0  # generation of the catalogue under which the request was admitted
+        self.needs_recheck = False  # whether it was admitted before this node could confirm its catalogue
         self.is_stream = False
-        # the current attempt, and earlier ones
+        # state of the current attempt, and the results of earlier ones
         self.attempt = 0
         self.attempt_id: AttemptId | None = None
         self.server = ""
@@ -81,8 +81,8 @@
         # state while waiting for another attempt
         self.needs_credit = False
         self.credit_by = self.deadline
-        self.retry_after: float | None = None  # seconds, as stated by a server or by the quota
-        # quota of its tenant
+        self.retry_after: float | None = None  # seconds until a retry, as stated by a server or the rate limiter
+        # quota that the request claimed from its tenant
         self.tenant: str | None = None
         self.charged_tokens = 0
         self.is_yielding = False
--- a/sumachook/retry_budget/broker.py
+++ b/sumachook/retry_budget/broker.py
@@ -1,6 +1,6 @@
 """The broker of retry credit: matches edges that lack credit with edges that can lend it.
 
-Runs at the core that has the accountant lease.
+Runs at the core that holds the accountant role.
 """
 
 from datetime import timedelta
--- a/sumachook/retry_budget/events.py
+++ b/sumachook/retry_budget/events.py
@@ -4,12 +4,12 @@
 
 
 class BudgetTick(Event, frozen=True):
-    """A tick at an edge; `broker_addresses` are the cores that may run the broker."""
+    """Periodic tick of an edge; `broker_addresses` are the cores that may run the broker."""
 
     broker_addresses: tuple[str, ...]
 
 
 class BrokerTick(Event, frozen=True):
-    """A tick at a core; `fence` is the fencing token of the accountant lease, or 0 if this core does not have it."""
+    """Periodic tick of a core; `fence` is the fencing token of the accountant role, 0 if this core does not hold it."""
 
     fence: int
--- a/tests/quotas/quota_fixtures.py
+++ b/tests/quotas/quota_fixtures.py
@@ -96,8 +96,8 @@
 class QuotaSimulator:
     """Simulates a deployment: `send` and `offer` generate traffic, `run` advances the clock.
 
-    `kill`, `start`, `freeze`, `wake`, `cut` and `heal` inject faults. At most one core holds the accounting duty;
-    `lose_holder` lets its lease expire and assigns the duty to another core after the vacancy.
+    `kill`, `start`, `freeze`, `wake`, `cut` and `heal` inject faults. At most one core holds the accountant role;
+    `lose_holder` lets its lease expire and assigns the role to another core after the vacancy.
     """
 
     def __init__(self, tenants, edges=4, seed=1, capacity=None, latency=(0.0005, 0.003), discovery_delay=SECOND * 3):
@@ -174,7 +174,7 @@
         self.cuts.clear()
 
     def lose_holder(self, after=VACANCY, is_away=None):
-        """Lets the holder's lease expire; another core gets the duty after the vacancy."""
+        """Lets the holder's lease expire; another core gets the accountant role after the vacancy."""
         if self.holder is None:
             return
         old, fence = self.holder, self.fence
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -293,7 +293,7 @@
 
 
 def test_frozen_issuer_grants_nothing_to_buffered_requests():
-    """Given an issuer that freezes, loses its duty and resumes with lease requests in its buffer, it grants none of them."""
+    """Given an issuer that freezes, loses its role and resumes with lease requests in its buffer, it grants none of them."""
     simulator = QuotaSimulator([tenant(requests_per_s=20.0)], 4)
     simulator.offer("shops", 100.0, 14)
     simulator.run(3)
--- a/tests/quotas/test_quotas_in_deployment.py
+++ b/tests/quotas/test_quotas_in_deployment.py
@@ -50,7 +50,7 @@
 
 
 def find_accountant(deployment):
-    """Returns the core that holds the accounting duty, or None."""
+    """Returns the core that holds the accountant role, or None."""
     return next((core for core in deployment.machines("core") if core.leases.holds("accountant", deployment.now)), None)
 
 
@@ -142,7 +142,7 @@
 
 def test_tenant_within_its_floor_is_admitted_while_the_issuer_is_replaced():
     """Given that the issuing core is killed, lookups at half of their floor are never denied, before and after another
-    core takes over the accounting duty."""
+    core takes over the accountant role."""
     deployment, shares = deployment_with_quotas(4, edges=4)
     callers = deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
     deployment.run(4)
@@ -157,7 +157,7 @@
 
 
 def test_frozen_issuer_does_not_answer_buffered_requests():
-    """Given an issuing core that is frozen until another holds its duty, it answers none of the buffered lease requests on
+    """Given an issuing core that is frozen until another holds its role, it answers none of the buffered lease requests on
     resuming, even before its first tick."""
     deployment, _ = deployment_with_quotas(8)
     deployment.call_in(1.0, [group(deployment, "stamps", rate=24.0)])
