--- a/harness/mutations/quotas.py
+++ b/harness/mutations/quotas.py
@@ -34,7 +34,7 @@
     ),
     Mutation(
         13,
-        "an issuer without the accounting duty grants leases",
+        "an issuer without the accountant role grants leases",
         "        if not fence:\n            return False\n        self._refresh_terms(now)",
         "        self._refresh_terms(now)",
         QUOTAS,
--- a/sumachook/nodes/show.py
+++ b/sumachook/nodes/show.py
@@ -57,7 +57,7 @@
 def _duties(core: "Core", now: timedelta) -> Document:
     return {
         "duties": {
-            duty: {"holder": holder, "fence": fence} for duty, (holder, fence) in core.state.role_holders.items()
+            role: {"holder": holder, "fence": fence} for role, (holder, fence) in core.state.role_holders.items()
         }
     }
 
--- a/sumachook/quotas/lease_issuer.py
+++ b/sumachook/quotas/lease_issuer.py
@@ -44,12 +44,12 @@
         """Handles an event and returns its effects; `now` is monotonic time."""
         match event:
             case IssuerTick(fence):
-                return self._warn(now) if self._has_duty(fence, now) else []
+                return self._warn(now) if self._holds_role(fence, now) else []
             case LeaseRequestReceived(fence=fence):
-                return self._on_lease_request(event, now) if self._has_duty(fence, now) else []
+                return self._on_lease_request(event, now) if self._holds_role(fence, now) else []
         raise TypeError(f"unexpected event for the lease issuer: {event!r}")
 
-    def _has_duty(self, fence: int, now: timedelta) -> bool:
+    def _holds_role(self, fence: int, now: timedelta) -> bool:
         """Returns whether this core holds the accountant role; resets all budgets when the fencing token changes."""
         if fence != self.fence:
             self._start(fence, now)
