--- a/sumachook/configuration/tenant.py
+++ b/sumachook/configuration/tenant.py
@@ -44,5 +44,5 @@
 
     @property
     def is_known_by_keys(self) -> bool:
-        """Whether its requests are identified by API keys; also true if it has no keys, callers or routes left."""
+        """Whether API keys identify the tenant's requests; also true if it has no keys, callers or routes left."""
         return bool(self.keys) or not (self.callers or self.http_routes)
--- a/sumachook/forwarding/access.py
+++ b/sumachook/forwarding/access.py
@@ -59,7 +59,7 @@
         return AccessDecision(owner)
 
     def priority_of(self, tenant: Tenant | None) -> int:
-        """Returns the priority of a tenant; a request without one gets the lowest priority of any tenant."""
+        """Returns the priority of a tenant; a request without a tenant gets the lowest priority of all."""
         return self.lowest_priority if tenant is None else tenant.priority
 
 
--- a/sumachook/forwarding/cold_allowance.py
+++ b/sumachook/forwarding/cold_allowance.py
@@ -31,7 +31,7 @@
         self.edges = 1
 
     def _burst(self, rate: float) -> float:
-        """Returns the burst in requests: how many unsent ones all edges together may save up."""
+        """Returns the burst: how many requests all edges together may save up while they send none."""
         return BURST_FRACTION * ((self.overshoot - 1) * rate + self.slack)
 
     def needs_window(self, rate: float) -> bool:
--- a/sumachook/forwarding/quota_charge.py
+++ b/sumachook/forwarding/quota_charge.py
@@ -18,7 +18,7 @@
     def unused_tokens(self, request: Any, is_done: bool) -> int | None:
         """Returns the unused tokens of an event stream, or None for other responses.
 
-        Each event of a stream counts as as many tokens as the `stride` of the engine.
+        Each event of a stream counts as `stride` tokens, a property of the service's engine.
         """
         if not request.is_event_stream:
             return None
--- a/sumachook/forwarding/server_selection.py
+++ b/sumachook/forwarding/server_selection.py
@@ -198,7 +198,7 @@
         return self._has_capacity(request, name, server, now) and not self._is_backing_off(request, name, now)
 
     def _is_backing_off(self, request: ForwardedRequest, name: str, now: timedelta) -> bool:
-        """Returns whether the server refused this request and still backs off: it would most likely refuse again."""
+        """Returns whether the server refused this request and its backoff lasts: it would most likely refuse again."""
         return name in request.failed_servers and self.table.server_window(name).is_overloaded(now)
 
     def _has_capacity(self, request: ForwardedRequest, name: str, server: Any, now: timedelta) -> bool:
@@ -232,7 +232,7 @@
         return max(0, tokens)
 
     def _wait_for_backoff(self, request: ForwardedRequest, until: timedelta, now: timedelta) -> list[Any]:
-        """Lets the request wait for the end of the servers' backoff; refuses it at once if that is too late."""
+        """Lets the request wait for the end of the backoff, `until`; refuses it if it may not wait for so long."""
         if until > _capacity_deadline(request):
             request.retry_after = max(MIN_RETRY_AFTER_S, (until - now).total_seconds())
             return self.settle.take(request, _last_failure(request), now)
--- a/sumachook/nodes/change_request.py
+++ b/sumachook/nodes/change_request.py
@@ -17,7 +17,7 @@
 
 KINDS = ("apply", "configure", "evacuate", "restore")
 PATHS = {f"/operator/{kind}": kind for kind in KINDS}
-MAX_DEPTH = 40  # levels of nested objects and lists; a catalogue document has nine
+MAX_DEPTH = 40  # maximum levels of nested objects and lists; a catalogue document has nine
 MAX_REQUEST_ID_LENGTH = 100
 
 
--- a/sumachook/nodes/state_file.py
+++ b/sumachook/nodes/state_file.py
@@ -68,7 +68,7 @@
                 self.state.apply(number, read_entry(entry))
 
     def add(self, first: int, entries: Sequence[bytes]) -> None:
-        """Records entries that were applied to the state; `ValueError` if the last is not the state's number."""
+        """Records entries applied to the state; raises `ValueError` if they do not end at the state's number."""
         if first + len(entries) - 1 != self.state.number:
             raise ValueError(f"entries from number {first} do not end at state number {self.state.number}")
         if self.has_disk and not self.needs_snapshot:
--- a/sumachook/nodes/usage_report.py
+++ b/sumachook/nodes/usage_report.py
@@ -7,7 +7,7 @@
 from sumachook.placement.messages import UsageByService
 
 REPORT_INTERVAL = timedelta(seconds=0.2)
-EDGES_AT_INTERVAL = 20  # with more edges, each reports less often, in proportion to their number
+EDGES_AT_INTERVAL = 20  # number of edges above which the interval grows in proportion to their number
 
 
 class UsageReport:
--- a/sumachook/outliers/detector.py
+++ b/sumachook/outliers/detector.py
@@ -11,10 +11,10 @@
 
 # Half-life of the weight of an outcome: a failing server shows within a fraction of a second, old failures fade soon.
 HALF_LIFE = timedelta(seconds=1)
-MIN_FAILURES = 2.0  # decayed count; one or two failed attempts may happen at any server
-MIN_FAILURE_RATE = 0.2  # minimum share of failed attempts of an outlier
+MIN_FAILURES = 2.0  # minimum decayed failures of an outlier; one or two may happen at any server
+MIN_FAILURE_RATE = 0.2  # minimum share of failed attempts among all attempts at an outlier
 MIN_RATE_RATIO = 3.0  # minimum ratio of the failure rate of an outlier to that of the other servers of its service
-FIRST_EJECTION = timedelta(seconds=2)  # first ejection of a server; each further one lasts twice as long
+FIRST_EJECTION = timedelta(seconds=2)  # duration of the first ejection of a server; doubled each time
 MAX_EJECTION = timedelta(seconds=8)
 # The state of a server is dropped this long after its last outcome or the end of its ejection.
 STATE_RETENTION = timedelta(seconds=20)
--- a/sumachook/placement/load_times.py
+++ b/sumachook/placement/load_times.py
@@ -35,8 +35,8 @@
 
     __slots__ = ("estimates", "steps")
 
-    FIRST_STEP = MS * 30  # the first step; an initial estimate may be wrong by about this much
-    MIN_STEP = MS * 2  # steps halve down to this, so the estimate keeps following changes of the duration
+    FIRST_STEP = MS * 30  # first step of an estimate; an initial estimate may be wrong by about this much
+    MIN_STEP = MS * 2  # minimum to which steps halve, so that estimates keep following the durations
 
     def __init__(self) -> None:
         self.estimates: dict[Hashable, timedelta] = {}
--- a/sumachook/placement/replica_scheduler.py
+++ b/sumachook/placement/replica_scheduler.py
@@ -53,7 +53,7 @@
     def _add_model_replica(self, scoring: CandidateScoring, now: timedelta) -> list[Effect]:
         for model, desired in sorted(scoring.desired.items(), key=lambda item: -scoring.rate(item[0])):
             planned = scoring.planned_replicas(model)
-            # an additional replica leaves one store token for models without any
+            # an additional replica of a loaded model leaves one store token for a model without replicas
             if planned < desired and (self.scheduler.executor.store.tokens >= 2.0 or not planned):
                 effects = self.scheduler.load_model(scoring, model, now, is_optional=True)
                 if effects:
--- a/sumachook/placement/store_tokens.py
+++ b/sumachook/placement/store_tokens.py
@@ -15,7 +15,7 @@
 
     __slots__ = ("tokens", "filled_at")
 
-    BURST = 3.0  # loads at once after an idle time; the store allows its rate over five seconds plus these
+    BURST = 3.0  # maximum loads at once; the store allows its rate over five seconds plus these
 
     def __init__(self, now: timedelta):
         self.tokens = 0.0
@@ -28,7 +28,7 @@
         return self.tokens
 
     def spend(self) -> bool:
-        """Takes a token; returns False if none is left."""
+        """Takes a token for a load; returns False if none is left."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/sumachook/quotas/terms.py
+++ b/sumachook/quotas/terms.py
@@ -70,7 +70,7 @@
 
 
 def _uncounted_burst(tenant: Tenant) -> float | None:
-    """Returns the floor's fraction of a configured burst, capped since the burst already used is unknown by then."""
+    """Returns the floor's fraction of a configured burst, capped because earlier admissions may be unknown."""
     return None if tenant.burst is None else min(MAX_UNCOUNTED_BURST, tenant.burst * tenant.floor)
 
 
--- a/sumachook/quotas/usage.py
+++ b/sumachook/quotas/usage.py
@@ -38,7 +38,7 @@
 
     def __init__(self, state: Any):
         self.state = state
-        self.reports: dict[str, EdgeReport] = {}  # by edge
+        self.reports: dict[str, EdgeReport] = {}  # latest report by edge
 
     def take(self, event: MessageReceived, now: timedelta) -> list[Effect]:
         """Stores a received `UsageReport` and drops the expired ones."""
--- a/sumachook/retry_budget/budget.py
+++ b/sumachook/retry_budget/budget.py
@@ -15,7 +15,7 @@
 LOG_INTERVAL = timedelta(seconds=2)
 # Share of the slack that all balances may add up to; the rest covers edges that do not know each other yet.
 TOTAL_BALANCE_SHARE = 0.8
-LOAN_LIFETIME = timedelta(seconds=1)  # borrowed credit above the cap is for requests that wait now, so it expires
+LOAN_LIFETIME = timedelta(seconds=1)  # lifetime of borrowed credit above the cap, which is for requests that wait now
 RETENTION = timedelta(minutes=1)  # loan ids and buckets are kept this long after their last use
 
 
--- a/tests/forwarding/test_forwarding.py
+++ b/tests/forwarding/test_forwarding.py
@@ -842,7 +842,7 @@
     response closes the breaker."""
     scene = Scene(servers={"r1": server("records"), "r2": server("records")})
     server_window = scene.table.server_window("r1")
-    in_hand = []
+    in_flight = []
     for _ in range(100):
         if server_window.consecutive_failures == 2:
             break
@@ -851,9 +851,9 @@
             scene.sent(cid)
             scene.call_event(cid, "fault", "reset")
         else:
-            in_hand.append(cid)  # answered later: an idle r2 with a kept connection would get every request
+            in_flight.append(cid)  # answered later: an idle r2 with a kept connection would get every request
     assert server_window.is_breaker_open(scene.now)
-    for cid in in_hand:
+    for cid in in_flight:
         scene.answer(cid)
     goals = []
     for _ in range(20):
