--- a/sumachook/forwarding/request_table.py
+++ b/sumachook/forwarding/request_table.py
@@ -68,7 +68,7 @@
         self.places = places
         self.edges = 1  # number of edges that share the servers
         self.rank = 0  # index of this edge in the order of all edges
-        self.is_closed = False  # the proxy server accepts no more connections
+        self.is_closed = False  # whether the proxy server has stopped accepting connections
         # requests waiting for a server, by number; requests parked until their route is known, by call id, with their
         # arrival time
         self.waiting: dict[int, ForwardedRequest] = {}
@@ -205,7 +205,7 @@
         ]
 
     def count_running(self, request: ForwardedRequest, delta: int) -> None:
-        """Adds `delta` to the requests running per service, model and server, which the placer is told."""
+        """Adds `delta` to the requests running per service, model and server, which are reported to the placer."""
         if request.service not in self.models:
             return
         names = self.running_by_service.setdefault(request.service, {})
--- a/sumachook/forwarding/send.py
+++ b/sumachook/forwarding/send.py
@@ -89,7 +89,7 @@
         return self.table.access.urgency_scale.level(request.tenant_priority, request.route.priority)
 
     def _reuse(self, request: ForwardedRequest) -> ConnectionReuse:
-        """Forbids connection reuse without a request id, which alone tells a late response to another request apart."""
+        """Forbids connection reuse without a request id, which alone identifies a response to an earlier request."""
         if not request.metadata.request_id:
             return ConnectionReuse.NEVER
         return ConnectionReuse.ALWAYS if request.is_repeatable else ConnectionReuse.WHEN_ALIVE
--- a/sumachook/forwarding/server_window.py
+++ b/sumachook/forwarding/server_window.py
@@ -64,7 +64,7 @@
         self.unreachable_backoff = min(self.unreachable_backoff * 2, self.BACKOFF.max_breaker_backoff)
 
     def begin(self, tokens: int) -> None:
-        """Counts the start of an attempt with `tokens` prompt tokens."""
+        """Counts the start of an attempt whose prompt has `tokens` tokens."""
         self.count_attempt()
         self.pending_tokens += tokens
         self.kept_connections = max(0, self.kept_connections - 1)
--- a/sumachook/inference/settle.py
+++ b/sumachook/inference/settle.py
@@ -1,4 +1,4 @@
-"""Final answers to failed requests."""
+"""Sends the final answers to failed requests."""
 
 from datetime import timedelta
 from typing import Any
--- a/sumachook/nodes/configuration_changes.py
+++ b/sumachook/nodes/configuration_changes.py
@@ -40,7 +40,7 @@
     answer_by: timedelta
     retry_read_at: timedelta | None = None  # when to retry the linearizable read
     read_number: int | None = None  # number of the last entry delivered before the read completed; None before
-    entry: OperatorCall | None = None  # the proposed log entry
+    entry: OperatorCall | None = None  # the proposed log entry; None until it is proposed
     propose_at: timedelta | None = None
     resend_delay: timedelta = FIRST_RESEND_DELAY
     was_proposed: bool = False
--- a/sumachook/nodes/control_api.py
+++ b/sumachook/nodes/control_api.py
@@ -45,9 +45,9 @@
 class ControlApi:
     """Answers HTTP requests to one core.
 
-    Reads of the configuration, and changes before they are proposed, need a linearizable read: `ReadRequested` asks the
-    consensus layer for it, which answers with `Readable` or `Unreadable`. A core that cannot read redirects the caller
-    to its leader or answers 503.
+    Reads of the configuration, and changes before they are proposed, need a linearizable read: `ReadRequested` goes to
+    the consensus layer, which answers with `Readable` or `Unreadable`. A core that cannot read redirects the caller to
+    its leader or answers 503.
     """
 
     __slots__ = ("core", "configuration_changes", "reads", "searches", "is_closed")
@@ -124,7 +124,7 @@
     # linearizable reads -----------------------------------------------------------
 
     def handle_readable(self, effect: Readable, now: timedelta) -> list[Any]:
-        """Handles a completed linearizable read: answers a read of the catalogue or lets a change proceed."""
+        """Handles a completed linearizable read: answers a read of the catalogue, or continues a change."""
         read = self.reads.finish(effect.token)
         if read is not None:
             return [reply(read.call_id, 200, show.show(show.CATALOGUE, self.core, now))]
--- a/sumachook/nodes/ledger_search.py
+++ b/sumachook/nodes/ledger_search.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class LedgerSearch:
-    """Searches for ledger records; asks the other cores if this core's replica has no final record."""
+    """Searches for ledger records; queries the other cores if this core's replica has no final record."""
 
     replica_store: ReplicaStore
     searches: dict[str, Search] = field(default_factory=dict)
--- a/sumachook/nodes/reads.py
+++ b/sumachook/nodes/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads that wait for the consensus layer."""
+"""Tracks linearizable reads that wait for an answer of the consensus layer."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
--- a/sumachook/nodes/replies.py
+++ b/sumachook/nodes/replies.py
@@ -24,7 +24,7 @@
 
 
 def redirect(call_id: CallId, http_address: str, path: str) -> Reply:
-    """Creates a 307 redirect to this path at another node; it tells the caller that nothing was applied."""
+    """Creates a 307 redirect to this path at another node; it states that nothing was applied."""
     body = {"fault": {"class": "redirected", "reason": f"ask {http_address}", "applied": "no"}}
     headers = {**JSON, "Location": f"http://{http_address}{path}"}
     return Reply(call_id, 307, headers, msgspec.json.encode(body))
--- a/sumachook/placement/candidates.py
+++ b/sumachook/placement/candidates.py
@@ -327,7 +327,7 @@
         return self.rate(name) > 0.02 * rate
 
     def best_server_for_adapter(self, model: str, adapter: str) -> AdapterCandidate | None:
-        """Returns the least loaded server for another replica of `adapter`, or None; prefers servers with room."""
+        """Returns the least loaded server for a replica of `adapter`, or None; avoids evictions if possible."""
         best: tuple[bool, float, str] | None = None
         chosen: AdapterCandidate | None = None
         for server in self.servers:
--- a/sumachook/placement/demand_prediction.py
+++ b/sumachook/placement/demand_prediction.py
@@ -23,8 +23,8 @@
     __slots__ = ("last_popular", "confirmed", "contradicted")
 
     RECENT_WINDOW = timedelta(seconds=20)  # a model that was popular within this time may precede a newly popular one
-    MAX_STEP = 2  # list positions that demand may advance by in one step
-    POPULAR_PER_PREDICTED = 4  # popular models per predicted model
+    MAX_STEP = 2  # maximum list positions by which demand may advance in one step
+    POPULAR_PER_PREDICTED = 4  # one model is predicted for so many popular ones
 
     def __init__(self) -> None:
         self.last_popular: dict[str, timedelta] = {}
--- a/sumachook/placement/list_port.py
+++ b/sumachook/placement/list_port.py
@@ -26,7 +26,7 @@
         return f"/servers?page={page}" if page else "/servers"
 
     def read(self, body: bytes) -> InventoryPage:
-        """Parses the body of a response; a malformed one gives a page without items.
+        """Parses the body of a response; a malformed body results in a page without items.
 
         >>> ListPort().read(b'{"servers":[]}').items, ListPort().read(b'[]').reason
         ([], 'servers: a list is needed')
--- a/sumachook/quotas/tenant_budget.py
+++ b/sumachook/quotas/tenant_budget.py
@@ -8,7 +8,7 @@
 from sumachook.quotas.terms import QuotaTerms
 
 RECENT = timedelta(seconds=1)  # window over which grants, demand and denials are summed
-SHARE_BURST_S = 0.25  # seconds of its share that an edge may accumulate
+SHARE_BURST_S = 0.25  # burst of an edge, in seconds at its share of the ceiling rate
 MIN_SHARE = 1e-3  # fraction of the ceiling for an edge with almost no demand
 DEMAND_MEMORY_S = 10.0  # seconds for which requests beyond the floor count against a tenant
 
@@ -25,7 +25,7 @@
 
 
 class IssuedGrant(NamedTuple):
-    """Requests and tokens granted at one time."""
+    """The requests and tokens of one grant, and its time."""
 
     at: timedelta
     requests: float
--- a/sumachook/requests/call_ids.py
+++ b/sumachook/requests/call_ids.py
@@ -4,7 +4,7 @@
 
 FORWARDING = "transit"  # an attempt of a forwarded request; also the component of the forwarding pipeline in the log
 INFERENCE = "ferry"  # the component of the inference pipeline in the log
-PROXY = "front"  # a client request at the proxy server
+PROXY = "front"  # kind of the call ids of client requests at the proxy server
 
 
 class ProxyCallId(NamedTuple):
--- a/sumachook/requests/request_table.py
+++ b/sumachook/requests/request_table.py
@@ -72,7 +72,7 @@
         self.tenants: dict[str, str] = {}  # tenant names by caller or route
         self.generation = -1  # generation of the catalogue that the derived state belongs to
         self.is_draining = False
-        self.number = 0  # number of the latest request
+        self.number = 0  # number of the latest request at this edge
 
     def count(self, *labels: str) -> None:
         """Increments the metrics counter with these labels."""
--- a/sumachook/retry_budget/budget.py
+++ b/sumachook/retry_budget/budget.py
@@ -196,7 +196,7 @@
         return [Send(address, CreditReport(balances)) for address in broker_addresses] if balances else []
 
     def _log(self, now: timedelta) -> list[Effect]:
-        """Logs the retries paid for and denied since the last line, by service; logs nothing if there were none."""
+        """Logs the retries granted and denied since the last line, by service; logs nothing if there were none."""
         if now < self._next_log_at:
             return []
         self._next_log_at = now + LOG_INTERVAL
--- a/tests/forwarding/test_connection_shares.py
+++ b/tests/forwarding/test_connection_shares.py
@@ -10,7 +10,7 @@
 
 
 def _edges(number, servers=SERVER_NAMES):
-    """Returns a scene of one of `number` edges, with servers that accept `CONNECTIONS` each."""
+    """Returns the pipeline of one of `number` edges, with servers that accept `CONNECTIONS` each."""
     doc = catalogue()
     doc["services"][0]["connections"] = CONNECTIONS
     scene = Scene(doc, {name: server("records") for name in servers})
--- a/tests/nodes/test_control_plane.py
+++ b/tests/nodes/test_control_plane.py
@@ -1,4 +1,4 @@
-"""Control plane of a simulated deployment: founding, views, configuration, singleton roles, the change feed."""
+"""Tests of the control plane of a simulated deployment: founding, views, configuration, singleton roles, the change feed."""
 
 from datetime import timedelta
 
--- a/tests/nodes/test_disk_faults.py
+++ b/tests/nodes/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""Cores whose disk fails, stalls, is corrupted or loses unsynced writes; `DiskWriter` on a real folder."""
+"""Tests of cores whose disk fails, stalls, is corrupted or loses unsynced writes; `DiskWriter` on a real folder."""
 
 import asyncio
 import errno
--- a/tests/nodes/test_edge_alone.py
+++ b/tests/nodes/test_edge_alone.py
@@ -1,4 +1,4 @@
-"""An edge without a catalogue, and an edge that knows no other edge yet."""
+"""Tests of an edge without a catalogue, and an edge that knows no other edge yet."""
 
 from datetime import timedelta
 from random import Random
--- a/tests/nodes/test_edge_shutdown.py
+++ b/tests/nodes/test_edge_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown of an edge: close of the proxy server, open connections and final answers (docs/design/forwarding.md)."""
+"""Tests of the shutdown of an edge: close of the proxy server, open connections and final answers (docs/design/forwarding.md)."""
 
 import asyncio
 from datetime import timedelta
--- a/tests/nodes/test_edge_start.py
+++ b/tests/nodes/test_edge_start.py
@@ -1,4 +1,4 @@
-"""Start of an edge from the state file on its own disk (docs/design/changefeed.md)."""
+"""Tests of the start of an edge from the state file on its own disk (docs/design/changefeed.md)."""
 
 from datetime import timedelta
 from random import Random
--- a/tests/nodes/test_inbox.py
+++ b/tests/nodes/test_inbox.py
@@ -1,4 +1,4 @@
-"""Order in which `Inbox` delivers events and executes effects."""
+"""Tests of the order in which `Inbox` delivers events and executes effects."""
 
 import pytest
 
--- a/tests/nodes/test_logs.py
+++ b/tests/nodes/test_logs.py
@@ -1,4 +1,4 @@
-"""Format of log lines."""
+"""Tests of the format of log lines."""
 
 import io
 import json
--- a/tests/nodes/test_operator_changes.py
+++ b/tests/nodes/test_operator_changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes: versions checked at delivery, repeats recognized by content, late copies ignored, linearizable reads."""
+"""Tests of operators' changes: versions checked at delivery, repeats recognized by content, late copies ignored, linearizable reads."""
 
 import asyncio
 import random
--- a/tests/placement/provisioning_fixtures.py
+++ b/tests/placement/provisioning_fixtures.py
@@ -91,7 +91,7 @@
         }
 
     def take_over(self):
-        """Gives the lease to another core; calls of the previous holder stay in flight."""
+        """Transfers the lease to another core; calls of the previous holder stay in flight."""
         self.fence += 1
         self.holder = Provisioner(self.state, ServerPort(), f"core-{self.fence}", self.now)
         self.schedule(timedelta(0), "tick", self.holder)
