--- a/sumachook/configuration/tenant.py
+++ b/sumachook/configuration/tenant.py
@@ -7,7 +7,7 @@
 
 from sumachook.configuration.bounds import ItemName
 
-FLOOR, CEILING = 0.5, 1.0  # defaults, as fractions of the quota
+FLOOR, CEILING = 0.5, 1.0  # default floor and ceiling, as fractions of the quota
 PerSecond = Annotated[float, Meta(gt=0, le=1e9)]
 QuotaFraction = Annotated[float, Meta(gt=0, le=1000)]
 # The name is sent to servers in a request header, so control characters are not allowed.
--- a/sumachook/forwarding/request_table.py
+++ b/sumachook/forwarding/request_table.py
@@ -16,7 +16,7 @@
 from sumachook.requests import request_table
 from sumachook.runtime.cluster_clock import UNIX_EPOCH
 
-USED_FRACTION = 0.9  # usable fraction of a server's connections; the rest covers edges that disagree on their number
+USED_FRACTION = 0.9  # usable fraction of a server's connections; the rest covers disagreement on the edge count
 OVERPROVISIONING_FACTOR = 1.5  # over-provisions an edge's connection share, so that uneven load fits
 DEFAULT_CONNECTIONS = 2.0  # connections to a server whose service is not in the catalogue
 MAX_KEPT_CONNECTIONS = 4  # maximum idle connections that an edge keeps to one server
--- a/sumachook/inference/request_table.py
+++ b/sumachook/inference/request_table.py
@@ -51,7 +51,7 @@
         self.waiting_lookups: list[InferenceRequest] = []
         self.demand: dict[str, float] = {}  # requests by model or adapter since the last demand report
         self.service_time: dict[str, float] = {}  # moving average of the seconds per prompt, by queue
-        # membership of the edges
+        # edges that share the servers, and what is known of them
         self.edges: tuple[str, ...] = (node,)  # names of the live edges
         self.peers: tuple[str, ...] = (node,)  # names of the edges that were live within the last minute
         self.knows_edges = False  # False until the first member list is received
--- a/sumachook/nodes/core_peers.py
+++ b/sumachook/nodes/core_peers.py
@@ -6,7 +6,7 @@
 
 
 class CorePeers:
-    """Looks up names, addresses and restart epochs of other nodes."""
+    """Looks up names, addresses and restart epochs of other nodes in the membership and the control state."""
 
     __slots__ = ("node", "restart_epoch", "membership", "state")
 
--- a/sumachook/nodes/edge_shutdown.py
+++ b/sumachook/nodes/edge_shutdown.py
@@ -10,7 +10,8 @@
 from sumachook.requests.events import DrainEnded, ProxyServerClosed
 
 FINAL_ANSWERS_BEFORE_END = timedelta(seconds=0.8)  # open requests are answered this long before the grace period ends
-MIN_OPEN_TIME = timedelta(seconds=2.5)  # minimum time, in which load balancers notice that this edge is not ready
+# Minimum time after the stop signal for accepting requests, until load balancers see that the edge is not ready.
+MIN_OPEN_TIME = timedelta(seconds=2.5)
 # Fraction of the grace period in which requests are accepted: the response to a later one might be cut off at its end.
 MAX_OPEN_FRACTION = 0.36
 QUIET_TIME = timedelta(seconds=1)  # time without a request that shows that load balancers send no more clients
--- a/sumachook/nodes/edge_tick.py
+++ b/sumachook/nodes/edge_tick.py
@@ -22,7 +22,7 @@
 
 DISCONNECTED_AFTER = timedelta(seconds=2)  # time without proof of a fresh state after which an edge is disconnected
 EDGES_KNOWN_AFTER = timedelta(seconds=3)  # time after the start when the membership is taken as complete
-CLOCK_KNOWN_AFTER = EDGES_KNOWN_AFTER * 10  # time after the start when the cluster time is taken as known
+CLOCK_KNOWN_AFTER = EDGES_KNOWN_AFTER * 10  # time after the start when the cluster time counts as known, agreed or not
 PLACEMENT_RETRY_INTERVAL = timedelta(seconds=0.1)
 DEMAND_INTERVAL = timedelta(seconds=1)
 
--- a/sumachook/placement/inventory_reader.py
+++ b/sumachook/placement/inventory_reader.py
@@ -204,7 +204,7 @@
         )
 
     def _propose(self, servers: dict[str, Server], based_on: int) -> list[Effect]:
-        """Proposes changed servers, unless the state has changed too; followers need two identical lists."""
+        """Proposes changed servers, unless the state changed them since the poll; followers need two equal lists."""
         was_seen = self.last_read == servers
         self.last_read = servers
         if servers == self.state.servers or based_on != self.state.servers_changed_at or not self.is_fresh:
--- a/sumachook/quotas/effects.py
+++ b/sumachook/quotas/effects.py
@@ -20,7 +20,7 @@
 
 
 class AdmissionDenied(AdmissionDecision, frozen=True):
-    """Denies the request; `record_fields` are added to its log record."""
+    """Denies the request; `record_fields` are added to its closing record in the ledger."""
 
     reason: str
     retry_after_s: float
--- a/sumachook/quotas/rate_limiter.py
+++ b/sumachook/quotas/rate_limiter.py
@@ -395,7 +395,7 @@
         }
 
     def _decide_overdue(self, quota: TenantQuota, now: timedelta) -> list[Output]:
-        """Decides pending requests whose deadline has passed from this edge's part of the floor."""
+        """Decides requests past their `decide_by`: admits them from this edge's part of the floor if it covers them."""
         outputs: list[Output] = []
         for key, pending in list(quota.pending.items()):
             if now < pending.decide_by:
--- a/sumachook/quotas/tenant_budget.py
+++ b/sumachook/quotas/tenant_budget.py
@@ -108,7 +108,7 @@
         return share
 
     def note_requested(self, requests: float, tokens: float) -> None:
-        """Counts requests, admitted or denied, against the floor; the debt is capped at `DEMAND_MEMORY_S` of it."""
+        """Counts requests, admitted or denied, against the floor; caps the debt at `DEMAND_MEMORY_S` of its rate."""
         self.requested.withdraw(requests, tokens)
         lowest = (-DEMAND_MEMORY_S * figure for figure in self.terms.floor)
         self.requested.levels = Amounts(*map(max, self.requested.levels, lowest))
--- a/sumachook/quotas/usage.py
+++ b/sumachook/quotas/usage.py
@@ -7,7 +7,7 @@
 from sumachook.host.events import MessageReceived
 from sumachook.quotas.terms import QuotaTerms
 
-REPORT_LIFETIME = timedelta(seconds=5)  # lifetime of a report; edges send one every second
+REPORT_LIFETIME = timedelta(seconds=5)  # time after which an edge's report is dropped; edges send one every second
 
 
 class EdgeReport(NamedTuple):
--- a/sumachook/requests/in_flight_request.py
+++ b/sumachook/requests/in_flight_request.py
@@ -91,7 +91,7 @@
     @property
     def is_at_server(self) -> bool:
         """Whether an attempt is in progress at a server."""
-        return self.state is _ATTEMPTING or self.state is _STREAMING  # runs on every event; avoids hashing the enum
+        return self.state is _ATTEMPTING or self.state is _STREAMING  # called on every event; avoids hashing the enum
 
     @property
     def run_status(self) -> RunStatus:
--- a/sumachook/retry_budget/budget.py
+++ b/sumachook/retry_budget/budget.py
@@ -16,7 +16,7 @@
 # Share of the slack that all balances may add up to; the rest covers edges that do not know each other yet.
 TOTAL_BALANCE_SHARE = 0.8
 LOAN_LIFETIME = timedelta(seconds=1)  # lifetime of borrowed credit above the cap, which is for requests that wait now
-RETENTION = timedelta(minutes=1)  # loan ids and buckets are kept this long after their last use
+RETENTION = timedelta(minutes=1)  # time after their last use for which loan ids and buckets are kept
 
 
 def service_key(service: str) -> str:
