--- a/sumachook/forwarding/access.py
+++ b/sumachook/forwarding/access.py
@@ -59,7 +59,7 @@
         return AccessDecision(owner)
 
     def priority_of(self, tenant: Tenant | None) -> int:
-        """Returns the priority of a tenant; a request without one gets the lowest priority of any tenant."""
+        """Returns the priority of a tenant; a request without a tenant gets the lowest priority of all."""
         return self.lowest_priority if tenant is None else tenant.priority
 
 
@@ -107,7 +107,7 @@
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.secret = b""  # keys the digests of API keys; drawn at random when a configuration first has one
+        self.secret = b""  # secret for the digests of API keys; drawn when a configuration first has one
         self.rules = AccessRules.none()
         self.urgency_scale = UrgencyScale((), ())
         self.credential_lifetime: timedelta | None = None
--- a/sumachook/quotas/rate_limiter.py
+++ b/sumachook/quotas/rate_limiter.py
@@ -26,18 +26,18 @@
 
 MILLISECOND = timedelta(milliseconds=1)
 
-# leases
+# requests for leases
 LEASE = MILLISECOND * 400  # lease duration, counted from when the request was sent
 REQUEST_INTERVAL = MILLISECOND * 100  # minimum interval between requests while one is unanswered
 ISSUER_TIMEOUT = MILLISECOND * 200  # time without a response from the issuer after which the edge enters local mode
 PROBE_INTERVAL = MILLISECOND * 200  # interval between probes of the issuer in local mode
-EXHAUSTED_FOR = MILLISECOND * 100  # after a denial, further requests are denied without asking the issuer
+EXHAUSTED_FOR = MILLISECOND * 100  # time after a denial in which requests are denied without asking the issuer
 MAX_PENDING = 512  # maximum number of pending requests per tenant
 MAX_PENDING_PER_MESSAGE = 64
 MIN_PROBE_DEMAND_PER_S = 0.1  # tenants with less demand are left out of probes
 
 # leases prefetched ahead of demand
-PREFETCH_S = 0.15  # seconds of demand to prefetch
+PREFETCH_S = 0.15  # prefetched leases cover this many seconds of demand
 PREFETCH_INTERVAL = MILLISECOND * 50
 
 # maximum wait of a pending request: a fraction of its patience, capped at the two limits below
@@ -395,7 +395,7 @@
         }
 
     def _decide_overdue(self, quota: TenantQuota, now: timedelta) -> list[Output]:
-        """Decides pending requests whose deadline has passed from this edge's part of the floor."""
+        """Decides requests past their `decide_by`: admits them from this edge's part of the floor if it covers them."""
         outputs: list[Output] = []
         for key, pending in list(quota.pending.items()):
             if now < pending.decide_by:
--- a/sumachook/quotas/tenant_budget.py
+++ b/sumachook/quotas/tenant_budget.py
@@ -8,13 +8,13 @@
 from sumachook.quotas.terms import QuotaTerms
 
 RECENT = timedelta(seconds=1)  # window over which grants, demand and denials are summed
-SHARE_BURST_S = 0.25  # seconds of its share that an edge may accumulate
+SHARE_BURST_S = 0.25  # burst of an edge, in seconds at its share of the ceiling rate
 MIN_SHARE = 1e-3  # fraction of the ceiling for an edge with almost no demand
 DEMAND_MEMORY_S = 10.0  # seconds for which requests beyond the floor count against a tenant
 
 # The smaller of these is reserved in the ceiling's bucket for the edges' own shares; any edge may use the rest.
-RESERVED_S = 0.1  # reserve in seconds at the ceiling rate
-RESERVED_PART = 0.25  # reserve as a fraction of the burst
+RESERVED_S = 0.1  # reserved amount, in seconds at the ceiling rate
+RESERVED_PART = 0.25  # reserved amount, as a fraction of the burst
 
 
 class EdgeDemand(NamedTuple):
@@ -25,7 +25,7 @@
 
 
 class IssuedGrant(NamedTuple):
-    """Requests and tokens granted at one time."""
+    """The requests and tokens of one grant, and its time."""
 
     at: timedelta
     requests: float
@@ -108,7 +108,7 @@
         return share
 
     def note_requested(self, requests: float, tokens: float) -> None:
-        """Counts requests, admitted or denied, against the floor; the debt is capped at `DEMAND_MEMORY_S` of it."""
+        """Counts requests, admitted or denied, against the floor; caps the debt at `DEMAND_MEMORY_S` of its rate."""
         self.requested.withdraw(requests, tokens)
         lowest = (-DEMAND_MEMORY_S * figure for figure in self.terms.floor)
         self.requested.levels = Amounts(*map(max, self.requested.levels, lowest))
--- a/sumachook/quotas/usage.py
+++ b/sumachook/quotas/usage.py
@@ -7,7 +7,7 @@
 from sumachook.host.events import MessageReceived
 from sumachook.quotas.terms import QuotaTerms
 
-REPORT_LIFETIME = timedelta(seconds=5)  # lifetime of a report; edges send one every second
+REPORT_LIFETIME = timedelta(seconds=5)  # time after which an edge's report is dropped; edges send one every second
 
 
 class EdgeReport(NamedTuple):
@@ -38,7 +38,7 @@
 
     def __init__(self, state: Any):
         self.state = state
-        self.reports: dict[str, EdgeReport] = {}  # by edge
+        self.reports: dict[str, EdgeReport] = {}  # latest report by edge
 
     def take(self, event: MessageReceived, now: timedelta) -> list[Effect]:
         """Stores a received `UsageReport` and drops the expired ones."""
--- a/sumachook/retry_budget/budget.py
+++ b/sumachook/retry_budget/budget.py
@@ -15,8 +15,8 @@
 LOG_INTERVAL = timedelta(seconds=2)
 # Share of the slack that all balances may add up to; the rest covers edges that do not know each other yet.
 TOTAL_BALANCE_SHARE = 0.8
-LOAN_LIFETIME = timedelta(seconds=1)  # borrowed credit above the cap is for requests that wait now, so it expires
-RETENTION = timedelta(minutes=1)  # loan ids and buckets are kept this long after their last use
+LOAN_LIFETIME = timedelta(seconds=1)  # lifetime of borrowed credit above the cap, which is for requests that wait now
+RETENTION = timedelta(minutes=1)  # time after their last use for which loan ids and buckets are kept
 
 
 def service_key(service: str) -> str:
@@ -196,7 +196,7 @@
         return [Send(address, CreditReport(balances)) for address in broker_addresses] if balances else []
 
     def _log(self, now: timedelta) -> list[Effect]:
-        """Logs the retries paid for and denied since the last line, by service; logs nothing if there were none."""
+        """Logs the retries granted and denied since the last line, by service; logs nothing if there were none."""
         if now < self._next_log_at:
             return []
         self._next_log_at = now + LOG_INTERVAL
