--- a/harness/experiments/allowances.py
+++ b/harness/experiments/allowances.py
@@ -253,7 +253,7 @@
         fault_injection.judged,
         fault_injection.wait,
         found,
-        fault_injection.injected_faults,
+        fault_injection.told,
     )
 
 
