--- a/sumachook/configuration/references.py
+++ b/sumachook/configuration/references.py
@@ -1,42 +1,42 @@
-"""Rules between the items of a configuration document: unique names, references that lead somewhere, sums that fit.
+"""Validation rules across the items of a configuration document: unique names, existing references, limits on sums.
 
-Each rule names the top-level fields that it reads, so that a change is checked only by the rules that it can break.
+Each rule declares the top-level fields that it reads, so that a change is checked only by the rules it can violate.
 """
 
 from collections.abc import Callable, Container, Iterator
 from typing import NamedTuple
 
-from sumachook.configuration.document_items import NAMED_PARTS, Document, Items, is_number, items_of, names_of
+from sumachook.configuration.document_items import NAMED_LISTS, Document, Items, is_number, items_of, names_of
 from sumachook.configuration.issue import ConfigurationIssue
 from sumachook.configuration.store import Store
 from sumachook.configuration.tenancy import tenancy_issues
 from sumachook.policies.errors import InvalidPolicyError
 from sumachook.policies.policy import ROLES, compile_policy
 
-MAX_ENGINE_MODELS = 2000  # each of them is considered whenever a server is selected
+MAX_ENGINE_MODELS = 2000  # each server selection iterates over all of them
 
 
 class Rule(NamedTuple):
-    """`find(document)` yields each issue; its answer depends on the fields `reads` alone."""
+    """A validation rule: `find(document)` yields its issues and depends only on the fields in `reads`."""
 
     reads: frozenset[str]
     find: Callable[[Document], Iterator[ConfigurationIssue]]
 
 
 def reference_issues(document: Document) -> Iterator[ConfigurationIssue]:
-    """Every issue between the items of a document, as far as it can be read."""
+    """Yields the issues of all rules; parts of the document with a wrong structure are skipped."""
     for rule in RULES:
         yield from rule.find(document)
 
 
 def route_key(route: Document) -> tuple[str, str] | None:
-    """What a forwarding route matches, or None where that can't be read."""
+    """Returns the host, in lower case, and the prefix that a route matches, or None if either is not a string."""
     host, prefix = route.get("host"), route.get("prefix")
     return (host.lower(), prefix) if isinstance(host, str) and isinstance(prefix, str) else None
 
 
 def service_issues(index: int, service: Document) -> Iterator[ConfigurationIssue]:
-    """Models of one engine bear different names, and are not too many to be weighed one by one."""
+    """Yields issues of an engine's models: duplicate names, or more models than `MAX_ENGINE_MODELS`."""
     engine = service.get("engine")
     models = items_of(engine, "models") if isinstance(engine, dict) else []
     if len(models) > MAX_ENGINE_MODELS:
@@ -47,7 +47,7 @@
 
 
 def split_issues(index: int, route: Document, services: Container[str]) -> Iterator[ConfigurationIssue]:
-    """A forwarding route leads to services that there are, with some weight."""
+    """Yields issues of a route's split: unknown services, or weights that sum to 0."""
     if not isinstance(route.get("split"), (list, tuple)):
         return
     is_weighted = False
@@ -122,7 +122,7 @@
 
 
 def _http_route_issues(document: Document) -> Iterator[ConfigurationIssue]:
-    """Each route leads to services that there are, with some weight, and no two match the same."""
+    """Yields issues of forwarding routes: invalid splits, or two routes with the same host and prefix."""
     services = names_of(document, "services")
     matches: dict[tuple[str, str], int] = {}
     for index, route in items_of(document, "httpRoutes"):
@@ -161,7 +161,7 @@
 TENANCY = Rule(frozenset({"callers", "httpRoutes", "tenants", "capacity"}), tenancy_issues)
 
 RULES = (
-    *(DUPLICATE_HTTP_ROUTES if part == "httpRoutes" else _duplicates_in(part) for part in NAMED_PARTS),
+    *(DUPLICATE_HTTP_ROUTES if part == "httpRoutes" else _duplicates_in(part) for part in NAMED_LISTS),
     Rule(frozenset({"areas"}), _zone_issues),
     Rule(frozenset({"models", "adapters"}), _adapter_issues),
     Rule(frozenset({"lines", "callers"}), _caller_issues),
