--- a/harness/experiments/allowances.py
+++ b/harness/experiments/allowances.py
@@ -272,7 +272,7 @@
         fault_injection.checked_calls,
         fault_injection.p99_wait_ms,
         found,
-        fault_injection.injected_faults,
+        fault_injection.told,
     )
 
 
