--- a/sumachook/changefeed/events.py
+++ b/sumachook/changefeed/events.py
@@ -27,4 +27,4 @@
 
 
 class ServeRequested(Event, frozen=True):
-    """Requests that entries be sent to followers now, after all that were delivered together have been applied."""
+    """Requests sending to followers now, after the state has applied all entries that were delivered together."""
--- a/sumachook/changefeed/follower.py
+++ b/sumachook/changefeed/follower.py
@@ -17,12 +17,12 @@
 from sumachook.runtime.monotonic_value import MonotonicValue
 from sumachook.transport.codec import read_entry
 
-# Why these timeouts keep connected edges up to date in time: docs/design.md, "Edges behind a core that is cut off".
+# How these timeouts limit the lag of a connected edge: docs/design.md, "Edges behind a core that is cut off".
 PROOF_TIMEOUT = timedelta(seconds=1)  # without a proof of freshness for so long, the follower switches to another core
-ANSWER_TIMEOUT = timedelta(seconds=0.4)  # a fresh core answers a request at once
-MAX_ANSWER_TIMEOUT_FACTOR = 1.5  # maximum back-off while no core answers, to spare busy cores
-MAX_LAG = timedelta(seconds=0.5)  # how long other members may have changes that the upstream core does not send
-PROOF_LIFETIME = timedelta(seconds=3)  # so long after its last proof the state counts as disconnected
+ANSWER_TIMEOUT = timedelta(seconds=0.4)  # a request counts as unanswered after this time; a fresh core answers at once
+MAX_ANSWER_TIMEOUT_FACTOR = 1.5  # maximum factor of `ANSWER_TIMEOUT` while no core answers, to spare busy cores
+MAX_LAG = timedelta(seconds=0.5)  # how long the upstream core may lack changes that other members have
+PROOF_LIFETIME = timedelta(seconds=3)  # how long the state counts as fresh after the last proof of its freshness
 MAX_TICK_GAP = timedelta(seconds=1)  # a longer gap between ticks means that the process was paused
 NEVER = timedelta(days=365)  # age of an event that has not happened yet
 
--- a/sumachook/changefeed/messages.py
+++ b/sumachook/changefeed/messages.py
@@ -11,7 +11,7 @@
 
 
 class Snapshot(NodeMessage, frozen=True, tag="image"):
-    """Carries the packed state up to change `number`, if the changes themselves are evicted or longer."""
+    """Carries the packed state up to change `number`, sent if the changes up to it are evicted or exceed a batch."""
 
     number: int
     packed: bytes
--- a/sumachook/changefeed/source.py
+++ b/sumachook/changefeed/source.py
@@ -28,7 +28,7 @@
 MAX_BATCH_ENTRIES = 64
 MAX_BATCH_BYTES = 1 << 20  # a quarter of the maximum frame size (`transport/codec.py`)
 HEARTBEAT_INTERVAL = timedelta(seconds=0.25)  # a follower abandons a core after four intervals without proof
-FOLLOWER_TIMEOUT = timedelta(seconds=3)  # a follower confirms each heartbeat; a silent one has switched to another core
+FOLLOWER_TIMEOUT = timedelta(seconds=3)  # a follower confirms each heartbeat; a silent one follows another core
 
 
 @dataclass(slots=True)
@@ -153,7 +153,7 @@
         return [effect for follower in self.followers.values() for effect in self._serve(follower, now)]
 
     def _serve(self, follower: Subscriber, now: timedelta) -> list[Send]:
-        """Returns the next entries for a follower, or a snapshot if that is shorter or entries were evicted."""
+        """Returns the next entries for a follower, or a snapshot if these exceed a batch or some were evicted."""
         if follower.sent >= self.state.number or not self.is_fresh(now):
             return []
         if follower.sent + 1 < self.first_number or self._exceeds_batch(follower.sent):
--- a/sumachook/consensus/candidate.py
+++ b/sumachook/consensus/candidate.py
@@ -40,7 +40,7 @@
     def __init__(self, state: ReplicaState, slow_members: SlowMembers, installer: Installer, now: timedelta) -> None:
         self.state, self.slow_members, self.installer = state, slow_members, installer
         self.granted_by: set[str] = set()
-        self.run_numbers: dict[str, int] = {}  # sent by restarted voters, which an older lease may still bind
+        self.run_numbers: dict[str, int] = {}  # by name of a restarted voter, which an older lease may still bind
         self.token, self.is_unanimous = 0, False
         self.promises: dict[str, Promise] = {}
         self.suspected: set[str] = set()
@@ -114,7 +114,7 @@
         return [state.append_records(records, CandidacySynced(state.candidacy))]
 
     def start_without(self, late: set[str], now: timedelta) -> list[Effect]:
-        """Restarts the election without these members, which made no progress in installing the last view."""
+        """Restarts the election without the members that made no progress in installing the last view."""
         for name in late:
             self.slow_members.add(name, now)
         return self.start(now, late)
@@ -213,7 +213,7 @@
         return members
 
     def _is_lagging(self, name: str) -> bool:
-        """Whether this voter's log lacks entries of more than `CHUNK_BYTES` in total."""
+        """Whether the named voter's log lacks entries of more than `CHUNK_BYTES` in total."""
         log, promise = self.state.log, self.promises[name]
         known = promise.end if log.digest_at(promise.end) == promise.digest else promise.delivered
         return known < log.base or log.bytes_after(known) > CHUNK_BYTES
--- a/sumachook/consensus/catch_up.py
+++ b/sumachook/consensus/catch_up.py
@@ -66,7 +66,7 @@
         log = self.state.log
         if not message.is_match or log.digest_at(self.cursor) != message.previous:
             if self.cursor == self.followed.matched:
-                return []  # the leader is about to install another view
+                return []  # the matched prefix differs too: the leader is about to install another view
             self.cursor = self.followed.matched
             return self._fetch_next(now)
         out = self.followed.merge_entries(message.first, message.entries)
--- a/sumachook/consensus/departure.py
+++ b/sumachook/consensus/departure.py
@@ -24,7 +24,7 @@
         self.has_departed = False
 
     def begin(self, now: timedelta) -> list[Effect]:
-        """Starts the shutdown; a replica without voting members departs at once."""
+        """Starts the shutdown; a blank replica, which knows no voting members, departs at once."""
         if self.begun_at is not None:
             return []
         self.state.is_leaving = True
@@ -49,7 +49,7 @@
         return [Send(address, ReplicaLeaving(state.name))]
 
     def _is_removed(self) -> bool:
-        """Whether this replica is no voter any more, by a committed change; a leader may commit its own removal."""
+        """Whether a committed change has removed this replica from the voters; a leader may commit its own removal."""
         state = self.state
         return not state.is_voter and state.log.last_voting_members_change <= state.committed
 
--- a/sumachook/consensus/effects.py
+++ b/sumachook/consensus/effects.py
@@ -8,7 +8,7 @@
 
 
 class Deliver(Effect, frozen=True):
-    """Apply the committed entry of this number."""
+    """Apply the committed log entry `number` to the state machine."""
 
     number: int
     entry: bytes
--- a/sumachook/consensus/followed_log.py
+++ b/sumachook/consensus/followed_log.py
@@ -13,7 +13,7 @@
 class FollowedLog:
     """Appends entries of the current leader, and delivers those that match, are committed and are durable.
 
-    `matched` is the end of the log prefix that matches the leader's, `stored` the end of the part of it submitted to
+    `matched` is the end of the log prefix that matches the leader's, `submitted` the end of the part of it sent to
     the disk under this leader, and `state.synced` the end of the part that is durable.
     """
 
--- a/sumachook/consensus/follower.py
+++ b/sumachook/consensus/follower.py
@@ -36,7 +36,7 @@
     # installation of a view
 
     def on_install(self, sender: str, address: str, message: Install, now: timedelta) -> list[Effect]:
-        """Joins the view at once if the message carries all missing entries, else after fetching the others."""
+        """Joins the view at once if `Install` carries all missing entries, else after fetching them from the leader."""
         state, view = self.state, message.view
         if view < max(state.promised, state.followed) or state.name not in message.members:
             return []
@@ -44,7 +44,7 @@
             return [Send(address, Installed(view, message.end))] if self.synced_view == view else []
         self._follow(sender, address, view, now)
         if self.joining is not None and self.joining.view == view and state.role is Role.JOINING:
-            return self.catch_up.fetch(now)  # the leader has resent the message
+            return self.catch_up.fetch(now)  # the leader has resent `Install`
         state.promised, state.role, self.joining = view, Role.JOINING, message
         self.followed.record_leader_progress(0, message.end)
         agrees = state.log.digest_at(message.first - 1) == message.previous
@@ -135,7 +135,7 @@
         return out
 
     def _restore_membership(self, message: Heartbeat) -> None:
-        """Restores membership after an abandoned pre-vote or a restart; every entry it acknowledged is durable."""
+        """Rejoins the installed view after an abandoned pre-vote or a restart; all acknowledged entries are durable."""
         state, view = self.state, message.view
         if state.role is Role.PRE_VOTING or (state.role is Role.MEMBER and view > state.view):
             state.role = Role.IDLE
--- a/sumachook/consensus/leader.py
+++ b/sumachook/consensus/leader.py
@@ -64,7 +64,7 @@
         if state.leader != state.name:
             self.leading_since = now
         state.leader, state.leader_address, state.leader_heard_at = state.name, state.address, now
-        for name in state.voting_members.addresses:  # non-members count as absent since last heard
+        for name in state.voting_members.addresses:  # a voter outside the view counts as absent since it was heard
             state.heard_at[name] = now if name in state.members else state.heard_at.get(name, now)
 
     def lead(self, now: timedelta) -> list[Effect]:
@@ -210,7 +210,7 @@
         if message.promised <= state.view:
             self.lease.record_ack(sender, message.round)
         elif sender in state.members:
-            state.back_off(now)  # a member promised a higher view while this replica was away: this view ended
+            state.back_off(now)  # a member has promised a higher view, so this replica's view has ended
             return []
         if state.role is not Role.LEADING:
             return []
--- a/sumachook/consensus/lease.py
+++ b/sumachook/consensus/lease.py
@@ -71,7 +71,7 @@
         self.run_number = 0  # number of this process run until its first acknowledgement, then 0
 
     def start(self, now: timedelta, run_number: int) -> None:
-        """Binds the replica after a restart with a non-blank disk; `run_number` is not 0, one per process run."""
+        """Binds a restarted, non-blank replica to an unknown leader; `run_number` (not 0) identifies the process."""
         self.bound_until, self.view, self.run_number = now + LEASE_GUARD, NO_VIEW, run_number
 
     def acknowledge(self, view: ViewId, now: timedelta) -> None:
@@ -126,7 +126,7 @@
     def confirm(self, echo: int) -> None:
         """Marks the state as complete at the time at which this replica sent the echoed round.
 
-        The echo must come from a leader with a lease, and all that it had committed must be delivered here.
+        The echo must come from a leader with a lease, and this replica must have delivered every entry committed by it.
         """
         sent_at = self.rounds.sent_at.get(echo)
         if sent_at is not None:
@@ -137,6 +137,6 @@
         return self.complete_as_of is not None and now - self.complete_as_of < FRESH_FOR
 
     def invalidate(self) -> None:
-        """Discards all acknowledgements and rounds, which ends the lease."""
+        """Discards all rounds and the time of completeness, so that the state does not count as fresh."""
         self.rounds.sent_at.clear()
         self.complete_as_of = None
--- a/sumachook/consensus/log_server.py
+++ b/sumachook/consensus/log_server.py
@@ -23,7 +23,7 @@
         self.queued: dict[str, tuple[str, Fetch]] = {}
 
     def on_fetch(self, sender: str, address: str, message: Fetch, now: timedelta) -> list[Effect]:
-        """Answers a `Fetch` at once, or at the next tick if the replica has already got data since the last one."""
+        """Answers a `Fetch` at once, or at the next tick if the replica was already sent data since the last tick."""
         state = self.state
         if state.role not in (Role.LEADING, Role.INSTALLING) or message.view != state.view:
             return []
--- a/sumachook/consensus/messages.py
+++ b/sumachook/consensus/messages.py
@@ -46,7 +46,7 @@
 
 
 class PreVote(Message, frozen=True, tag="canvass"):
-    """Asks whether the receiver would promise `view` to the sender, whose log ends at `end`; `token` is repeated."""
+    """Asks whether the receiver would promise `view` to the sender, whose log ends at `end`; a grant repeats `token`."""
 
     view: ViewId
     installed: ViewId
@@ -102,7 +102,7 @@
 
 
 class Install(Message, frozen=True, tag="install"):
-    """Installs a view at a member: the members, the end of the log, and the entries from `first` that fit."""
+    """Installs a view at a member: the members, the end of the log, and as many entries from `first` on as fit."""
 
     view: ViewId
     members: tuple[str, ...]
--- a/sumachook/consensus/proposals.py
+++ b/sumachook/consensus/proposals.py
@@ -39,7 +39,7 @@
 
 
 class ProposalAssembler:
-    """Reassembles changes from parts, one per sender; a lost part drops the change, which its sender proposes again."""
+    """Reassembles changes from parts, one change per sender; a lost part drops it, and its sender proposes it again."""
 
     __slots__ = ("partial",)
 
@@ -68,18 +68,18 @@
 
 
 class Proposals:
-    """Forwards changes to the leader; during a view change they wait up to `PROPOSAL_TIMEOUT` for the next one."""
+    """Forwards changes to the leader; without a leader they wait for one up to `PROPOSAL_TIMEOUT`."""
 
     __slots__ = ("state", "leader", "assembler", "number", "pending")
 
     def __init__(self, state: ReplicaState, leader: Leader) -> None:
         self.state, self.leader = state, leader
         self.assembler = ProposalAssembler()
-        self.number = state.random.getrandbits(NONCE_BITS)  # random: parts sent by a previous process do not match
+        self.number = state.random.getrandbits(NONCE_BITS)  # random, so that parts from a previous process do not match
         self.pending: list[_Pending] = []
 
     def propose(self, change: Any, now: timedelta) -> list[Effect]:
-        """Appends the change as leader, forwards it to the leader, or queues it until there is one."""
+        """Appends the change as leader, forwards it to the leader, or queues it until a leader is known."""
         if self._can_append():
             return self.leader.propose(change, now)
         if address := self._leader_address(now):
@@ -91,7 +91,7 @@
         return []
 
     def on_propose(self, sender: str, message: Propose, now: timedelta) -> list[Effect]:
-        """Appends a change received from another replica; passes it on while leadership is being handed over."""
+        """Appends a change received from another replica; forwards it while leadership is being handed over."""
         change = self.assembler.add_part(sender, message, now)
         is_handing_over = self.state.is_leaving or self.state.role in (Role.PREPARING, Role.INSTALLING)
         if change is None or not (self._can_append() or is_handing_over):
--- a/sumachook/consensus/replica.py
+++ b/sumachook/consensus/replica.py
@@ -34,7 +34,7 @@
 
 
 class Replica:
-    """A replica as a state machine without I/O: `take` handles an event at a time and returns effects for the host."""
+    """A replica as a state machine without I/O: `take` handles one event and returns effects for the host."""
 
     __slots__ = (
         "state",
@@ -141,7 +141,7 @@
             case events.Tick(cores):
                 out = self._tick(cores, now)
             case MessageReceived(sender, _, _) if sender == self.state.name:
-                return []  # this replica's own message, sent to a replica that had the same address before
+                return []  # sent by this replica to a replica that used this address before
             case MessageReceived(sender, address, message):
                 self.candidate.suspected.discard(sender)  # a replica that sends a message is no longer suspected
                 out = self._receive(sender, address, message, now)
@@ -164,7 +164,7 @@
         return out + self.proposals.process_pending(now) + self.reads.process_waiting(now)
 
     def _handle_tick_gap(self, now: timedelta) -> None:
-        """Drops leases and freshness after a pause of the process; a long pause also ends leadership or an election."""
+        """Ends leases and freshness after a pause of the process; a long pause also ends leadership or an election."""
         gap = now - self.last_tick
         if gap > MAX_TICK_GAP:
             self.leader.lease.invalidate()
--- a/sumachook/consensus/slow_members.py
+++ b/sumachook/consensus/slow_members.py
@@ -13,7 +13,7 @@
 
 
 class SlowMembers:
-    """Excludes slow replicas with exponential back-off: repeated failures double the time, up to `MAX_EXCLUSION`.
+    """Excludes slow replicas with exponential backoff: a repeated failure doubles the time, up to `MAX_EXCLUSION`.
 
     >>> second, slow_members = timedelta(seconds=1), SlowMembers()
     >>> slow_members.add("c", second)
--- a/sumachook/consensus/state.py
+++ b/sumachook/consensus/state.py
@@ -140,7 +140,7 @@
         return self.role in (Role.IDLE, Role.PRE_VOTING) and now - self.leader_heard_at > REMOVAL_SUSPECTED_AFTER
 
     def next_view(self) -> ViewId:
-        """Returns a view of this replica with a higher number than any known view."""
+        """Returns a view ID with this replica as leader and a higher number than any known view."""
         highest = max(
             self.promised.number,
             self.view.number,
@@ -153,7 +153,7 @@
     # operations
 
     def back_off(self, now: timedelta, pause: timedelta = timedelta(0)) -> None:
-        """Stops leading or an election, and waits a random 0.2 to 0.9 s plus `pause` before the next election."""
+        """Ends leadership or an election, and waits a random 0.2 to 0.9 s plus `pause` before the next election."""
         self.role = Role.IDLE
         self.next_election_at = now + timedelta(seconds=self.random.uniform(0.2, 0.9)) + pause
 
--- a/sumachook/control_state/accepted_versions.py
+++ b/sumachook/control_state/accepted_versions.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Self
 
-MAX_ACCEPTED_VERSIONS = 1024  # a digest of 32 hex digits for each: about 50 kB of a snapshot
+MAX_ACCEPTED_VERSIONS = 1024  # versions kept; with a digest of 32 hex digits each, about 50 kB of a snapshot
 
 
 @dataclass(slots=True)
--- a/sumachook/control_state/change_attempts.py
+++ b/sumachook/control_state/change_attempts.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-DIGEST_HEX_DIGITS = 32  # of the 64 of SHA-256; enough that no two contents of one cluster collide by chance
+DIGEST_HEX_DIGITS = 32  # of the 64 hex digits of SHA-256; contents of one cluster then do not collide by chance
 
 
 class Attempt(NamedTuple):
@@ -25,7 +25,7 @@
 def is_overtaken(seen: int | None, number: int) -> bool:
     """Returns whether a core accepted a call before it had delivered change `number`.
 
-    The proposal may then be a copy that was delayed in a buffer and whose caller was answered long ago. `seen` is
+    The proposal may then be a copy that was delayed in a buffer and whose operator was answered long ago. `seen` is
     None if unknown.
     """
     return seen is not None and seen < number
--- a/sumachook/control_state/changes.py
+++ b/sumachook/control_state/changes.py
@@ -63,7 +63,7 @@
 
 
 class OperatorChange(Change, frozen=True):
-    """Base class of the changes that operators request; `request` is the caller's request id, "" if it gave none."""
+    """Base class of the changes that operators request; `request` is the operator's request id, "" if none was given."""
 
     request: str
 
@@ -121,13 +121,13 @@
 
 
 class Evacuate(OperatorChange, frozen=True, tag="evacuate"):
-    """Evacuates an area: it gets no requests until it is restored."""
+    """Evacuates a zone: it gets no requests until it is restored."""
 
     zone: str
 
 
 class Restore(OperatorChange, frozen=True, tag="restore"):
-    """Reopens an evacuated area for requests."""
+    """Reopens an evacuated zone for requests."""
 
     zone: str
 
@@ -163,7 +163,7 @@
 
 
 class UpdateServers(Change, frozen=True, tag="servers"):
-    """Replaces the servers, by name; `basis` is the number of the change that set the list they were compared with."""
+    """Replaces the servers, by name; `basis` is the number of the change that set the list to be replaced."""
 
     basis: int
     servers: dict[str, Any]
--- a/sumachook/control_state/configurations.py
+++ b/sumachook/control_state/configurations.py
@@ -129,7 +129,7 @@
 
 
 def _resulting_document(state: StateFields, change: changes.Configure) -> tuple[Any, tuple[ConfigurationIssue, ...]]:
-    """Returns the whole document that a change on the version in force results in, or issues found without it."""
+    """Returns the whole document that results from a change of the version in force, or the issues that prevent it."""
     version = version_of(change.document)
     if version is None:
         return None, (ConfigurationIssue("version", "a whole number is needed"),)
--- a/sumachook/control_state/evacuations.py
+++ b/sumachook/control_state/evacuations.py
@@ -1,4 +1,4 @@
-"""Applies changes that evacuate an area or reopen it."""
+"""Applies changes that evacuate a zone or reopen it."""
 
 from sumachook.control_state import changes
 from sumachook.control_state.change_attempts import digest, is_overtaken
@@ -8,19 +8,19 @@
 
 
 def evacuate(state: StateFields, change: changes.Evacuate, seen: int | None) -> ChangeResult:
-    """Marks an area as evacuated, so that it gets no more requests."""
+    """Marks a zone as evacuated, so that it gets no more requests."""
     content = digest("evacuate", change.zone)
     return run_once(state, change.request, content, lambda: _set_evacuated(state, change.zone, True, seen))
 
 
 def restore(state: StateFields, change: changes.Restore, seen: int | None) -> ChangeResult:
-    """Reopens an evacuated area for requests."""
+    """Reopens an evacuated zone for requests."""
     content = digest("restore", change.zone)
     return run_once(state, change.request, content, lambda: _set_evacuated(state, change.zone, False, seen))
 
 
 def _set_evacuated(state: StateFields, zone: str, is_evacuated: bool, seen: int | None) -> ChangeResult:
-    """Evacuates or restores an area, unless it was evacuated or restored after the call arrived at its core."""
+    """Evacuates or restores a zone, unless another change did so after the operator's call arrived at its core."""
     if state.catalogue is None or zone not in state.catalogue.zones:
         return rejected("area", f"no area {zone!r}")
     if (zone in state.evacuated) == is_evacuated:
--- a/sumachook/control_state/fields.py
+++ b/sumachook/control_state/fields.py
@@ -39,7 +39,7 @@
     accepted_versions, version_changed_at
         The configurations that were accepted, and the number of the change that set the version in force.
     evacuated, evacuation_changed_at
-        The evacuated areas, sorted, and the number of the change that last evacuated or restored each area.
+        The evacuated zones, sorted, and the number of the change that last evacuated or restored each zone.
     requests
         Completed requests of operators by id, oldest first.
     role_holders
@@ -97,7 +97,7 @@
         return self.catalogue.version if self.catalogue is not None else 0
 
     def is_open(self, zone: str) -> bool:
-        """Returns whether an area gets requests; one that is not configured does not, since it cannot be evacuated."""
+        """Returns whether a zone gets requests; an unconfigured zone does not, since it cannot be evacuated."""
         return zone not in self.evacuated and (self.catalogue is None or zone in self.catalogue.zones)
 
     def fence(self, role: str, holder: str) -> int:
--- a/sumachook/control_state/results.py
+++ b/sumachook/control_state/results.py
@@ -6,7 +6,7 @@
 
 from sumachook.configuration.issue import ConfigurationIssue
 
-MAX_STORED_ISSUES = 50  # per result that is stored or proposed; an operator does not fix more of them at once
+MAX_STORED_ISSUES = 50  # issues per stored or proposed result; an operator does not fix more of them at once
 
 
 class Outcome(StrEnum):
--- a/sumachook/control_state/snapshots.py
+++ b/sumachook/control_state/snapshots.py
@@ -9,7 +9,7 @@
 
 
 def snapshot_of(state: StateFields) -> dict[str, Any]:
-    """Returns the present state as plain data that later changes leave alone, so that another thread can write it."""
+    """Returns the state as plain data that later changes do not modify, so that another thread can write it."""
     return {
         "number": state.number,
         "generation": state.generation,
--- a/sumachook/leases/leases.py
+++ b/sumachook/leases/leases.py
@@ -18,7 +18,7 @@
 class Leases:
     """Runs the lease protocol as a state machine: `take` maps an event and the time to effects.
 
-    It reads the role holders from the control state. With `is_fenced`, servers refuse orders with lower fencing
+    It reads the role holders from the control state. With `is_fenced`, servers refuse load orders with lower fencing
     tokens, so a successor need not wait for the timeout of an order or for `turn_gap`, the minimum time between the
     orders of two holders.
     """
--- a/sumachook/leases/renewal.py
+++ b/sumachook/leases/renewal.py
@@ -66,7 +66,7 @@
         return roles, effects
 
     def _renew(self, renewal: Renewal) -> list[Effect]:
-        """Sends a renewal to the other voters; this voter counts as an acknowledgement only in a working view."""
+        """Sends a renewal to the other voters; this voter itself acknowledges it only while in a working view."""
         self.answers[renewal] = {self.voters.name} if self.voters.is_fresh else set()
         self._prolong(renewal)
         return self.voters.send_to_others(RenewLease(*renewal))
@@ -88,7 +88,7 @@
             self.leases[renewal.role] = Lease(renewal.fence, until)
 
     def release_all(self) -> list[Effect]:
-        """Releases all roles at once; this voter sends no orders after this and holds no role until `Resume`."""
+        """Releases all roles at once; afterwards this voter holds no role and sends no orders to servers until `Resume`."""
         self.is_quitting = True
         self.leases.clear()
         own_roles = self.voters.own_roles()
@@ -99,5 +99,5 @@
         return effects + [ProposeChange(ReleaseRole(role, fence)) for role, fence in own_roles]
 
     def is_released(self, role: str, fence: int) -> bool:
-        """Returns whether this token was released, also before a `Resume`: voters may no longer wait for its lease."""
+        """Returns whether this voter has released the token, even if it resumed later: other voters may not wait for it."""
         return fence <= self.released.get(role, 0)
--- a/sumachook/leases/timing.py
+++ b/sumachook/leases/timing.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass, replace
 from datetime import timedelta
 
-ORDER_TIMEOUT = timedelta(seconds=2)  # an order that a server has not answered for so long is abandoned
+ORDER_TIMEOUT = timedelta(seconds=2)  # a load or unload order without an answer for this time is abandoned
 CLOCK_DRIFT = timedelta(seconds=0.5)  # margin for clocks that run at different speeds
-MIN_FIRST_WAIT_S, MAX_FIRST_WAIT_S = 0.05, 0.3  # random delay before the first claim, so that claims rarely collide
-FIRST_WAIT_PER_ROLE_S = 0.3  # added for each role already held, to spread the roles over the voters
-MAX_CLAIM_PAUSE_FACTOR = 2  # a claim is retried after a random time of one to this many pauses
+MIN_FIRST_WAIT_S, MAX_FIRST_WAIT_S = 0.05, 0.3  # delay of the first claim, random to avoid collisions
+FIRST_WAIT_PER_ROLE_S = 0.3  # seconds added per role already held, to spread the roles over the voters
+MAX_CLAIM_PAUSE_FACTOR = 2  # a claim is retried after `claim_pause` times a random factor from 1 to this
 
 
 @dataclass(frozen=True, slots=True)
--- a/sumachook/leases/vacancies.py
+++ b/sumachook/leases/vacancies.py
@@ -10,7 +10,7 @@
 
 
 class Vacancies:
-    """Proposes vacancies: a leader of roles whose holder stopped renewing, a holder of roles that it released.
+    """Proposes vacancies: as leader, of roles whose holder stopped renewing; as holder, of roles that it released.
 
     A leader measures the time without renewals from when it began to lead. A role is declared vacant only when no
     order of the old holder can still be in flight.
--- a/sumachook/leases/voters.py
+++ b/sumachook/leases/voters.py
@@ -23,7 +23,7 @@
 
 
 class Voters:
-    """The voters, and which of them this one is (`name`); `is_fresh` says whether it is in a working view.
+    """The voters of the lease protocol; `name` is this voter, and `is_fresh` whether it is in a working view.
 
     A lease needs acknowledgements from a majority and a successor needs votes from a majority. Any two majorities
     have a voter in common.
--- a/sumachook/leases/voting.py
+++ b/sumachook/leases/voting.py
@@ -10,7 +10,7 @@
 
 
 class Vote(NamedTuple):
-    """A vote, given by the claimant and the round of its claim."""
+    """A vote for a claim: the claimant, and the round of the claim."""
 
     claimant: str
     round: int
@@ -28,9 +28,9 @@
         self.voters = voters
         self.timing = timing
         self.is_fenced = is_fenced
-        self.started_at = now  # which renewals were acknowledged before a restart is not known
+        self.started_at = now  # as renewals acknowledged before a restart are not known
         self.last_renewal_at: dict[str, timedelta] = {}
-        self.votes: dict[tuple[str, int], Vote] = {}  # by role and fencing token
+        self.votes: dict[tuple[str, int], Vote] = {}  # this voter's votes by role and fencing token
 
     def note_renewal(self, role: str, now: timedelta) -> None:
         """Records that this voter acknowledged a renewal, or sent one itself."""
@@ -58,7 +58,7 @@
         return highest + 1
 
     def on_claim(self, claimant: str, address: str, claim: ClaimLease, now: timedelta) -> list[Effect]:
-        """Votes for the claim of another voter unless this one voted for a different claim of no lower round."""
+        """Votes for the claim of another voter unless this one voted for a different claim of the same or a higher round."""
         if not self._is_admissible(claimant, claim, now):
             return []
         vote = Vote(claimant, claim.round)
--- a/sumachook/ledger/effects.py
+++ b/sumachook/ledger/effects.py
@@ -6,7 +6,7 @@
 
 
 class UnrecordedReason(Enum):
-    """Reason why a request was not recorded; the value is the text in the caller's error response."""
+    """Reason why a request was not recorded; the value is the text in the client's error response."""
 
     NO_QUORUM = "no two keepers answered"
 
@@ -18,7 +18,7 @@
 
 
 class Recorded(RecordingOutcome, frozen=True):
-    """The request may proceed: its record is durable on two replicas, or it may run twice and has waited enough."""
+    """The request may proceed: its record is durable on two replicas, or overdue and the request may run twice."""
 
 
 class Unrecorded(RecordingOutcome, frozen=True):
--- a/sumachook/ledger/events.py
+++ b/sumachook/ledger/events.py
@@ -21,7 +21,7 @@
 
 
 class RequestClosed(Event, frozen=True):
-    """A request has ended; its closing record is sent at once, and no caller waits for the acknowledgement."""
+    """A request has ended; its closing record is sent at once, and no client waits for the acknowledgement."""
 
     record: Record
 
--- a/sumachook/ledger/pending_record.py
+++ b/sumachook/ledger/pending_record.py
@@ -4,7 +4,7 @@
 
 from sumachook.ledger.records import Record, RecordKey, UndeliveredRecord, key_of
 
-RELAY_AFTER = timedelta(seconds=0.8)  # then other edges relay the record; a resend and a hinted handoff need less
+RELAY_AFTER = timedelta(seconds=0.8)  # time until other edges relay a record; a resend and a handoff take less
 
 
 class PendingRecord:
--- a/sumachook/ledger/record_file.py
+++ b/sumachook/ledger/record_file.py
@@ -17,7 +17,7 @@
 
 # A rewrite keeps closed records up to 1/4 of each limit, so that the file can grow for long before the next rewrite.
 CLOSED_LIMIT_DIVISOR = 4
-GROWTH_FACTOR = 2  # if open records alone exceed a limit, the next rewrite is due after growth by this factor
+GROWTH_FACTOR = 2  # if open records alone exceed a limit, the file is rewritten after growth by this factor
 
 
 class FileSize(NamedTuple):
@@ -40,7 +40,7 @@
         self._count(lines)
 
     def append(self, copies: Iterable[RecordCopy], acknowledgement: Effect) -> Effect:
-        """Returns an append of copies; `RecordsSynced` returns the acknowledgement once they are durable."""
+        """Returns the effect that appends copies; `RecordsSynced` then contains `acknowledgement`, once they are durable."""
         lines = tuple(stored_copy(copy) for copy in copies)
         self._count(lines)
         return AppendRecords(LEDGER, lines, RecordsSynced(acknowledgement))
--- a/sumachook/ledger/record_table.py
+++ b/sumachook/ledger/record_table.py
@@ -73,7 +73,7 @@
             del self.request_by_key[key]  # the request did not run, so its key may be used again
 
     def drop(self, request: str) -> None:
-        """Removes a record with its pending handoffs, and its idempotency key if the key is its own."""
+        """Removes a record with its pending handoffs, and its idempotency key if it was the first to use it."""
         dropped = self.by_request.pop(request)
         self.handoffs.pop(request, None)
         self.open.pop(request, None)
--- a/sumachook/ledger/records.py
+++ b/sumachook/ledger/records.py
@@ -15,7 +15,7 @@
 
 DONE = "done"  # final state of a request that was answered
 
-_STORED_TAG = "row"  # first value of each line in the file
+_STORED_TAG = "row"  # first value of each line in the ledger file and the spill file
 
 
 class RecordKey(NamedTuple):
--- a/sumachook/ledger/replica_store.py
+++ b/sumachook/ledger/replica_store.py
@@ -25,7 +25,7 @@
 from sumachook.ledger.replica_selection import OWNER_COUNT, range_key, replicas_of
 from sumachook.runtime.cluster_clock import ClusterClock
 
-LOST_AFTER = timedelta(seconds=3)  # an edge that is unreachable for this long does not return as the same process
+LOST_AFTER = timedelta(seconds=3)  # an edge process unreachable for this long counts as failed
 SWEEP_INTERVAL = timedelta(seconds=0.5)
 HANDOFF_INTERVAL = timedelta(seconds=0.5)
 MAX_HANDOFFS_PER_ROUND = 2000
@@ -67,7 +67,7 @@
         self.records = RecordTable(max_records)
         self.file = RecordFile(stored)
         self.voting_members: dict[str, str] = {}
-        self.away_since: dict[tuple[str, int], timedelta] = {}  # by name and epoch of a lost edge process
+        self.away_since: dict[tuple[str, int], timedelta] = {}  # by name and epoch of an absent edge
         self.next_handoff_at = now
         self.next_sweep_at = now
         for line in stored:
--- a/sumachook/ledger/spill_file.py
+++ b/sumachook/ledger/spill_file.py
@@ -8,8 +8,8 @@
 from sumachook.ledger.records import RecordKey, stored_undelivered
 from sumachook.storage.layout import SPOOL
 
-SPILL_AFTER = timedelta(seconds=0.3)  # a healthy quorum answers well before, so the disk is used during failures only
-MAX_LINES = 40000  # twice the limit of pending records, so that a rewrite is rare
+SPILL_AFTER = timedelta(seconds=0.3)  # a healthy quorum answers earlier, so the disk is used during failures only
+MAX_LINES = 40000  # maximum before a rewrite; twice the limit of pending records, so that rewrites are rare
 
 
 class SpillFile:
@@ -22,7 +22,7 @@
         self.line_count = line_count
 
     def save(self, pending: Mapping[RecordKey, PendingRecord], now: timedelta) -> list[Effect]:
-        """Appends records that have been pending for longer than `SPILL_AFTER`, or empties a file of delivered ones."""
+        """Appends records pending for longer than `SPILL_AFTER`, or empties the file once all its records are delivered."""
         overdue = [
             each for key, each in pending.items() if key not in self.keys and now - each.started_at > SPILL_AFTER
         ]
--- a/sumachook/ledger/writer.py
+++ b/sumachook/ledger/writer.py
@@ -40,10 +40,10 @@
 RELAY_COUNT = 2  # edges that receive a relayed record
 
 # timeouts of a record that is sent without deferral
-HINT_AFTER = timedelta(seconds=0.15)  # then the third replica receives the copy of an owner that has not acknowledged
+HINT_AFTER = timedelta(seconds=0.15)  # until the third replica gets the copy of an owner without acknowledgement
 RESEND_AFTER = timedelta(seconds=0.3)
-SAFE_WAIT = timedelta(seconds=0.4)  # then a request that may run twice proceeds without its record
-UNSAFE_WAIT = timedelta(seconds=1.5)  # then any other request is refused; long enough for a change of leader
+SAFE_WAIT = timedelta(seconds=0.4)  # after this time a request that may run twice proceeds without its record
+UNSAFE_WAIT = timedelta(seconds=1.5)  # after this time any other request is refused; a change of leader takes less
 RELAY_INTERVAL = timedelta(seconds=2)
 NEVER = timedelta.max
 
@@ -53,7 +53,7 @@
 
 
 class LedgerWriter:
-    """Delivers each record of an edge to two replicas, and tells the pipelines which requests may proceed.
+    """Delivers each record of an edge to two replicas, and reports to the pipelines which requests may proceed.
 
     If the edge has a disk, records that remain unacknowledged for too long are also written to the spill file, which
     survives restarts.
@@ -141,7 +141,7 @@
                 continue
             relayed = PendingRecord(record, is_close, True, now)
             relayed.is_settled = True
-            relayed.relay_at = NEVER  # a record is relayed once
+            relayed.relay_at = NEVER  # a record received from a relaying edge is not relayed again
             effects += self._add_and_send(relayed)
         return effects
 
--- a/sumachook/membership/membership.py
+++ b/sumachook/membership/membership.py
@@ -57,7 +57,7 @@
 
     # docs/design.md, "Membership", lists these intervals and the detection time that results from them
     PING_INTERVAL = timedelta(seconds=0.3)
-    ACK_TIMEOUT = timedelta(seconds=0.25)  # then other nodes are asked to ping the target too
+    ACK_TIMEOUT = timedelta(seconds=0.25)  # other nodes are asked to ping a target that has not answered by then
     SUSPECT_AFTER = ACK_TIMEOUT * 3  # a ping not acknowledged by then, directly or indirectly, makes its target suspect
     SUSPICION_TIMEOUT = timedelta(seconds=1.5)  # a suspect that has not refuted the suspicion by then is marked gone
     SEED_INTERVAL = timedelta(seconds=2)
@@ -65,9 +65,9 @@
     # sent to unknown nodes which ping this one.
     JOIN_RETRY_INTERVAL = timedelta(seconds=0.3)
     MAX_COMPARISONS_SKIPPED = 4  # while updates are queued, views are compared once in this many seed intervals
-    SEED_JITTER = (0.8, 1.2)  # factors of the interval; they spread the requests of nodes started together
+    SEED_JITTER = (0.8, 1.2)  # random factors of an interval; they spread the requests of nodes started together
     FORGET_AFTER = timedelta(minutes=10)  # how long a removed member stays listed
-    PAUSE_THRESHOLD = timedelta(seconds=0.8)  # a longer gap between ticks means this process was paused, not the others
+    PAUSE_THRESHOLD = timedelta(seconds=0.8)  # a longer gap between ticks means that this process was paused
     INDIRECT_PING_COUNT = 3
 
     latest_feed_number = MonotonicValue("_latest_feed_number")  # highest change feed position reported by any node
@@ -107,7 +107,7 @@
                 return self._handle_message(event, now)
             case SeedsChanged():
                 self.seeds = tuple(event.addresses)
-                return self._compare_views(now)  # without waiting for the interval: all former seeds may be down
+                return self._compare_views(now)  # at once: all former seeds may be down
             case StopRequested():
                 return self._leave()
         raise TypeError(f"unsupported membership event: {event!r}")
@@ -277,7 +277,7 @@
         return [*effects, SendDatagram(address, answer)] if updates else effects
 
     def _on_member_list(self, message: MemberList | ViewDifference, now: timedelta) -> list[Effect]:
-        """Applies the sender's view. Members that were unknown here are not gossiped on: the node that informed the
+        """Applies the sender's view. Members that were unknown here are not gossiped further: the node that informed the
         sender has already informed others.
         """
         effects: list[Effect] = []
@@ -290,7 +290,7 @@
 
     def _on_ping(self, sender: str, address: str, ping: Ping, now: timedelta) -> list[Effect]:
         effects = self._apply_all(ping.updates, now)
-        # The sender knows an earlier run of this node, so neither its seeds nor a missing answer make it join.
+        # An unknown sender knows an earlier run of this node; as its pings are answered, it sends no join request itself.
         if sender not in self.members and now >= self._next_introduction_at:
             self._next_introduction_at = now + self.JOIN_RETRY_INTERVAL
             effects.append(SendDatagram(address, self._join()))
@@ -343,7 +343,7 @@
         return digest_of((*self.members.values(), self.local_member))
 
     def _updates_of(self, buckets: frozenset[int]) -> tuple[MemberUpdate, ...]:
-        """Returns updates about all members in these buckets, including removed ones, so that they can refute it."""
+        """Returns updates about all members in these buckets, including removed ones, so that these can refute their removal."""
         members = (*self.members.values(), self.local_member)
         return tuple(member.to_update() for member in members if bucket_of(member.node) in buckets)
 
--- a/sumachook/membership/messages.py
+++ b/sumachook/membership/messages.py
@@ -42,7 +42,7 @@
 
 
 class IndirectPingAck(NodeMessage, frozen=True, tag="via_ack"):
-    """Acknowledges an `IndirectPing`; the relaying node then sends one to answer the `IndirectPingRequest`."""
+    """Acknowledges an `IndirectPing`; the relaying node then answers its `IndirectPingRequest` with another one."""
 
     sequence: int
     updates: tuple[MemberUpdate, ...]
--- a/sumachook/membership/ping_tracker.py
+++ b/sumachook/membership/ping_tracker.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-RESTART_EPOCH_BITS = 16  # epochs are times in milliseconds, so a later run never reuses a number; all stay below 2**63
+RESTART_EPOCH_BITS = 16  # bits below the epoch, a time in ms: later runs reuse no number; all are below 2**63
 
 
 class PendingPing(NamedTuple):
--- a/sumachook/membership/view_digest.py
+++ b/sumachook/membership/view_digest.py
@@ -11,9 +11,9 @@
 
 from sumachook.membership.member import LIVE_STATUSES, Member
 
-BUCKET_COUNT = 32  # if one of 200 members differs, about six are sent
+BUCKET_COUNT = 32  # if one of 200 members differs, the about six members of its bucket are sent
 CHECKSUM_BYTES = 4
-MAX_CACHED_CHECKSUMS = 4096  # one per member state, which rarely changes
+MAX_CACHED_CHECKSUMS = 4096  # checksums, one per state of a member, which rarely changes
 
 
 def bucket_of(node: str) -> int:
--- a/sumachook/runtime/__init__.py
+++ b/sumachook/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Runtime support of a process: clocks, the agreed cluster time, task supervision and small descriptors."""
+"""Runtime support of a process: clocks, the agreed cluster time, task supervision and attribute descriptors."""
--- a/sumachook/runtime/fast_start.py
+++ b/sumachook/runtime/fast_start.py
@@ -21,7 +21,7 @@
 
 
 def end_start() -> None:
-    """Re-enables garbage collection after the imports; it never scans the objects that exist by now again."""
+    """Re-enables garbage collection after the imports; objects that exist by now are never scanned again."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECTION_THRESHOLDS)
--- a/sumachook/storage/day_logs.py
+++ b/sumachook/storage/day_logs.py
@@ -11,7 +11,7 @@
 PREFIX, SUFFIX = "day-", ".jsonl"
 SEGMENT_BYTES = 4 << 20  # limit of one segment, small enough to open in a log viewer
 MAX_TOTAL_BYTES = 32 << 20  # limit of all day logs; keeps the files of a core far below the size of its disk
-MAX_INHERITED_LINES = 2000  # limit of lines that an earlier process may have written without acknowledgement
+MAX_INHERITED_LINES = 2000  # last lines of an earlier process that are remembered to drop repeats
 
 
 @dataclass(slots=True)
@@ -19,12 +19,12 @@
     """The open segment of a day, to which its lines are appended."""
 
     length: int
-    is_unsynced: bool = False  # bytes beyond `length` are undefined
+    is_unsynced: bool = False  # a write failed, so that bytes beyond `length` are undefined
     inherited: frozenset[bytes] = frozenset()  # last lines that an earlier process wrote
 
 
 class DayLogs:
-    """Appends lines to `day-DATE.jsonl`; renames a full file to `day-DATE.NUMBER.jsonl`, removes the oldest ones."""
+    """Appends lines to `day-DATE.jsonl`; renames a full file to `day-DATE.NUMBER.jsonl` and removes the oldest files."""
 
     __slots__ = ("file_system", "segment_bytes", "max_bytes", "segments", "removed")
 
@@ -42,7 +42,7 @@
         is_first_write = name not in self.segments
         if is_first_write:
             self._open(name)
-        inherited = self.segments[name].inherited  # written but not acknowledged, hence submitted again
+        inherited = self.segments[name].inherited  # lines written without acknowledgement are submitted again
         lines = [line for record in records if (line := msgspec.json.encode(record)) not in inherited]
         raw = b"".join(line + b"\n" for line in lines)
         if not is_first_write and self.segments[name].length + len(raw) > self.segment_bytes:
--- a/sumachook/storage/folder.py
+++ b/sumachook/storage/folder.py
@@ -45,7 +45,7 @@
         self.positions: dict[str, Position] = {}
         self.generations: dict[str, int] = {}  # highest generation of each file that was written or read
         self.damages: dict[str, str] = {}
-        self.unsynced: set[str] = set()  # files with undefined bytes after their position
+        self.unsynced: set[str] = set()  # files with undefined bytes after their position, since a write failed
 
     # startup --------------------------------------------------------------------
 
@@ -86,7 +86,7 @@
         Files are renamed durably one by one: a crash must not lose a later file while an earlier one is still in use.
         """
         self.damages.setdefault(name, reason)
-        self.file_system.rename(name, name + DAMAGED_SUFFIX)  # replaces an earlier copy
+        self.file_system.rename(name, name + DAMAGED_SUFFIX)  # replaces the damaged file of an earlier start
         self.file_system.sync_folder()
 
     def _read(self, name: str) -> FileContent:
--- a/sumachook/transport/codec.py
+++ b/sumachook/transport/codec.py
@@ -128,7 +128,7 @@
 
 
 def _with_marker(raw: bytes) -> bytes:
-    """Compresses long binary values. Since they may start with its marker byte, plain ones get another marker.
+    """Compresses long binary values and marks short ones as plain, since these may start with the compression marker.
 
     >>> [_without_marker(_with_marker(raw)) == raw for raw in (b"", b"z", b"z" * 5000)]
     [True, True, True]
--- a/sumachook/transport/connection_limits.py
+++ b/sumachook/transport/connection_limits.py
@@ -22,5 +22,5 @@
 
 
 def header_size(request: BaseRequest) -> int:
-    """Returns the bytes of all header fields, each with colon, blank and line end, or of the target if larger."""
+    """Returns the size in bytes of all header fields with separators and line ends, or of the target if larger."""
     return max(len(request.raw_path), sum(len(name) + len(value) + 4 for name, value in request.raw_headers))
--- a/sumachook/transport/http_client.py
+++ b/sumachook/transport/http_client.py
@@ -27,7 +27,7 @@
 MAX_BODY_BYTES = 8 << 20  # far above the size of the longest report of a model server
 KEEP_ALIVE = timedelta(seconds=5)
 EVENT_STREAM_MODE = "events"  # mode of a call whose response is a stream of server-sent events
-LOOKUP, ORDER = "lookup", "provision"  # first elements of call ids
+LOOKUP, ORDER = "lookup", "provision"  # first element of the call ids of lookups, and of the provisioner
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with a timeout of 0, so that close() sends a reset
 
 
@@ -61,9 +61,10 @@
 class HttpClient(HttpCaller):
     """Runs each `Fetch` in its own task; emits `RequestSent` before the first byte may be sent.
 
-    Each prompt gets a new connection. Lookups reuse connections, but never share one with a prompt. The placer's orders
-    reuse connections too, in a pool separate from the reports of the same server: its responses carry no id, so only
-    the connection tells the response to an order from a report. The connection of an abandoned order is reset.
+    Each prompt and each order of the placer gets a new connection. Lookups reuse connections, but never share one with
+    a prompt. The provisioner's orders, which contain the expected count of orders, reuse connections too, in a pool
+    separate from the reports of the same server: its responses carry no id, so only the connection tells the response
+    to an order from a report. The connection of an abandoned order is reset.
     """
 
     __slots__ = ()
--- a/sumachook/transport/http_server.py
+++ b/sumachook/transport/http_server.py
@@ -88,7 +88,7 @@
         self.last_call_number = 0
         self.listener: asyncio.Server | None = None
         self.server: ConnectionFactory | None = None
-        self.is_stopping = False  # set once no new connections are accepted
+        self.is_stopping = False  # whether new connections are no longer accepted
 
     async def run(self) -> None:
         """Serves until cancelled; raises `OSError` if the address cannot be bound."""
@@ -118,7 +118,7 @@
             self._sweep(asyncio.get_running_loop().time())
 
     def _record_close(self, connection: ClientConnection) -> None:
-        """Counts a closed connection by reason; logs it if this node closed it with an unfinished or unread request.
+        """Counts a closed connection by reason; logs one that this node closed with an unfinished or unread request.
 
         An aborted response is not logged here, since the request's own log line reports it. Bytes that arrive too late
         before the close are reset unread; a request still in transit at that time is visible to its client alone.
--- a/sumachook/transport/node_transport.py
+++ b/sumachook/transport/node_transport.py
@@ -75,12 +75,12 @@
         self._flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Queues further frames for the next connection."""
+        """Reports the loss to `run`, which reconnects; further frames are queued until then."""
         self.transport = None
         self.lost.set()
 
     def pause_writing(self) -> None:
-        """Queues further frames, since the other node reads slowly."""
+        """Starts queueing frames, since the other node reads slowly and the write buffer is full."""
         self.is_paused = True
 
     def resume_writing(self) -> None:
@@ -162,7 +162,7 @@
         self.connections: dict[str, NodeConnection] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.transport: asyncio.DatagramTransport | None = None
-        self.has_ended = False  # messages that are sent during shutdown are dropped
+        self.has_ended = False  # set during shutdown, when messages to be sent are dropped
 
     async def run(self) -> None:
         """Listens until cancelled; raises `OSError` if the address cannot be bound."""
--- a/sumachook/transport/proxy_server.py
+++ b/sumachook/transport/proxy_server.py
@@ -40,7 +40,7 @@
         "max_field_size": MAX_FIELD_BYTES,
         "max_headers": 1000,
     }
-    LIMITS = ConnectionLimits(header_bytes=32 << 10, body_bytes=8 << 20)  # until the configuration is loaded
+    LIMITS = ConnectionLimits(header_bytes=32 << 10, body_bytes=8 << 20)  # in force until the configuration is loaded
 
     def apply_limits(self, limits: Limits) -> None:
         """Applies the configured client limits (`configuration/limits.py`), also to open connections."""
--- a/sumachook/transport/server_connector.py
+++ b/sumachook/transport/server_connector.py
@@ -89,7 +89,7 @@
 
 
 class ServerProtocol(ResponseHandler):
-    """Connection to an upstream server; bytes received while no call uses it belong to no call and close it."""
+    """Connection to an upstream server; bytes that arrive while no call uses the connection close it."""
 
     is_idle = False
     is_watched = False
--- a/sumachook/transport/tcp_timeouts.py
+++ b/sumachook/transport/tcp_timeouts.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 UNACKNOWLEDGED_TIMEOUT = timedelta(seconds=1)
-FIRST_PROBE_AFTER = timedelta(seconds=1)  # of idle time; the kernel counts whole seconds
+FIRST_PROBE_AFTER = timedelta(seconds=1)  # idle time before the first probe; the kernel counts whole seconds
 PROBE_INTERVAL = timedelta(seconds=1)
 MAX_UNANSWERED_PROBES = 2
 
