--- a/sumachook/consensus/messages.py
+++ b/sumachook/consensus/messages.py
@@ -46,7 +46,7 @@
 
 
 class PreVote(Message, frozen=True, tag="canvass"):
-    """Asks whether the receiver would promise `view` to the sender, whose log ends at `end`; a grant repeats `token`."""
+    """Asks whether the receiver would promise `view` to the sender, whose log ends at `end`; grants repeat `token`."""
 
     view: ViewId
     installed: ViewId
--- a/sumachook/consensus/replica.py
+++ b/sumachook/consensus/replica.py
@@ -125,8 +125,8 @@
     def is_fresh(self, now: timedelta) -> bool:
         """Whether the state contains every change acknowledged more than `FRESH_FOR` ago.
 
-        A leader's state is complete while it holds its lease. A member learns from the leader as of when its own state
-        was complete, and that remains valid across a view change.
+        A leader's state is complete while it holds its lease. A member knows from its echoed heartbeat rounds up to
+        which time its own state was complete, and that remains valid across a view change.
         """
         if now - self.last_tick > MAX_TICK_GAP:
             return False
--- a/sumachook/consensus/timing.py
+++ b/sumachook/consensus/timing.py
@@ -4,10 +4,10 @@
 
 HEARTBEAT_INTERVAL = timedelta(seconds=0.2)  # three heartbeat rounds fit into a lease, so that one may be lost
 LEASE = timedelta(seconds=0.7)  # validity of an acknowledgement, counted from when the leader sent the round
-LEASE_GUARD = timedelta(seconds=0.8)  # no promise to another candidate for this time after a heartbeat ack
+LEASE_GUARD = timedelta(seconds=0.8)  # time after a heartbeat ack in which no other candidate gets a promise
 FRESH_FOR = timedelta(seconds=0.8)  # validity of a member's state after it sent the echoed round
 MAX_TICK_GAP = timedelta(seconds=0.5)  # a longer pause of the ticks invalidates all leases and rounds
-SILENCE_TIMEOUT = timedelta(seconds=0.8)  # a replica without message or progress of a sync for longer is suspected
+SILENCE_TIMEOUT = timedelta(seconds=0.8)  # a replica is suspected if a message or a sync is missing for longer
 STEP_DOWN_AFTER = SILENCE_TIMEOUT * 1.5  # a leader without contact to a majority steps down after this time
 INSTALL_TIMEOUT = timedelta(seconds=0.8)  # a view installation without progress is abandoned after this time
 PREPARE_TIMEOUT = INSTALL_TIMEOUT * 2  # a candidate without a majority of promises gives up after this time
@@ -22,7 +22,7 @@
 ANNOUNCE_AFTER = HEARTBEAT_INTERVAL * 1.5  # a learner without a heartbeat for this time announces itself again
 LEARNER_DISCOVERY_TIME = timedelta(seconds=0.5)  # a new leader assumes for this time that learners exist
 LEARNER_TIMEOUT = timedelta(seconds=1)  # a learner that is silent for this time is forgotten
-CAUGHT_UP_TIMEOUT = timedelta(seconds=0.5)  # a replica counts as caught up for this time after a proof of it
+CAUGHT_UP_TIMEOUT = timedelta(seconds=0.5)  # time since its last complete ack in which a replica counts as caught up
 REMOVAL_SUSPECTED_AFTER = SILENCE_TIMEOUT * 2  # after this time without a leader, a replica may have been removed
 EXCLUSION_TIME = timedelta(seconds=1)  # first exclusion of a slow member from the view; each repeat doubles it
 MAX_EXCLUSION = timedelta(seconds=4)
--- a/sumachook/control_state/changes.py
+++ b/sumachook/control_state/changes.py
@@ -63,7 +63,7 @@
 
 
 class OperatorChange(Change, frozen=True):
-    """Base class of the changes that operators request; `request` is the operator's request id, "" if none was given."""
+    """Base class of the changes that operators request; `request` is the operator's request id, "" if not given."""
 
     request: str
 
--- a/sumachook/control_state/evacuations.py
+++ b/sumachook/control_state/evacuations.py
@@ -20,7 +20,7 @@
 
 
 def _set_evacuated(state: StateFields, zone: str, is_evacuated: bool, seen: int | None) -> ChangeResult:
-    """Evacuates or restores a zone, unless another change did so after the operator's call arrived at its core."""
+    """Evacuates or restores a zone, unless its state was changed after the operator's call arrived at its core."""
     if state.catalogue is None or zone not in state.catalogue.zones:
         return rejected("area", f"no area {zone!r}")
     if (zone in state.evacuated) == is_evacuated:
--- a/sumachook/host/effects.py
+++ b/sumachook/host/effects.py
@@ -127,7 +127,7 @@
 
 
 class AppendDayLog(Effect, frozen=True):
-    """Append lines to the day log `day` ("day-YYYY-MM-DD.jsonl"), durable before the ledger records that they describe."""
+    """Append lines to the day log `day` ("day-YYYY-MM-DD.jsonl"), durable before the ledger records for them."""
 
     day: str
     lines: tuple[Any, ...]
--- a/sumachook/leases/claims.py
+++ b/sumachook/leases/claims.py
@@ -60,7 +60,7 @@
         return timedelta(seconds=jitter + FIRST_WAIT_PER_ROLE_S * len(self.voters.own_roles()))
 
     def on_vote(self, replica: str, vote: ClaimVote) -> list[Effect]:
-        """Counts a vote for this voter's claim in its current round; once a majority has voted, proposes this voter as the holder."""
+        """Counts a vote for this voter's claim in its current round; proposes this voter as holder at a majority."""
         claim = self.by_role.get(vote.role)
         if claim is None or (claim.fence, claim.round) != (vote.fence, vote.round):
             return []
--- a/sumachook/leases/renewal.py
+++ b/sumachook/leases/renewal.py
@@ -88,7 +88,7 @@
             self.leases[renewal.role] = Lease(renewal.fence, until)
 
     def release_all(self) -> list[Effect]:
-        """Releases all roles at once; afterwards this voter holds no role and sends no orders to servers until `Resume`."""
+        """Releases all roles at once; afterwards this voter holds no role and sends no orders until `Resume`."""
         self.is_quitting = True
         self.leases.clear()
         own_roles = self.voters.own_roles()
@@ -99,5 +99,5 @@
         return effects + [ProposeChange(ReleaseRole(role, fence)) for role, fence in own_roles]
 
     def is_released(self, role: str, fence: int) -> bool:
-        """Returns whether this voter has released the token, even if it resumed later: other voters may not wait for it."""
+        """Returns whether this voter released the token, also before a `Resume`: others may not wait for its lease."""
         return fence <= self.released.get(role, 0)
--- a/sumachook/leases/voting.py
+++ b/sumachook/leases/voting.py
@@ -58,7 +58,7 @@
         return highest + 1
 
     def on_claim(self, claimant: str, address: str, claim: ClaimLease, now: timedelta) -> list[Effect]:
-        """Votes for the claim of another voter unless this one voted for a different claim of the same or a higher round."""
+        """Votes for the claim of another voter unless this one voted for another claim of an equal or higher round."""
         if not self._is_admissible(claimant, claim, now):
             return []
         vote = Vote(claimant, claim.round)
--- a/sumachook/ledger/messages.py
+++ b/sumachook/ledger/messages.py
@@ -40,7 +40,7 @@
 
 
 class OpenRecords(RecordBatch, frozen=True, tag="open"):
-    """Opening records of requests, which are not sent to a server before two replicas have acknowledged them."""
+    """Opening records of requests; a request is not sent to a server before two replicas acknowledge its record."""
 
 
 class CloseRecords(RecordBatch, frozen=True, tag="close"):
--- a/sumachook/ledger/record_file.py
+++ b/sumachook/ledger/record_file.py
@@ -40,7 +40,7 @@
         self._count(lines)
 
     def append(self, copies: Iterable[RecordCopy], acknowledgement: Effect) -> Effect:
-        """Returns the effect that appends copies; `RecordsSynced` then contains `acknowledgement`, once they are durable."""
+        """Returns the effect that appends copies; `RecordsSynced` reports when `acknowledgement` may be sent."""
         lines = tuple(stored_copy(copy) for copy in copies)
         self._count(lines)
         return AppendRecords(LEDGER, lines, RecordsSynced(acknowledgement))
--- a/sumachook/ledger/replica_selection.py
+++ b/sumachook/ledger/replica_selection.py
@@ -25,7 +25,7 @@
     """Returns the key that selects the replicas of a record: its client and idempotency key, or its request id.
 
     Requests with the same idempotency key thus share replicas, which detect the duplicate. The key of a forwarded
-    request is its edge: these records are deferred, and one message to each of two replicas contains all of an edge.
+    request is its edge: its records are deferred, so that one message to each of two replicas contains all of them.
 
     >>> range_key({"request": "e1.7.3", "key": ""})
     'e1.7.3'
--- a/sumachook/ledger/replica_store.py
+++ b/sumachook/ledger/replica_store.py
@@ -25,7 +25,7 @@
 from sumachook.ledger.replica_selection import OWNER_COUNT, range_key, replicas_of
 from sumachook.runtime.cluster_clock import ClusterClock
 
-LOST_AFTER = timedelta(seconds=3)  # an edge process unreachable for this long counts as failed
+LOST_AFTER = timedelta(seconds=3)  # an edge that is unreachable for this long does not return as the same process
 SWEEP_INTERVAL = timedelta(seconds=0.5)
 HANDOFF_INTERVAL = timedelta(seconds=0.5)
 MAX_HANDOFFS_PER_ROUND = 2000
--- a/sumachook/ledger/spill_file.py
+++ b/sumachook/ledger/spill_file.py
@@ -22,7 +22,7 @@
         self.line_count = line_count
 
     def save(self, pending: Mapping[RecordKey, PendingRecord], now: timedelta) -> list[Effect]:
-        """Appends records pending for longer than `SPILL_AFTER`, or empties the file once all its records are delivered."""
+        """Appends records pending for longer than `SPILL_AFTER`, or empties the file once all in it are delivered."""
         overdue = [
             each for key, each in pending.items() if key not in self.keys and now - each.started_at > SPILL_AFTER
         ]
--- a/sumachook/membership/membership.py
+++ b/sumachook/membership/membership.py
@@ -277,8 +277,8 @@
         return [*effects, SendDatagram(address, answer)] if updates else effects
 
     def _on_member_list(self, message: MemberList | ViewDifference, now: timedelta) -> list[Effect]:
-        """Applies the sender's view. Members that were unknown here are not gossiped further: the node that informed the
-        sender has already informed others.
+        """Applies the sender's view. Members that were unknown here are not gossiped further: the node that told
+        the sender about them has already told others.
         """
         effects: list[Effect] = []
         for update in message.updates:
@@ -290,7 +290,7 @@
 
     def _on_ping(self, sender: str, address: str, ping: Ping, now: timedelta) -> list[Effect]:
         effects = self._apply_all(ping.updates, now)
-        # An unknown sender knows an earlier run of this node; as its pings are answered, it sends no join request itself.
+        # An unknown sender knows an earlier run of this node; since its pings are answered, it sends no join request.
         if sender not in self.members and now >= self._next_introduction_at:
             self._next_introduction_at = now + self.JOIN_RETRY_INTERVAL
             effects.append(SendDatagram(address, self._join()))
@@ -343,7 +343,7 @@
         return digest_of((*self.members.values(), self.local_member))
 
     def _updates_of(self, buckets: frozenset[int]) -> tuple[MemberUpdate, ...]:
-        """Returns updates about all members in these buckets, including removed ones, so that these can refute their removal."""
+        """Returns updates about all members in these buckets, including removed ones, which can then refute it."""
         members = (*self.members.values(), self.local_member)
         return tuple(member.to_update() for member in members if bucket_of(member.node) in buckets)
 
--- a/sumachook/storage/day_logs.py
+++ b/sumachook/storage/day_logs.py
@@ -11,7 +11,7 @@
 PREFIX, SUFFIX = "day-", ".jsonl"
 SEGMENT_BYTES = 4 << 20  # limit of one segment, small enough to open in a log viewer
 MAX_TOTAL_BYTES = 32 << 20  # limit of all day logs; keeps the files of a core far below the size of its disk
-MAX_INHERITED_LINES = 2000  # last lines of an earlier process that are remembered to drop repeats
+MAX_INHERITED_LINES = 2000  # lines of an earlier process that may be unacknowledged, hence resubmitted
 
 
 @dataclass(slots=True)
@@ -24,7 +24,7 @@
 
 
 class DayLogs:
-    """Appends lines to `day-DATE.jsonl`; renames a full file to `day-DATE.NUMBER.jsonl` and removes the oldest files."""
+    """Appends lines to `day-DATE.jsonl`; renames a full file to `day-DATE.NUMBER.jsonl`, removes the oldest files."""
 
     __slots__ = ("file_system", "segment_bytes", "max_bytes", "segments", "removed")
 
--- a/sumachook/transport/http_server.py
+++ b/sumachook/transport/http_server.py
@@ -35,7 +35,7 @@
 
 
 class Exchange:
-    """A request in progress and the queue of its response effects, whose size is limited by `unsent_bytes`.
+    """A request in progress and the queue of its response effects; `unsent_bytes` counts the body bytes in it.
 
     `transport` is set while the response is a stream and no effect is queued: chunks are then written directly.
     """
