--- a/tests/consensus/test_log.py
+++ b/tests/consensus/test_log.py
@@ -57,7 +57,7 @@
 
 
 def test_merge_truncates_the_log_only_at_the_first_difference():
-    """Entries equal to the leader's are kept, even if it sends them again: they may be acknowledged already."""
+    """Entries equal to the leader's are kept, even if the leader resends them: they may be acknowledged already."""
     log = Log()
     log.extend([FOUND.encode(), b'["x"]', b'["y"]', b'["old"]', b'["older"]'])
     assert log.merge(2, [b'["x"]', b'["y"]']) is None and log.end == 5
@@ -65,7 +65,7 @@
 
 
 def test_a_learner_rejects_entries_of_a_lower_view():
-    """Overwriting its entries could destroy one that was acknowledged because this learner had stored it."""
+    """Entries of a lower view could overwrite one that was acknowledged because this learner had stored it."""
     records = (*RECORDS, ("entries", (7, "b"), 3, ('["kept"]',)))
     replica = make_replica(records)
     out = receive(replica, "a", heartbeat_message(1, view=ViewId(6, "a"), end=3))
@@ -75,7 +75,7 @@
 
 
 def test_a_restarted_learner_with_a_complete_log_acknowledges_it():
-    """Without the acknowledgement the leader never regards it as caught up; the log may also be all in a snapshot."""
+    """A learner that sends no `Appended` never counts as caught up; its log may also be entirely in a snapshot."""
     before = make_replica((*RECORDS, ("entries", (7, "b"), 3, ('["kept"]',))))
     before.log.compact(3, {})
     for records in (all_records("c", before.state), (*RECORDS, ("entries", (7, "b"), 3, ('["kept"]',)))):
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -522,7 +522,7 @@
         return getattr(self.replica, name)
 
 
-# a second loss, planned shutdowns
+# second losses and planned shutdowns
 
 
 @pytest.mark.parametrize("voters", (3, 5))
@@ -570,7 +570,7 @@
         if has_newcomer:
             assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 1) is not None
         else:
-            assert len(leader(deployment).consensus.voting_members) == 3  # it stays a voter and returns with its disk
+            assert len(leader(deployment).consensus.voting_members) == 3  # the old leader stays a voter
             deployment.start(leader_name)
             assert _seconds_until(deployment, lambda: _has_full_view(deployment, 3), 3) is not None
 
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -74,7 +74,7 @@
 
 
 def test_a_member_that_hears_its_leader_again_after_a_pre_vote_rejoins_the_view():
-    """Otherwise a view of two remains forever: its heartbeats arrive, but no entry is acknowledged."""
+    """A view of two whose member does not rejoin has heartbeats forever, but no entry is acknowledged in it."""
     replica = make_member()
     replica.state.leader_heard_at = replica.state.next_election_at = NOW - SILENCE_TIMEOUT * 2
     assert sent_messages(tick(replica, NOW), messages.PreVote) and replica.role is Role.PRE_VOTING
@@ -143,7 +143,7 @@
 
 
 def test_a_replica_that_acknowledged_a_round_promises_nothing_to_others_until_the_lease_expires():
-    """The lease does not bind it against its own leader or a candidate that names the lease as released."""
+    """The replica may promise to the lease's own leader, and to a candidate that names the lease as released."""
     for sender, released, is_promised in (
         ("b", NO_VIEW, False),
         ("b", VIEW, True),
@@ -186,7 +186,7 @@
     receive(replica, "a", heartbeat_message(3, echo=own_round, has_lease=False), late)
     assert not replica.is_fresh(late)
     receive(replica, "a", heartbeat_message(4, echo=own_round, committed=9), late)
-    assert not replica.is_fresh(late)  # it has not delivered all committed entries
+    assert not replica.is_fresh(late)  # the member has not delivered all committed entries
     receive(replica, "a", heartbeat_message(5, echo=own_round), late)
     tick(replica, late)
     assert replica.is_fresh(late) and not replica.is_fresh(NOW + FRESH_FOR)
--- a/tests/control_state/test_configuration_rules.py
+++ b/tests/control_state/test_configuration_rules.py
@@ -180,7 +180,7 @@
 
 
 def test_evacuation_persists_across_configurations_and_can_be_repeated():
-    """An area stays evacuated when a whole document or a part is applied; a repeated evacuation is acknowledged."""
+    """A zone stays evacuated when a whole document or a part is applied; a repeated evacuation is acknowledged."""
     state = _configured(1)
     assert (
         state.apply(2, changes.Evacuate("out-1", "hall-b")).outcome is Outcome.ACCEPTED
--- a/tests/leases/lease_deployment.py
+++ b/tests/leases/lease_deployment.py
@@ -133,7 +133,7 @@
         elif draw < 0.7:
             deployment.leader = random.choice(VOTERS)
         elif draw < 0.75:
-            deployment.quit(random.choice(VOTERS))  # it releases its roles, and is restarted by a later step
+            deployment.quit(random.choice(VOTERS))  # the voter releases its roles; a later step restarts it
         elif draw < 0.85:
             deployment.start(random.choice(VOTERS))
         else:
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -20,7 +20,7 @@
 
 
 def test_orders_of_two_holders_are_apart_by_the_turn_gap_without_fencing():
-    """Under the same random faults, if servers check no fencing tokens, no two leases may be valid at once.
+    """Under random faults, if servers check no fencing tokens, no two leases may be valid at once.
 
     Between the last moment of one holder and the first of the next, the timeout of an order and `turn_gap` must pass.
     """
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -31,7 +31,7 @@
         "m": (("n1", "127.0.0.1:1", "edge", "hall", 2, "alive", "127.0.0.1:2", 9),),
     }
     records, acks = (({"k": (2,)}, ("a",)), ({"k": 3}, ())), (("r1", "ok", {"state": "open"}),)
-    documents = {  # of kinds whose documents have a fixed structure
+    documents = {  # by message kind, for kinds whose documents have a fixed structure
         **dict.fromkeys(("open", "close", "hand"), records),
         **dict.fromkeys(("opened", "closed", "handed"), acks),
         "carry": (({"k": (2,)}, True),),
--- a/tests/transport/test_connection_ends.py
+++ b/tests/transport/test_connection_ends.py
@@ -257,7 +257,7 @@
         free = [client for client in clients if not client.is_waiting]
         for client in random.sample(free, min(len(free), random.randrange(4))):
             number += 1
-            with contextlib.suppress(OSError):  # the node no longer accepts connections
+            with contextlib.suppress(OSError):  # the server no longer accepts connections
                 await client.ask(proxy, number)
         await loop_turns(random.randrange(MOST_TURNS_BETWEEN))
         if random.random() < 0.5:
--- a/tests/transport/test_http_client.py
+++ b/tests/transport/test_http_client.py
@@ -116,7 +116,7 @@
 
 
 def test_failure_after_the_first_byte_is_not_reported_as_a_connect_failure():
-    """Connection errors of aiohttp count as such only for a call that has sent no byte."""
+    """A connection error of aiohttp counts as a connect failure only if the call has sent no byte."""
     key = aiohttp.client_reqrep.ConnectionKey("h", 1, False, None, None, None, None)
     errors = {
         aiohttp.ConnectionTimeoutError(): CallFailure.CONNECT_TIMEOUT,
