--- a/sumachook/changefeed/snapshot.py
+++ b/sumachook/changefeed/snapshot.py
@@ -10,7 +10,7 @@
 
 COMPRESSION_LEVEL = 3  # zlib level; higher ones block a core's event loop for longer and save little
 PART_BYTES = 128 << 10  # at 5 Mbit/s a part takes a fifth of a second, so that it does not delay the messages behind it
-MAX_SNAPSHOT_BYTES = 64 << 20  # of uncompressed data; limits what a corrupt message can make a follower allocate
+MAX_SNAPSHOT_BYTES = 64 << 20  # uncompressed; limits what a corrupt or hostile message makes a follower allocate
 
 
 def pack_snapshot(snapshot: dict[str, Any]) -> bytes:
--- a/sumachook/consensus/candidate.py
+++ b/sumachook/consensus/candidate.py
@@ -40,7 +40,7 @@
     def __init__(self, state: ReplicaState, slow_members: SlowMembers, installer: Installer, now: timedelta) -> None:
         self.state, self.slow_members, self.installer = state, slow_members, installer
         self.granted_by: set[str] = set()
-        self.run_numbers: dict[str, int] = {}  # by name of a restarted voter, which an older lease may still bind
+        self.run_numbers: dict[str, int] = {}  # of restarted voters, by name: an older lease may still bind them
         self.token, self.is_unanimous = 0, False
         self.promises: dict[str, Promise] = {}
         self.suspected: set[str] = set()
--- a/sumachook/consensus/founding.py
+++ b/sumachook/consensus/founding.py
@@ -29,7 +29,7 @@
 
     def __init__(self, state: ReplicaState, candidate: Candidate, now: timedelta) -> None:
         self.state, self.candidate, self.next_announcement_at = state, candidate, now
-        self.blank_replicas: dict[str, _BlankReplica] = {}  # by the address in its announcement
+        self.blank_replicas: dict[str, _BlankReplica] = {}  # the other blank replicas, by address
 
     def on_announcement(self, message: Announcement, now: timedelta) -> None:
         """Records the announcement of another blank replica."""
--- a/sumachook/consensus/replica.py
+++ b/sumachook/consensus/replica.py
@@ -141,7 +141,7 @@
             case events.Tick(cores):
                 out = self._tick(cores, now)
             case MessageReceived(sender, _, _) if sender == self.state.name:
-                return []  # sent by this replica to a replica that used this address before
+                return []  # this replica's own message to a former user of its address
             case MessageReceived(sender, address, message):
                 self.candidate.suspected.discard(sender)  # a replica that sends a message is no longer suspected
                 out = self._receive(sender, address, message, now)
--- a/sumachook/control_state/change_attempts.py
+++ b/sumachook/control_state/change_attempts.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-DIGEST_HEX_DIGITS = 32  # of the 64 hex digits of SHA-256; contents of one cluster then do not collide by chance
+DIGEST_HEX_DIGITS = 32  # of the 64 of SHA-256; enough that no two contents in one cluster collide by chance
 
 
 class Attempt(NamedTuple):
--- a/sumachook/leases/voting.py
+++ b/sumachook/leases/voting.py
@@ -28,7 +28,7 @@
         self.voters = voters
         self.timing = timing
         self.is_fenced = is_fenced
-        self.started_at = now  # as renewals acknowledged before a restart are not known
+        self.started_at = now  # counts as the last renewal: those before a restart are unknown
         self.last_renewal_at: dict[str, timedelta] = {}
         self.votes: dict[tuple[str, int], Vote] = {}  # this voter's votes by role and fencing token
 
--- a/sumachook/ledger/replica_store.py
+++ b/sumachook/ledger/replica_store.py
@@ -67,7 +67,7 @@
         self.records = RecordTable(max_records)
         self.file = RecordFile(stored)
         self.voting_members: dict[str, str] = {}
-        self.away_since: dict[tuple[str, int], timedelta] = {}  # by name and epoch of an absent edge
+        self.away_since: dict[tuple[str, int], timedelta] = {}  # by name and epoch of each absent edge
         self.next_handoff_at = now
         self.next_sweep_at = now
         for line in stored:
--- a/sumachook/ledger/spill_file.py
+++ b/sumachook/ledger/spill_file.py
@@ -9,7 +9,7 @@
 from sumachook.storage.layout import SPOOL
 
 SPILL_AFTER = timedelta(seconds=0.3)  # a healthy quorum answers earlier, so the disk is used during failures only
-MAX_LINES = 40000  # maximum before a rewrite; twice the limit of pending records, so that rewrites are rare
+MAX_LINES = 40000  # lines before a rewrite; twice the limit of pending records, so that rewrites are rare
 
 
 class SpillFile:
--- a/sumachook/ledger/writer.py
+++ b/sumachook/ledger/writer.py
@@ -33,14 +33,14 @@
 
 QUORUM = 2  # acknowledgements that a record needs, or one from each voter if there are fewer voters
 
-# limits
+# limits of pending records and of messages
 MAX_PENDING = 20000  # records in memory; beyond that the oldest one is dropped
 MAX_RECORDS_PER_MESSAGE = 100
 MAX_RELAYED_PER_MESSAGE = 100
 RELAY_COUNT = 2  # edges that receive a relayed record
 
 # timeouts of a record that is sent without deferral
-HINT_AFTER = timedelta(seconds=0.15)  # until the third replica gets the copy of an owner without acknowledgement
+HINT_AFTER = timedelta(seconds=0.15)  # time until the third replica gets the copy of an owner without acknowledgement
 RESEND_AFTER = timedelta(seconds=0.3)
 SAFE_WAIT = timedelta(seconds=0.4)  # after this time a request that may run twice proceeds without its record
 UNSAFE_WAIT = timedelta(seconds=1.5)  # after this time any other request is refused; a change of leader takes less
@@ -48,8 +48,8 @@
 NEVER = timedelta.max
 
 # maximum time for which a deferred record waits to be batched
-DEFER_UNFINISHED = timedelta(seconds=0.3)  # for the record of a request that runs for long, ended late or failed
-DEFER_FINISHED = timedelta(seconds=1)  # for the record of a request that succeeded in time
+DEFER_UNFINISHED = timedelta(seconds=0.3)  # maximum for a request that runs for long, ended late or failed
+DEFER_FINISHED = timedelta(seconds=1)  # maximum for a request that succeeded in time
 
 
 class LedgerWriter:
--- a/sumachook/membership/membership.py
+++ b/sumachook/membership/membership.py
@@ -57,9 +57,9 @@
 
     # docs/design.md, "Membership", lists these intervals and the detection time that results from them
     PING_INTERVAL = timedelta(seconds=0.3)
-    ACK_TIMEOUT = timedelta(seconds=0.25)  # other nodes are asked to ping a target that has not answered by then
-    SUSPECT_AFTER = ACK_TIMEOUT * 3  # a ping not acknowledged by then, directly or indirectly, makes its target suspect
-    SUSPICION_TIMEOUT = timedelta(seconds=1.5)  # a suspect that has not refuted the suspicion by then is marked gone
+    ACK_TIMEOUT = timedelta(seconds=0.25)  # other nodes are asked to ping a target without an answer in this time
+    SUSPECT_AFTER = ACK_TIMEOUT * 3  # a target becomes suspect without direct or indirect acknowledgement in this time
+    SUSPICION_TIMEOUT = timedelta(seconds=1.5)  # a suspect that has not refuted the suspicion in this time is gone
     SEED_INTERVAL = timedelta(seconds=2)
     # Minimum time between two join requests of a node that has just started and knows no seed, and between two that are
     # sent to unknown nodes which ping this one.
@@ -107,7 +107,7 @@
                 return self._handle_message(event, now)
             case SeedsChanged():
                 self.seeds = tuple(event.addresses)
-                return self._compare_views(now)  # at once: all former seeds may be down
+                return self._compare_views(now)  # at once, since all former seeds may be down
             case StopRequested():
                 return self._leave()
         raise TypeError(f"unsupported membership event: {event!r}")
--- a/sumachook/membership/view_digest.py
+++ b/sumachook/membership/view_digest.py
@@ -11,7 +11,7 @@
 
 from sumachook.membership.member import LIVE_STATUSES, Member
 
-BUCKET_COUNT = 32  # if one of 200 members differs, the about six members of its bucket are sent
+BUCKET_COUNT = 32  # if one of 200 members differs, the members of its bucket, about six, are sent
 CHECKSUM_BYTES = 4
 MAX_CACHED_CHECKSUMS = 4096  # checksums, one per state of a member, which rarely changes
 
--- a/sumachook/runtime/log_function.py
+++ b/sumachook/runtime/log_function.py
@@ -3,4 +3,4 @@
 from collections.abc import Callable
 from typing import Any
 
-LogFunction = Callable[[str, str, str, dict[str, Any]], None]  # level, component, text, fields
+LogFunction = Callable[[str, str, str, dict[str, Any]], None]  # arguments: level, component, text, fields
--- a/sumachook/storage/day_logs.py
+++ b/sumachook/storage/day_logs.py
@@ -19,7 +19,7 @@
     """The open segment of a day, to which its lines are appended."""
 
     length: int
-    is_unsynced: bool = False  # a write failed, so that bytes beyond `length` are undefined
+    is_unsynced: bool = False  # whether a write failed, so that bytes beyond `length` are undefined
     inherited: frozenset[bytes] = frozenset()  # last lines that an earlier process wrote
 
 
--- a/sumachook/transport/http_server.py
+++ b/sumachook/transport/http_server.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import Any, ClassVar, NoReturn, TypeVar, cast
 
-# importing all of aiohttp.web loads file serving and applications too: a tenth of the startup time
+# importing all of aiohttp.web also loads file serving and applications, a tenth of the startup time
 from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import Response, StreamResponse
 from multidict import CIMultiDict
@@ -24,7 +24,7 @@
 
 MAX_BODY_BYTES = 1 << 20
 MAX_UNSENT_BYTES = 1 << 20
-SHUTDOWN_TIMEOUT = timedelta(seconds=0.2)  # for requests in progress when the server is stopped
+SHUTDOWN_TIMEOUT = timedelta(seconds=0.2)  # time for requests in progress when the server is stopped
 LOOP_TURNS_BEFORE_CLOSE = (
     4  # loop iterations until idle connections are closed; bytes arriving meanwhile are reset unread
 )
--- a/sumachook/transport/message_schemas.py
+++ b/sumachook/transport/message_schemas.py
@@ -43,7 +43,7 @@
     "vote": "role:s fence:i round:i",
     "renew": "role:s fence:i sent:f",
     "renewed": "role:s fence:i sent:f",
-    # feed
+    # change feed
     "follow": "number:i nonce:i",
     "image": "number:i packed:y",
     "image_part": "number:i offset:i total:i data:y",
@@ -62,7 +62,7 @@
     "retry_credit": "balances:d",
     "retry_lend": "service_key:s loan_id:s amount:f receiver_address:s",
     "retry_gift": "service_key:s loan_id:s amount:f",
-    # allowances
+    # quotas
     "allow_ask": "number:i demands:d",
     "allow_give": "fence:i number:i grants:d",
     "allow_beg": "number:i wanted:d",
--- a/sumachook/transport/node_transport.py
+++ b/sumachook/transport/node_transport.py
@@ -14,7 +14,7 @@
 
 LENGTH_PREFIX_BYTES = 4
 MAX_QUEUED_FRAMES = 4000
-MAX_DATAGRAM_BYTES = 60000  # below the 65,507 of UDP over IPv4
+MAX_DATAGRAM_BYTES = 60000  # below the 65,507 bytes that UDP over IPv4 allows
 RECONNECT_DELAY = timedelta(seconds=0.1)
 CONNECT_TIMEOUT = timedelta(seconds=0.25)  # a machine without power never answers; the next attempt may find it up
 UNACKNOWLEDGED_TIMEOUT = timedelta(seconds=1.5)
--- a/sumachook/transport/server_connector.py
+++ b/sumachook/transport/server_connector.py
@@ -28,7 +28,7 @@
 MAX_SAFE_IDLE_TIME = timedelta(seconds=0.25)
 # A connection is not reused within this time before the server's announced idle timeout: its close may be in transit.
 CLOSE_MARGIN = timedelta(seconds=1)
-DEFAULT_MAX_KEPT = 8  # idle connections per server
+DEFAULT_MAX_KEPT = 8  # maximum number of idle connections per server
 
 
 class NewConnectionReason(StrEnum):
