--- a/harness/mutations/shutdown.py
+++ b/harness/mutations/shutdown.py
@@ -24,15 +24,15 @@
     Mutation(
         "LOST",
         "a closed proxy server continues to accept connections",
-        "        self.listener.close()\n        resting",
-        "        resting",
+        "        self.listener.close()\n        idle_connections",
+        "        idle_connections",
         LEAVING,
         "in_flight_at_the_close",
     ),
     Mutation(
         "LOST",
         "idle connections stay open when the proxy server closes",
-        "self._close_idle(resting, LOOP_TURNS_BEFORE_CLOSE)",
+        "self._close_idle(idle_connections, LOOP_ITERATIONS_BEFORE_CLOSE)",
         "pass",
         LEAVING,
         "in_flight_at_the_close",
--- a/sumachook/transport/http_server.py
+++ b/sumachook/transport/http_server.py
@@ -25,7 +25,7 @@
 MAX_BODY_BYTES = 1 << 20
 MAX_UNSENT_BYTES = 1 << 20
 SHUTDOWN_TIMEOUT = timedelta(seconds=0.2)  # time for requests in progress when the server is stopped
-LOOP_TURNS_BEFORE_CLOSE = (
+LOOP_ITERATIONS_BEFORE_CLOSE = (
     4  # loop iterations until idle connections are closed; bytes arriving meanwhile are reset unread
 )
 SERVER_CLOSE_REASONS = frozenset(
@@ -162,17 +162,17 @@
             return
         self.is_stopping = True
         self.listener.close()
-        resting = [connection for connection in self.server.open_connections() if connection.may_be_closed]
-        for connection in resting:
+        idle_connections = [connection for connection in self.server.open_connections() if connection.may_be_closed]
+        for connection in idle_connections:
             connection.pause()  # a request that arrives from now on stays unread; its client may resend it
-        self._close_idle(resting, LOOP_TURNS_BEFORE_CLOSE)
+        self._close_idle(idle_connections, LOOP_ITERATIONS_BEFORE_CLOSE)
 
-    def _close_idle(self, resting: list[ClientConnection], turns: int) -> None:
+    def _close_idle(self, idle_connections: list[ClientConnection], iterations: int) -> None:
         """Closes these paused connections after the given number of event loop iterations."""
-        if turns:
-            asyncio.get_running_loop().call_soon(self._close_idle, resting, turns - 1)
+        if iterations:
+            asyncio.get_running_loop().call_soon(self._close_idle, idle_connections, iterations - 1)
             return
-        for connection in resting:
+        for connection in idle_connections:
             if connection.is_resting:
                 connection.end(ConnectionEnd.LEAVING)
             else:  # a pipelined request, read together with the previous one, has started
--- a/tests/nodes/test_edge_shutdown.py
+++ b/tests/nodes/test_edge_shutdown.py
@@ -18,7 +18,7 @@
 from sumachook.nodes.edge_shutdown import FINAL_ANSWERS_BEFORE_END, MAX_OPEN_FRACTION, MIN_OPEN_TIME, QUIET_TIME
 from sumachook.runtime.clock import Clock
 from sumachook.transport.addresses import split_address
-from sumachook.transport.http_server import LOOP_TURNS_BEFORE_CLOSE
+from sumachook.transport.http_server import LOOP_ITERATIONS_BEFORE_CLOSE
 from sumachook.transport.node_transport import NodeTransport
 from tests.forwarding.forwarding_fixtures import FixedTrust, catalogue, route, server
 from tests.short_forms import event_of, tuple_of_effect
@@ -366,8 +366,8 @@
     path.front.stop_accepting()
 
 
-@pytest.mark.parametrize("turns", range(8))
-def test_request_racing_with_the_close_is_answered_or_left_unread(turns):
+@pytest.mark.parametrize("iterations", range(8))
+def test_request_racing_with_the_close_is_answered_or_left_unread(iterations):
     """Requests that reach idle connections a few iterations of the event loop before the proxy server closes are
     answered, or their bytes were never read and no server has seen them: none is read and dropped."""
 
@@ -375,7 +375,7 @@
         clients = await _kept(path, 12)
         for number, each in enumerate(clients):
             each.write(100 + number)
-        for _ in range(turns):
+        for _ in range(iterations):
             await asyncio.sleep(0)
         _close_proxy_server(path)
         outcomes = [await each.answer() for each in clients]
@@ -388,15 +388,15 @@
         assert status not in (200, 503) or b"connection: close" in top.lower()
 
 
-@pytest.mark.parametrize("turns", range(LOOP_TURNS_BEFORE_CLOSE))
-def test_request_just_after_the_close_is_left_unread(turns):
+@pytest.mark.parametrize("iterations", range(LOOP_ITERATIONS_BEFORE_CLOSE))
+def test_request_just_after_the_close_is_left_unread(iterations):
     """Requests on idle connections that arrive in the loop iterations between the close of the proxy server and that of
     the connections are not read."""
 
     async def scenario(path, peer):
         clients = await _kept(path, 12)
         _close_proxy_server(path)
-        for _ in range(turns):
+        for _ in range(iterations):
             await asyncio.sleep(0)
         for number, each in enumerate(clients):
             each.write(100 + number)
--- a/tests/transport/test_client_limits.py
+++ b/tests/transport/test_client_limits.py
@@ -48,17 +48,17 @@
             await asyncio.sleep(0)
         writer.write(raw)
         self.writers.append(writer)  # an unreferenced writer is garbage collected, which closes its connection
-        await loop_turns()
+        await loop_iterations()
         return reader, writer
 
 
-async def loop_turns():
+async def loop_iterations():
     for _ in range(TURNS):
         await asyncio.sleep(0)
 
 
 async def has_ended(reader):
-    await loop_turns()
+    await loop_iterations()
     return reader.at_eof()
 
 
@@ -131,9 +131,9 @@
         reader, _ = await fixture.connect(begun)
         used, writer = await fixture.connect(post(2))
         assert (await used.readuntil(b"ok")).startswith(b"HTTP/1.1 200")
-        await loop_turns()
+        await loop_iterations()
         writer.write(begun)
-        await loop_turns()
+        await loop_iterations()
         fixture.front._sweep(fixture.now() + 2.9)
         assert not await has_ended(reader) and not await has_ended(used)
         fixture.front._sweep(fixture.now() + 3.1)
@@ -196,7 +196,7 @@
     async def scenario(fixture):
         reader, _ = await fixture.connect(post(2))
         assert (await reader.readuntil(b"ok")).startswith(b"HTTP/1.1 200")
-        await loop_turns()
+        await loop_iterations()
         fixture.front.apply_limits(Limits(**LIMITS | {"idle_ms": 2000.0}))
         start = fixture.now()
         fixture.front._sweep(start)
--- a/tests/transport/test_connection_ends.py
+++ b/tests/transport/test_connection_ends.py
@@ -22,14 +22,14 @@
 from sumachook.transport.addresses import split_address
 from tests.transport.proxy_fixtures import answer_ok, parse_response, request_head, run_scenario
 
-TURNS_TO_SETTLE = 200
-MAX_TURNS_BEFORE_CLOSE = 6
-TURNS_OF_TWO_RESPONSES = 40  # more loop iterations than two responses take
+ITERATIONS_TO_SETTLE = 200
+MAX_ITERATIONS_BEFORE_CLOSE = 6
+ITERATIONS_OF_TWO_RESPONSES = 40  # more loop iterations than two responses take
 REQUEST = request_head(more=b"Content-Length: 2\r\n") + b"{}"
 SECOND_REQUEST = request_head(number=2, more=b"Content-Length: 2\r\n") + b"{}"
 
 
-async def loop_turns(count):
+async def loop_iterations(count):
     for _ in range(count):
         await asyncio.sleep(0)
 
@@ -69,7 +69,7 @@
     return reader, writer, connection
 
 
-async def sent_just_before(proxy, peer, close, turn_count):
+async def sent_just_before(proxy, peer, close, iteration_count):
     """Runs `close` the given number of loop iterations after a second request was read.
 
     Returns the response to that request, and whether the server got it.
@@ -78,24 +78,24 @@
     reader, writer, connection = await answered_connection(proxy)
     proxy.front._sweep(asyncio.get_running_loop().time())
     connection.data_received(SECOND_REQUEST)
-    await loop_turns(turn_count)
+    await loop_iterations(iteration_count)
     close(proxy.front)
     reading = asyncio.ensure_future(reader.read(1 << 16))
-    await loop_turns(TURNS_TO_SETTLE)
+    await loop_iterations(ITERATIONS_TO_SETTLE)
     answer = reading.result() if reading.done() else b""
     writer.close()
     return answer, any(request.id == "q2" for request in peer.requests)
 
 
-@pytest.mark.parametrize("turn_count", range(MAX_TURNS_BEFORE_CLOSE))
+@pytest.mark.parametrize("iteration_count", range(MAX_ITERATIONS_BEFORE_CLOSE))
 @pytest.mark.parametrize("close", [sweep_idle, sweep_slow_heads, stop_accepting])
-def test_request_read_before_a_close_is_answered_or_not_forwarded(close, turn_count):
+def test_request_read_before_a_close_is_answered_or_not_forwarded(close, iteration_count):
     """A request read on a connection that this node is about to close, at any event loop iteration, gets a complete
     response or reaches no server.
     """
 
     async def scenario(proxy, peer):
-        answer, was_forwarded = await sent_just_before(proxy, peer, close, turn_count)
+        answer, was_forwarded = await sent_just_before(proxy, peer, close, iteration_count)
         if answer:
             status, _, body, is_whole = parse_response(answer)
             assert (status, body, is_whole) == (200, b"done", True)
@@ -105,9 +105,9 @@
     run_scenario(scenario, answer_ok)
 
 
-@pytest.mark.parametrize("turn_count", [0, 1])
+@pytest.mark.parametrize("iteration_count", [0, 1])
 @pytest.mark.parametrize("reason", [ConnectionEnd.IDLE, ConnectionEnd.SLOW_HEAD, ConnectionEnd.LEAVING])
-def test_request_on_a_connection_closed_by_this_node_before_it_started_is_not_forwarded(reason, turn_count):
+def test_request_on_a_connection_closed_by_this_node_before_it_started_is_not_forwarded(reason, iteration_count):
     """If a connection is closed regardless of a request read on it, no server gets the request: its client gets no
     response and may resend it.
     """
@@ -115,9 +115,9 @@
     async def scenario(proxy, peer):
         _, writer, connection = await answered_connection(proxy)
         connection.data_received(SECOND_REQUEST)
-        await loop_turns(turn_count)
+        await loop_iterations(iteration_count)
         connection.end(reason)
-        await loop_turns(TURNS_TO_SETTLE)
+        await loop_iterations(ITERATIONS_TO_SETTLE)
         writer.close()
         return [request.id for request in peer.requests], proxy.front.end_counts
 
@@ -125,19 +125,19 @@
     assert requests == ["q1"] and end_counts == {reason: 1}
 
 
-@pytest.mark.parametrize("turn_count", range(TURNS_OF_TWO_RESPONSES))
+@pytest.mark.parametrize("iteration_count", range(ITERATIONS_OF_TWO_RESPONSES))
 @pytest.mark.parametrize("close", [sweep_idle, stop_accepting])
-def test_pipelined_requests_are_answered_or_not_forwarded(close, turn_count):
+def test_pipelined_requests_are_answered_or_not_forwarded(close, iteration_count):
     """Of two requests read at once, the first is answered, and the second is answered or reaches no server."""
 
     async def scenario(proxy, peer):
         reader, writer, connection = await answered_connection(proxy)
         proxy.front._sweep(asyncio.get_running_loop().time())
         connection.data_received(SECOND_REQUEST + request_head(number=3, more=b"Content-Length: 2\r\n") + b"{}")
-        await loop_turns(turn_count)
+        await loop_iterations(iteration_count)
         close(proxy.front)
         reading = asyncio.ensure_future(reader.read())
-        await loop_turns(TURNS_TO_SETTLE)
+        await loop_iterations(ITERATIONS_TO_SETTLE)
         writer.close()
         answers = (await reading).count(b"HTTP/1.1 200")
         assert answers >= 1 and answers == len(peer.requests) - 1
@@ -182,7 +182,7 @@
         now = asyncio.get_running_loop().time()
         proxy.front._sweep(now)
         proxy.front._sweep(now + proxy.front.limits.idle_timeout + 1.0)
-        await loop_turns(TURNS_TO_SETTLE)
+        await loop_iterations(ITERATIONS_TO_SETTLE)
         slow.close()
         idle_writer.close()
         return proxy.front.end_counts
@@ -203,7 +203,7 @@
         _, writer, connection = await answered_connection(proxy)
         connection.end(ConnectionEnd.IDLE)
         writer.write(SECOND_REQUEST)
-        await loop_turns(TURNS_TO_SETTLE)
+        await loop_iterations(ITERATIONS_TO_SETTLE)
         writer.close()
         return [request.id for request in peer.requests]
 
@@ -214,7 +214,7 @@
 
 
 SEEDS = range(40)
-CLIENTS, STEPS, MOST_TURNS_BETWEEN = 8, 60, 12
+CLIENTS, STEPS, MAX_ITERATIONS_BETWEEN = 8, 60, 12
 IDLE_LIMITS_MS = (500.0, 5000.0, 15000.0)
 
 
@@ -259,18 +259,18 @@
             number += 1
             with contextlib.suppress(OSError):  # the server no longer accepts connections
                 await client.ask(proxy, number)
-        await loop_turns(random.randrange(MOST_TURNS_BETWEEN))
+        await loop_iterations(random.randrange(MAX_ITERATIONS_BETWEEN))
         if random.random() < 0.5:
             clock_offset += random.choice((0.4, 2.0, 6.0, 16.0))
             proxy.front._sweep(asyncio.get_running_loop().time() + clock_offset)
         if random.random() < 0.3:
             proxy.front.apply_limits(Limits(idle_ms=random.choice(IDLE_LIMITS_MS)))
-        await loop_turns(random.randrange(MOST_TURNS_BETWEEN))
-    await loop_turns(TURNS_TO_SETTLE)
+        await loop_iterations(random.randrange(MAX_ITERATIONS_BETWEEN))
+    await loop_iterations(ITERATIONS_TO_SETTLE)
     for client in clients:
         if client.writer is not None:
             client.writer.close()
-    await loop_turns(TURNS_TO_SETTLE)
+    await loop_iterations(ITERATIONS_TO_SETTLE)
     return {request_id for client in clients for request_id in client.answered}
 
 
--- a/tests/transport/test_http_client.py
+++ b/tests/transport/test_http_client.py
@@ -180,15 +180,15 @@
     assert run_scenario(scenario, b"") == ([RequestSent(order(1), False)], {}, set())
 
 
-@pytest.mark.parametrize("turns", range(1, 9))
-def test_call_cancelled_before_request_sent_never_reaches_the_server(turns):
+@pytest.mark.parametrize("iterations", range(1, 9))
+def test_call_cancelled_before_request_sent_never_reaches_the_server(iterations):
     """A call cancelled at any loop iteration around the connect reaches the server only if `RequestSent` was emitted
     before. Otherwise a request reported as not run would have run.
     """
 
     async def scenario(client, peer):
         task = asyncio.get_running_loop().create_task(client.call(order(1), peer.address))
-        for _ in range(turns):
+        for _ in range(iterations):
             await asyncio.sleep(0)
         was_reported = order(1) in client.events
         client.http_client.cancel(order(1))
