--- a/harness/mutations/consensus.py
+++ b/harness/mutations/consensus.py
@@ -87,8 +87,8 @@
     _mutation(
         "a candidate skips the wait for old leases although a voter did not respond",
         "candidate",
-        "return is_free and set(self.state.other_voters) <= self.granted_by | set(self.run_numbers)",
-        "return is_free",
+        "return is_unbound and set(self.state.other_voters) <= self.granted_by | set(self.run_numbers)",
+        "return is_unbound",
         REPLICA,
         "once_all_restarted_voters_have_granted",
     ),
--- a/sumachook/consensus/candidate.py
+++ b/sumachook/consensus/candidate.py
@@ -84,16 +84,16 @@
             self.granted_by.add(sender)
         if self._all_voters_granted(now):
             return self.start(now, self.suspected, is_unanimous=True)
-        is_free = state.guard.permits(state.name, NO_VIEW, now)
-        if not is_free or not state.voting_members.has_quorum({state.name, *self.granted_by}):
+        is_unbound = state.guard.permits(state.name, NO_VIEW, now)
+        if not is_unbound or not state.voting_members.has_quorum({state.name, *self.granted_by}):
             return []
         return self.start(now, self.suspected)
 
     def _all_voters_granted(self, now: timedelta) -> bool:
         """Whether all voters have granted the pre-vote, so none leads and no lease from before a restart is valid."""
         guard = self.state.guard
-        is_free = guard.permits(self.state.name, NO_VIEW, now, guard.run_number)
-        return is_free and set(self.state.other_voters) <= self.granted_by | set(self.run_numbers)
+        is_unbound = guard.permits(self.state.name, NO_VIEW, now, guard.run_number)
+        return is_unbound and set(self.state.other_voters) <= self.granted_by | set(self.run_numbers)
 
     # collection of promises
 
@@ -207,9 +207,9 @@
             lambda name: self.slow_members.is_excluded(name, now),
         )
         for is_unwanted in checks:
-            rest = {name for name in members if name == state.name or not is_unwanted(name)}
-            if state.voting_members.has_quorum(rest):
-                members = rest
+            remaining = {name for name in members if name == state.name or not is_unwanted(name)}
+            if state.voting_members.has_quorum(remaining):
+                members = remaining
         return members
 
     def _is_lagging(self, name: str) -> bool:
--- a/sumachook/consensus/learners.py
+++ b/sumachook/consensus/learners.py
@@ -81,14 +81,14 @@
 
     def superseded(self, now: timedelta) -> set[str]:
         """Returns the voters whose address is used by a learner with another identity, so their disk is lost."""
-        taken = set(self.stable(now).values())
+        learner_addresses = set(self.stable(now).values())
         voting_members = self.state.voting_members
         others = {
             name: address
             for name, address in voting_members.addresses.items()
             if name not in (self.state.name, voting_members.joining)
         }
-        return {name for name, address in others.items() if address in taken}
+        return {name for name, address in others.items() if address in learner_addresses}
 
     def tick(self, cores: tuple[str, ...], now: timedelta) -> list[Effect]:
         """Announces this replica to all known cores while it is no voter, or possibly removed, and hears no leader."""
--- a/sumachook/consensus/view_maintenance.py
+++ b/sumachook/consensus/view_maintenance.py
@@ -58,10 +58,10 @@
             silence = now - state.heard_at[name]
             is_stalled = self.progress.is_stalled(name, now)
             if silence > SILENCE_TIMEOUT or is_stalled or name in superseded:
-                rest = self.leader.recently_heard(set(state.voting_members.addresses) - superseded - {name}, now)
-                if state.voting_members.has_quorum(rest):
+                remaining = self.leader.recently_heard(set(state.voting_members.addresses) - superseded - {name}, now)
+                if state.voting_members.has_quorum(remaining):
                     self.slow_members.add(name, now)
-                    lost = set(state.voting_members.addresses) - rest
+                    lost = set(state.voting_members.addresses) - remaining
                     return self._start_without(lost, "Starting a view without failed replicas.", now)
             if silence > STEP_DOWN_AFTER or self.progress.ack_pending_for(name, now) > SILENCE_TIMEOUT * 3:
                 return self.leader.step_down("No majority acknowledges entries, leader is stepping down.", now)
@@ -73,8 +73,8 @@
         if not state.is_known_leaving(name, now) or not self.leader.is_idle():
             return False
         is_replaceable = self.may_replace(now) or state.voting_members.is_joint
-        rest = self.leader.recently_heard(set(state.members) - {name}, now)
-        return not is_replaceable and state.voting_members.has_quorum(rest)
+        remaining = self.leader.recently_heard(set(state.members) - {name}, now)
+        return not is_replaceable and state.voting_members.has_quorum(remaining)
 
     def may_replace(self, now: timedelta) -> bool:
         """Whether a learner can replace a voter; a new leader assumes so for `LEARNER_DISCOVERY_TIME`."""
--- a/sumachook/consensus/voting_members.py
+++ b/sumachook/consensus/voting_members.py
@@ -60,9 +60,9 @@
 
     def without(self, name: str) -> "VotingMembers":
         """Returns the voting members without this voter; ends the replacement if the voter is part of it."""
-        rest = {other: address for other, address in self.addresses.items() if other != name}
+        remaining = {other: address for other, address in self.addresses.items() if other != name}
         is_over = name in (self.leaving, self.joining)
-        return VotingMembers(rest) if is_over else VotingMembers(rest, self.leaving, self.joining)
+        return VotingMembers(remaining) if is_over else VotingMembers(remaining, self.leaving, self.joining)
 
     def after(self, change: tuple[Any, ...]) -> "VotingMembers":
         """Returns the voting members after applying a log entry; other entries leave them unchanged."""
--- a/sumachook/leases/renewal.py
+++ b/sumachook/leases/renewal.py
@@ -68,7 +68,7 @@
     def _renew(self, renewal: Renewal) -> list[Effect]:
         """Sends a renewal to the other voters; this voter itself acknowledges it only while in a working view."""
         self.answers[renewal] = {self.voters.name} if self.voters.is_fresh else set()
-        self._prolong(renewal)
+        self._extend(renewal)
         return self.voters.send_to_others(RenewLease(*renewal))
 
     def on_renewed(self, replica: str, message: LeaseRenewed) -> None:
@@ -76,9 +76,9 @@
         renewal = Renewal(message.role, message.fence, message.sent)
         if renewal in self.answers and self.voters.includes(replica):
             self.answers[renewal].add(replica)
-            self._prolong(renewal)
+            self._extend(renewal)
 
-    def _prolong(self, renewal: Renewal) -> None:
+    def _extend(self, renewal: Renewal) -> None:
         """Extends a lease, counted from the sending of a renewal, once a majority has acknowledged that renewal."""
         if len(self.answers[renewal]) < self.voters.majority:
             return
