--- a/sumachook/consensus/candidate.py
+++ b/sumachook/consensus/candidate.py
@@ -40,7 +40,7 @@
     def __init__(self, state: ReplicaState, slow_members: SlowMembers, installer: Installer, now: timedelta) -> None:
         self.state, self.slow_members, self.installer = state, slow_members, installer
         self.granted_by: set[str] = set()
-        self.run_numbers: dict[str, int] = {}  # sent by restarted voters, which an older lease may still bind
+        self.run_numbers: dict[str, int] = {}  # of restarted voters, by name: an older lease may still bind them
         self.token, self.is_unanimous = 0, False
         self.promises: dict[str, Promise] = {}
         self.suspected: set[str] = set()
@@ -84,16 +84,16 @@
             self.granted_by.add(sender)
         if self._all_voters_granted(now):
             return self.start(now, self.suspected, is_unanimous=True)
-        is_free = state.guard.permits(state.name, NO_VIEW, now)
-        if not is_free or not state.voting_members.has_quorum({state.name, *self.granted_by}):
+        is_unbound = state.guard.permits(state.name, NO_VIEW, now)
+        if not is_unbound or not state.voting_members.has_quorum({state.name, *self.granted_by}):
             return []
         return self.start(now, self.suspected)
 
     def _all_voters_granted(self, now: timedelta) -> bool:
         """Whether all voters have granted the pre-vote, so none leads and no lease from before a restart is valid."""
         guard = self.state.guard
-        is_free = guard.permits(self.state.name, NO_VIEW, now, guard.run_number)
-        return is_free and set(self.state.other_voters) <= self.granted_by | set(self.run_numbers)
+        is_unbound = guard.permits(self.state.name, NO_VIEW, now, guard.run_number)
+        return is_unbound and set(self.state.other_voters) <= self.granted_by | set(self.run_numbers)
 
     # collection of promises
 
@@ -114,7 +114,7 @@
         return [state.append_records(records, CandidacySynced(state.candidacy))]
 
     def start_without(self, late: set[str], now: timedelta) -> list[Effect]:
-        """Restarts the election without these members, which made no progress in installing the last view."""
+        """Restarts the election without the members that made no progress in installing the last view."""
         for name in late:
             self.slow_members.add(name, now)
         return self.start(now, late)
@@ -207,13 +207,13 @@
             lambda name: self.slow_members.is_excluded(name, now),
         )
         for is_unwanted in checks:
-            rest = {name for name in members if name == state.name or not is_unwanted(name)}
-            if state.voting_members.has_quorum(rest):
-                members = rest
+            remaining = {name for name in members if name == state.name or not is_unwanted(name)}
+            if state.voting_members.has_quorum(remaining):
+                members = remaining
         return members
 
     def _is_lagging(self, name: str) -> bool:
-        """Whether this voter's log lacks entries of more than `CHUNK_BYTES` in total."""
+        """Whether the named voter's log lacks entries of more than `CHUNK_BYTES` in total."""
         log, promise = self.state.log, self.promises[name]
         known = promise.end if log.digest_at(promise.end) == promise.digest else promise.delivered
         return known < log.base or log.bytes_after(known) > CHUNK_BYTES
--- a/sumachook/transport/http_server.py
+++ b/sumachook/transport/http_server.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import Any, ClassVar, NoReturn, TypeVar, cast
 
-# importing all of aiohttp.web loads file serving and applications too: a tenth of the startup time
+# importing all of aiohttp.web also loads file serving and applications, a tenth of the startup time
 from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import Response, StreamResponse
 from multidict import CIMultiDict
@@ -24,8 +24,8 @@
 
 MAX_BODY_BYTES = 1 << 20
 MAX_UNSENT_BYTES = 1 << 20
-SHUTDOWN_TIMEOUT = timedelta(seconds=0.2)  # for requests in progress when the server is stopped
-LOOP_TURNS_BEFORE_CLOSE = (
+SHUTDOWN_TIMEOUT = timedelta(seconds=0.2)  # time for requests in progress when the server is stopped
+LOOP_ITERATIONS_BEFORE_CLOSE = (
     4  # loop iterations until idle connections are closed; bytes arriving meanwhile are reset unread
 )
 SERVER_CLOSE_REASONS = frozenset(
@@ -35,7 +35,7 @@
 
 
 class Exchange:
-    """A request in progress and the queue of its response effects, whose size is limited by `unsent_bytes`.
+    """A request in progress and the queue of its response effects; `unsent_bytes` counts the body bytes in it.
 
     `transport` is set while the response is a stream and no effect is queued: chunks are then written directly.
     """
@@ -88,7 +88,7 @@
         self.last_call_number = 0
         self.listener: asyncio.Server | None = None
         self.server: ConnectionFactory | None = None
-        self.is_stopping = False  # set once no new connections are accepted
+        self.is_stopping = False  # whether new connections are no longer accepted
 
     async def run(self) -> None:
         """Serves until cancelled; raises `OSError` if the address cannot be bound."""
@@ -118,7 +118,7 @@
             self._sweep(asyncio.get_running_loop().time())
 
     def _record_close(self, connection: ClientConnection) -> None:
-        """Counts a closed connection by reason; logs it if this node closed it with an unfinished or unread request.
+        """Counts a closed connection by reason; logs one that this node closed with an unfinished or unread request.
 
         An aborted response is not logged here, since the request's own log line reports it. Bytes that arrive too late
         before the close are reset unread; a request still in transit at that time is visible to its client alone.
@@ -162,17 +162,17 @@
             return
         self.is_stopping = True
         self.listener.close()
-        resting = [connection for connection in self.server.open_connections() if connection.may_be_closed]
-        for connection in resting:
+        idle_connections = [connection for connection in self.server.open_connections() if connection.may_be_closed]
+        for connection in idle_connections:
             connection.pause()  # a request that arrives from now on stays unread; its client may resend it
-        self._close_idle(resting, LOOP_TURNS_BEFORE_CLOSE)
+        self._close_idle(idle_connections, LOOP_ITERATIONS_BEFORE_CLOSE)
 
-    def _close_idle(self, resting: list[ClientConnection], turns: int) -> None:
+    def _close_idle(self, idle_connections: list[ClientConnection], iterations: int) -> None:
         """Closes these paused connections after the given number of event loop iterations."""
-        if turns:
-            asyncio.get_running_loop().call_soon(self._close_idle, resting, turns - 1)
+        if iterations:
+            asyncio.get_running_loop().call_soon(self._close_idle, idle_connections, iterations - 1)
             return
-        for connection in resting:
+        for connection in idle_connections:
             if connection.is_resting:
                 connection.end(ConnectionEnd.LEAVING)
             else:  # a pipelined request, read together with the previous one, has started
--- a/tests/transport/test_http_client.py
+++ b/tests/transport/test_http_client.py
@@ -116,7 +116,7 @@
 
 
 def test_failure_after_the_first_byte_is_not_reported_as_a_connect_failure():
-    """Connection errors of aiohttp count as such only for a call that has sent no byte."""
+    """A connection error of aiohttp counts as a connect failure only if the call has sent no byte."""
     key = aiohttp.client_reqrep.ConnectionKey("h", 1, False, None, None, None, None)
     errors = {
         aiohttp.ConnectionTimeoutError(): CallFailure.CONNECT_TIMEOUT,
@@ -180,15 +180,15 @@
     assert run_scenario(scenario, b"") == ([RequestSent(order(1), False)], {}, set())
 
 
-@pytest.mark.parametrize("turns", range(1, 9))
-def test_call_cancelled_before_request_sent_never_reaches_the_server(turns):
+@pytest.mark.parametrize("iterations", range(1, 9))
+def test_call_cancelled_before_request_sent_never_reaches_the_server(iterations):
     """A call cancelled at any loop iteration around the connect reaches the server only if `RequestSent` was emitted
     before. Otherwise a request reported as not run would have run.
     """
 
     async def scenario(client, peer):
         task = asyncio.get_running_loop().create_task(client.call(order(1), peer.address))
-        for _ in range(turns):
+        for _ in range(iterations):
             await asyncio.sleep(0)
         was_reported = order(1) in client.events
         client.http_client.cancel(order(1))
