--- a/harness/experiments/scenarios.py
+++ b/harness/experiments/scenarios.py
@@ -71,7 +71,7 @@
     before = len(run.callers.calls)
     for model in run.deployment.spec.catalogue["models"]:
         for effect in run.callers.ask(kind, run.deployment.now, model=model["name"]):
-            run.deployment._do(run.deployment.boxes["callers"], effect)
+            run.deployment._execute(run.deployment.boxes["callers"], effect)
     asked = run.callers.calls[before:]
     run.end(40)
     run.figures["one request per model"] = f"{sum(call.outcome == 'ok' for call in asked)} of {len(asked)} answered"
@@ -409,7 +409,7 @@
         for call in calls
         if call.kind == "prompt" and call.outcome == "ok" and call.sent_at - back_at < SECOND * 12
     ]
-    waits = [(call.first_at or call.ended_at) - call.sent_at for call in slow]
+    waits = [(call.first_token_at or call.ended_at) - call.sent_at for call in slow]
     run.figures["longest time to the first byte of a prompt of the first 12 s"] = (
         f"{max(waits, default=SECOND * 0) / SECOND:.1f} s"
     )
