--- a/sumachook/cli/operator.py
+++ b/sumachook/cli/operator.py
@@ -157,7 +157,7 @@
     counts = ", ".join(
         f"{len(getattr(catalogue, part))} {part}" for part in ("models", "adapters", "callers", "routes")
     )
-    print(f"{command.file}: valid ({counts})")
+    print(f"{command.file}: good ({counts})")
 
 
 @cappa.command(name="check", invoke=check_file, help="Validate a whole catalogue file locally, without a core.")
--- a/sumachook/cli/policy.py
+++ b/sumachook/cli/policy.py
@@ -26,7 +26,7 @@
 
 def check_policy(command: "PolicyCheck") -> None:
     """Compiles a policy; prints its number of steps, or the compile error."""
-    print(f"valid, {len(_compile(command).codes)} steps")
+    print(f"good, {len(_compile(command).codes)} steps")
 
 
 def try_policy(command: "PolicyTry") -> None:
